--- a/tests/world.py
+++ b/tests/world.py
@@ -21,6 +21,7 @@
 from quinceslip.protocol.settings import Settings, Tuning
 from quinceslip.subsystems import makers
 from tests.checker import Checker
+from tests.tracing import Trace
 
 US = SECOND
 #: what frames of this network's latency and their milliseconds may make of a moment, beside slow links
@@ -57,6 +58,7 @@
         self.killed = 0  # tasks that a worker's own lease ended
         self.hosts = {f"berth-{i}": Controller(self, f"berth-{i}") for i in range(facts["size"])}
         self.log: list[str] = []
+        self.trace: Trace | None = None  # where what reaches and leaves the controllers is written down
         self._look()
 
     def _look(self) -> None:
@@ -559,6 +561,10 @@
         self.node = None
         self.life += 1
 
+    def _trace(self, direction: str, other: str, *said: Any) -> None:
+        if self.world.trace is not None:
+            self.world.trace.write(self.world.now_us, self.label, direction, other, *said)
+
     def give(self, message: Any, life: int | None = None) -> None:
         if self.node is None or (life is not None and life != self.life):
             return
@@ -636,6 +642,7 @@
     def _reset(self, life: int, listing: Any) -> None:
         """A listing, and the watch from there on: what comes of one connection after another comes in order."""
         comes_us, next_us = self.world.latency(), self.world.latency() + 80_000
+        self._trace("in", "state", "listing", comes_us, listing.ledger, listing.until, listing.items)
         self.world.after(comes_us, lambda: self.give(listing, life))
         self.world.after(max(next_us, comes_us + 1), lambda: self._watch(life, listing.ledger))
 
@@ -652,6 +659,7 @@
                   for e in state.history if e["stamp"] > since]
         ledger = state.ledger
         comes_us = world.latency()
+        self._trace("in", "state", "watch", comes_us, ledger, events)
         world.after(comes_us, lambda: self.give(fx.ViewChanges(events, ledger, asked_us), life))
         # The next one is asked for when this one has come: over slow links, too, a watch brings changes in order.
         world.after(max(80_000 if events else 150_000, comes_us + 1), lambda: self._watch(life, ledger))
@@ -662,11 +670,13 @@
         world, life = self.world, self.life
         if isinstance(effect, fx.Reply):
             answer = self.waiting.pop(effect.request, None)
+            self._trace("out", "reply", effect.request, effect.status, effect.body, effect.headers)
             if answer is not None:
                 body = json.loads(msgspec.json.encode(effect.body))
                 world.after(world.latency(), lambda: answer(effect.status, body))
             return
         if isinstance(effect, fx.ToPeers):
+            self._trace("out", "peers", effect.frames.hex())
             for other in world.hosts.values():
                 if other is not self and world.now_us >= max(
                         other.deaf_peers_until_us, other.deaf_in_until_us, self.deaf_peers_until_us):
@@ -674,9 +684,12 @@
                         world.after(world.latency(), lambda o=other, s=said: o.give(fx.PeerSaid(s)))
             return
         body = json.loads(msgspec.json.encode(effect.body))
+        self._trace("out", effect.target, effect.method, effect.path, body, effect.timeout_us, effect.writes,
+                    int(effect.urgency))
 
         def back(status: int, answer: Any) -> None:
             data = json.dumps(answer).encode()
+            self._trace("in", effect.target, effect.path, status, answer)
             world.after(world.latency(), lambda: self.give(fx.Answer(effect.id, status, data), life))
 
         if effect.target in ("state", "lease"):
@@ -775,6 +788,7 @@
         if self._is_cut_from(self.world.workers.get(report["berth"])) and not copy:
             return
         self.world.reports += 1
+        self._trace("in", "worker", report)
         decoded = msgspec.json.decode(json.dumps(report), type=m.WorkerReport)
         self._request(lambda n: fx.Reported(n, decoded), answer)
 
@@ -782,9 +796,11 @@
         decoded = None if spec is None else m.read_submission(json.dumps(spec).encode())
         if isinstance(decoded, m.Malformed):
             verb = "malformed"
+        self._trace("in", "user", verb, uid, spec)
         self._request(lambda n: fx.UserRequest(n, verb, uid, decoded), answer)
 
     def ask(self, question: str, answer: Callable[[int, Any], None]) -> None:
+        self._trace("in", "question", question)
         self._request(lambda n: fx.Asked(n, question), answer)
 
 
