--- a/quinceslip/bench/supply.py
+++ b/quinceslip/bench/capacity.py
@@ -11,11 +11,11 @@
 from pathlib import Path
 from typing import Any
 
-from quinceslip import drawing
-from quinceslip.coordination.context import SECOND
-from quinceslip.coordination.node import NEWS_US
+from quinceslip import plotting
+from quinceslip.coordination.actor.context import SECOND
+from quinceslip.coordination.autoscaling.capacity import Kind, Supply
+from quinceslip.coordination.controller.controller import NEWS_US
 from quinceslip.protocol import frames
-from quinceslip.supply.knowledge import Kind, Supply
 
 STEP_US = SECOND // 10
 #: how long a kind is short, and how long it has room
@@ -73,7 +73,7 @@
 
 def write_page(runs: Sequence[dict[str, Any]], target: Path) -> str:
     """Both figures over the number of controllers, told and each by itself."""
-    figure, axes = drawing.rows(2, 8)
+    figure, axes = plotting.rows(2, 8)
     for told, name in ((True, "told"), (False, "each by itself")):
         mine = [run for run in runs if run["told"] == told]
         at = [run["controllers"] for run in mine]
@@ -86,5 +86,5 @@
         axis.set_ylim(bottom=0)
         axis.legend(fontsize=7)
     axes[-1].set_xlabel("controllers")
-    target.write_text(drawing.page(figure, "bench supply", "Room of the cloud", "virtual time"), encoding="utf-8")
+    target.write_text(plotting.page(figure, "bench supply", "Room of the cloud", "virtual time"), encoding="utf-8")
     return f"{target}: {len(runs)} runs"
--- a/quinceslip/bench/fleet.py
+++ b/quinceslip/bench/fleet.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
-from quinceslip.coordination import effects as fx
-from quinceslip.coordination.context import SECOND
-from quinceslip.coordination.node import Node
+from quinceslip.coordination.actor import effects as fx
+from quinceslip.coordination.actor.context import SECOND
+from quinceslip.coordination.controller.controller import Node
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import Settings, Tuning
 
--- a/quinceslip/bench/plots.py
+++ b/quinceslip/bench/plots.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from quinceslip import drawing
+from quinceslip import plotting
 from quinceslip.protocol.settings import SettingsError
 
 Run = dict[str, Any]
@@ -36,7 +36,7 @@
     """Draw calls of functions for a message over the number of machines; a line for each file."""
     files = {path.stem: read(path) for path in paths}
     kinds = sorted({kind for runs in files.values() for run in runs for kind in run["kinds"]})
-    figure, axes = drawing.rows(len(kinds), 8)
+    figure, axes = plotting.rows(len(kinds), 8)
     for axis, kind in zip(axes, kinds, strict=True):
         for name, runs in files.items():
             known = [(r["machines"], r["kinds"][kind]["calls_each"]) for r in runs if kind in r["kinds"]]
@@ -45,5 +45,5 @@
         axis.set_ylim(bottom=0)
     axes[0].legend(loc="upper left", fontsize=7)
     axes[-1].set_xlabel("machines")
-    target.write_text(drawing.page(figure, "bench fleet", "Work of a controller", ", ".join(files)), encoding="utf-8")
+    target.write_text(plotting.page(figure, "bench fleet", "Work of a controller", ", ".join(files)), encoding="utf-8")
     return f"{target}: {sum(map(len, files.values()))} runs, {len(kinds)} kinds of messages"
--- a/quinceslip/cli.py
+++ b/quinceslip/cli.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from quinceslip import __version__
-from quinceslip.coordination.subsystem import Maker
+from quinceslip.coordination.actor.subsystem import Maker
 from quinceslip.protocol.settings import (
     Settings,
     SettingsError,
@@ -130,7 +130,7 @@
 def bench_supply(arguments: argparse.Namespace) -> int:
     import json
 
-    from quinceslip.bench.supply import measure, write_page
+    from quinceslip.bench.capacity import measure, write_page
 
     runs = [measure(count, told, arguments.kinds, arguments.seconds, arguments.seed, arguments.rps)
             for count in arguments.controllers for told in (True, False)]
@@ -217,7 +217,7 @@
 
 
 def _load(arguments: argparse.Namespace) -> tuple[Settings, Tuning, str, list[Maker]]:
-    from quinceslip.coordination.context import Timing
+    from quinceslip.coordination.actor.context import Timing
 
     settings = load_settings(arguments.config)
     operators = read_operator_file(arguments.operator_config)
--- a/quinceslip/coordination/context.py
+++ b/quinceslip/coordination/actor/context.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from quinceslip.coordination.effects import UNKNOWN, Answer, Call, Effect, Reply, Urgency
-from quinceslip.pipelines.graph import Graph
-from quinceslip.pipelines.graph import Urgency as JobUrgency
+from quinceslip.coordination.actor.effects import UNKNOWN, Answer, Call, Effect, Reply, Urgency
+from quinceslip.dependencies.graph import Graph
+from quinceslip.dependencies.graph import Urgency as JobUrgency
+from quinceslip.liveness import stall_records
 from quinceslip.protocol import messages
 from quinceslip.protocol.settings import Settings, SettingsError, Team, Tuning
-from quinceslip.standstill import notes
 from quinceslip.storage.records import View
 
 log = logging.getLogger(__name__)
@@ -95,7 +95,7 @@
         self.next_id = 0
         self.types: dict[str, messages.MachineType] = {}
         self.changed: Callable[[Iterable[str]], None] = lambda keys: None
-        #: whether all controllers act by a level (`quinceslip.rollout`)
+        #: whether all controllers act by a level (`quinceslip.feature_gate`)
         self.allows: Callable[[int], bool] = lambda level: False
         self.state_ok_us = 0
         self.state_bad_us = 0
@@ -132,7 +132,7 @@
     def rests(self, part: str) -> bool:
         """Whether this controller stood still in that part so lately that it is left out (`standstill.notes`)."""
         note = self.view.by_kind["standstill"].get(self.settings.label)
-        return notes.rests(note, part, self.wall_us, self.timing.worker_lease_us)
+        return stall_records.rests(note, part, self.wall_us, self.timing.worker_lease_us)
 
     def steps(self) -> int:
         """Grows while a long message is taken: a listing of all records is no standstill."""
--- a/quinceslip/coordination/subsystem.py
+++ b/quinceslip/coordination/actor/subsystem.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, Any
 
-from quinceslip.coordination.context import Context
-from quinceslip.coordination.ownership import Ownership
+from quinceslip.coordination.actor.context import Context
+from quinceslip.coordination.leadership.election import Ownership
 from quinceslip.protocol import messages as m
 
 if TYPE_CHECKING:
-    from quinceslip.coordination.shard import Shard
+    from quinceslip.coordination.shard.shard import Shard
 
 
 class Subsystem:
--- a/quinceslip/coordination/provision.py
+++ b/quinceslip/coordination/autoscaling/autoscaler.py
@@ -7,16 +7,16 @@
 
 import msgspec
 
-from quinceslip.coordination.balance import Station, credible, credible_rate
-from quinceslip.coordination.context import SECOND, Context, micros
-from quinceslip.coordination.effects import Urgency
-from quinceslip.coordination.hearing import PROBES
-from quinceslip.coordination.hiring import Hiring
-from quinceslip.coordination.inventory import Inventory
-from quinceslip.coordination.ownership import Ownership
-from quinceslip.coordination.packing import Packer
-from quinceslip.coordination.shard import Shard
-from quinceslip.coordination.state import Chunk, Worker, fits
+from quinceslip.coordination.actor.context import SECOND, Context, micros
+from quinceslip.coordination.actor.effects import Urgency
+from quinceslip.coordination.autoscaling.consolidation import Packer
+from quinceslip.coordination.autoscaling.inventory import Inventory
+from quinceslip.coordination.autoscaling.scale_out import Hiring
+from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.load_balancing.queueing_model import Station, credible, credible_rate
+from quinceslip.coordination.reconciliation.delivery import PROBES
+from quinceslip.coordination.shard.shard import Shard
+from quinceslip.coordination.shard.state import Chunk, Worker, fits
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 
--- a/quinceslip/coordination/packing.py
+++ b/quinceslip/coordination/autoscaling/consolidation.py
@@ -7,10 +7,10 @@
 
 import logging
 
-from quinceslip.coordination.context import SECOND, Context, micros
-from quinceslip.coordination.ownership import Ownership
-from quinceslip.coordination.shard import Shard
-from quinceslip.coordination.state import Attempt, Worker, fits
+from quinceslip.coordination.actor.context import SECOND, Context, micros
+from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.shard.shard import Shard
+from quinceslip.coordination.shard.state import Attempt, Worker, fits
 
 log = logging.getLogger(__name__)
 
--- a/quinceslip/coordination/inventory.py
+++ b/quinceslip/coordination/autoscaling/inventory.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from quinceslip.coordination.context import SECOND, Context, TxnDone, micros
-from quinceslip.coordination.effects import NOT_SENT, Urgency
-from quinceslip.coordination.ownership import Ownership
-from quinceslip.coordination.shard import Shard
+from quinceslip.coordination.actor.context import SECOND, Context, TxnDone, micros
+from quinceslip.coordination.actor.effects import NOT_SENT, Urgency
+from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.shard.shard import Shard
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 
--- a/quinceslip/coordination/hiring.py
+++ b/quinceslip/coordination/autoscaling/scale_out.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-from quinceslip.coordination.context import SECOND, Context
-from quinceslip.coordination.effects import Urgency
-from quinceslip.coordination.ownership import Ownership
-from quinceslip.coordination.shard import Shard
+from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.actor.effects import Urgency
+from quinceslip.coordination.autoscaling.capacity import Supply
+from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.shard.shard import Shard
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
-from quinceslip.supply.knowledge import Supply
 
 log = logging.getLogger(__name__)
 
--- a/quinceslip/coordination/node.py
+++ b/quinceslip/coordination/controller/controller.py
@@ -3,9 +3,8 @@
 import logging
 from collections.abc import Iterable, Sequence
 
-from quinceslip.coordination.balancing import Balancer
-from quinceslip.coordination.context import SECOND, Context
-from quinceslip.coordination.effects import (
+from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.actor.effects import (
     Answer,
     Asked,
     Effect,
@@ -19,17 +18,18 @@
     ViewChanges,
     ViewReset,
 )
-from quinceslip.coordination.ownership import Ownership
-from quinceslip.coordination.provision import Provisioner
-from quinceslip.coordination.reach import Reach
-from quinceslip.coordination.shard import Shard
-from quinceslip.coordination.subsystem import Maker
-from quinceslip.coordination.users import Users
-from quinceslip.pipelines.spreading import Spreader
+from quinceslip.coordination.actor.subsystem import Maker
+from quinceslip.coordination.autoscaling.autoscaler import Provisioner
+from quinceslip.coordination.controller.user_requests import Users
+from quinceslip.coordination.leadership.connectivity import Reach
+from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.load_balancing.load_balancer import Balancer
+from quinceslip.coordination.shard.shard import Shard
+from quinceslip.dependencies.cancellation import Spreader
+from quinceslip.feature_gate.gate import Rollout
 from quinceslip.protocol import frames
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import Settings, Tuning
-from quinceslip.rollout.gate import Rollout
 from quinceslip.storage import records
 
 log = logging.getLogger(__name__)
--- a/quinceslip/coordination/users.py
+++ b/quinceslip/coordination/controller/user_requests.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-from quinceslip.coordination.balancing import Balancer
-from quinceslip.coordination.context import SECOND, Context
-from quinceslip.coordination.effects import Urgency, UserRequest
-from quinceslip.coordination.shard import Shard
-from quinceslip.coordination.subsystem import Subsystem
+from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.actor.effects import Urgency, UserRequest
+from quinceslip.coordination.actor.subsystem import Subsystem
+from quinceslip.coordination.load_balancing.load_balancer import Balancer
+from quinceslip.coordination.shard.shard import Shard
+from quinceslip.feature_gate import PIPELINES
 from quinceslip.protocol import messages as m
-from quinceslip.rollout import PIPELINES
-from quinceslip.storage import records, tasksets
+from quinceslip.storage import records, task_sets
 
 log = logging.getLogger(__name__)
 
@@ -135,7 +135,7 @@
             self._unavailable(request)
             return
         spec = m.waiting_on(spec, list(dict.fromkeys(spec.waits_on)))
-        everything = tasksets.encode(set(range(spec.tasks)))
+        everything = task_sets.encode(set(range(spec.tasks)))
         last = ctx.settings.facts.size - 1  # of the shards, the longest to write
         job = records.JobRecord(m.QUEUED, spec.tasks, spec, last, records.Chunk(everything), ctx.wall_us)
         why = self._never_runs(spec) if ctx.fits(job) else "its description is larger than a record may be"
--- /dev/null
+++ b/quinceslip/coordination/jobs/__init__.py
@@ -0,0 +1,1 @@
+"""Job state against the records in the key-value store."""
--- a/quinceslip/coordination/recording.py
+++ b/quinceslip/coordination/jobs/persistence.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from quinceslip.coordination.context import SECOND, micros
-from quinceslip.coordination.effects import NOT_SENT, Urgency
-from quinceslip.coordination.state import Attempt, Chunk, ShardState
-from quinceslip.mistakes.trial import Trial
+from quinceslip.coordination.actor.context import SECOND, micros
+from quinceslip.coordination.actor.effects import NOT_SENT, Urgency
+from quinceslip.coordination.shard.state import Attempt, Chunk, ShardState
+from quinceslip.crash_loops.detector import Trial
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import Objective
-from quinceslip.storage import records, tasksets
+from quinceslip.storage import records, task_sets
 
 log = logging.getLogger(__name__)
 
@@ -70,7 +70,7 @@
                                               trial=Trial(self.ctx.tuning.suspect_mistakes))
             if not inherited:
                 self.arrived += 1
-        own, done = tasksets.decode(record.own), tasksets.decode(record.done)
+        own, done = task_sets.decode(record.own), task_sets.decode(record.done)
         fresh = own - chunk.own - done
         removed, more_done = chunk.own - own, done - chunk.done
         chunk.own, chunk.done, chunk.zones = own, done, set(record.zones)
@@ -197,7 +197,7 @@
                     Urgency.USER if whole else Urgency.RESULT)
 
     def _value(self, chunk: Chunk, job: records.JobRecord, done: set[int]) -> records.JobRecord | records.Chunk:
-        record = records.Chunk(tasksets.encode(chunk.own), tasksets.encode(done), sorted(chunk.zones))
+        record = records.Chunk(task_sets.encode(chunk.own), task_sets.encode(done), sorted(chunk.zones))
         return msgspec.structs.replace(job, chunk=record) if job.shard == self.state.index else record
 
     def _fitting(self, chunk: Chunk, job: records.JobRecord) -> records.JobRecord | records.Chunk | None:
@@ -296,12 +296,12 @@
             return
         moved = set(indices)
         stay, go = split or (chunk.zones, chunk.zones)
-        mine = records.Chunk(tasksets.encode(chunk.own - moved), tasksets.encode(chunk.done | chunk.new_done),
+        mine = records.Chunk(task_sets.encode(chunk.own - moved), task_sets.encode(chunk.done | chunk.new_done),
                              sorted(stay))
         theirs = view.chunk(target, uid) or records.Chunk("")
         if theirs.own and theirs.zones and go:
             go = go | set(theirs.zones)
-        theirs = records.Chunk(tasksets.encode(tasksets.decode(theirs.own) | moved), theirs.done, sorted(go))
+        theirs = records.Chunk(task_sets.encode(task_sets.decode(theirs.own) | moved), theirs.done, sorted(go))
         chunks = {state.index: mine, target: theirs}
         parts = sorted({*job.parts, *(s for s in chunks if s != job.shard)})
         record = msgspec.structs.replace(job, parts=parts, chunk=chunks.get(job.shard, job.chunk))
--- /dev/null
+++ b/quinceslip/coordination/leadership/__init__.py
@@ -0,0 +1,1 @@
+"""Who leads which shard, and whether the leader still reaches its workers."""
--- a/quinceslip/coordination/reach.py
+++ b/quinceslip/coordination/leadership/connectivity.py
@@ -15,9 +15,9 @@
 import logging
 from collections.abc import Iterable
 
-from quinceslip.coordination.context import REPORT_WAIT_US, SECOND, Context
-from quinceslip.coordination.effects import Urgency
-from quinceslip.coordination.state import Worker
+from quinceslip.coordination.actor.context import REPORT_WAIT_US, SECOND, Context
+from quinceslip.coordination.actor.effects import Urgency
+from quinceslip.coordination.shard.state import Worker
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 
--- a/quinceslip/coordination/ownership.py
+++ b/quinceslip/coordination/leadership/election.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from quinceslip.coordination.context import SECOND, Context
-from quinceslip.coordination.effects import NOT_SENT, Urgency
+from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.actor.effects import NOT_SENT, Urgency
 from quinceslip.protocol import messages
 from quinceslip.storage import records
 
--- a/quinceslip/coordination/balancing.py
+++ b/quinceslip/coordination/load_balancing/load_balancer.py
@@ -4,11 +4,11 @@
 import math
 from dataclasses import dataclass
 
-from quinceslip.coordination import balance
-from quinceslip.coordination.context import SECOND, Context, micros
-from quinceslip.coordination.ownership import Ownership
-from quinceslip.coordination.shard import Shard
-from quinceslip.coordination.state import Chunk
+from quinceslip.coordination.actor.context import SECOND, Context, micros
+from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.load_balancing import queueing_model
+from quinceslip.coordination.shard.shard import Shard
+from quinceslip.coordination.shard.state import Chunk
 from quinceslip.protocol import frames
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
@@ -92,9 +92,9 @@
 
     # Balance.
 
-    def _stations(self) -> tuple[dict[int, balance.Station], dict[int, int], dict[int, int]]:
+    def _stations(self) -> tuple[dict[int, queueing_model.Station], dict[int, int], dict[int, int]]:
         """Stations, waiting tasks and free slots of every shard, from peers where they are fresh."""
-        stations: dict[int, balance.Station] = {}
+        stations: dict[int, queueing_model.Station] = {}
         waiting: dict[int, int] = {}
         room: dict[int, int] = {}
         for name, record in self.ctx.view.by_kind["load"].items():
@@ -105,19 +105,19 @@
                 room[load.shard] = load.room
         for shard in self.shards.values():
             slots, rate = shard.station()
-            stations[shard.index] = balance.Station(slots, rate)
+            stations[shard.index] = queueing_model.Station(slots, rate)
             waiting[shard.index] = shard.waiting()
             room[shard.index] = shard.room()
         return stations, waiting, room
 
-    def _told(self, shard: int, load: records.LoadRecord | frames.ShardLoad, stations: dict[int, balance.Station],
+    def _told(self, shard: int, load: records.LoadRecord | frames.ShardLoad, stations: dict[int, queueing_model.Station],
               waiting: dict[int, int]) -> bool:
         """Take what was told of a shard's load; what nobody can have measured counts as a shard without machines."""
-        station = balance.Station(load.slots, load.rate)
+        station = queueing_model.Station(load.slots, load.rate)
         if not 0 <= shard < self.ownership.size:
             return False
-        good = load.slots == 0 or balance.credible(station)
-        stations[shard] = station if good else balance.NOTHING
+        good = load.slots == 0 or queueing_model.credible(station)
+        stations[shard] = station if good else queueing_model.NOTHING
         waiting[shard] = max(0, load.waiting) if good else 0
         return good
 
@@ -157,9 +157,9 @@
             self.levels = {i: s.slots for i, s in stations.items()}
             return
         self.ctx.part = "levels"
-        total = sum(r.arrivals for r in self.ctx.view.by_kind["load"].values() if balance.credible_rate(r.arrivals))
+        total = sum(r.arrivals for r in self.ctx.view.by_kind["load"].values() if queueing_model.credible_rate(r.arrivals))
         order = sorted(stations)
-        levels = balance.fair_levels([stations[i] for i in order], total)
+        levels = queueing_model.fair_levels([stations[i] for i in order], total)
         self.levels = dict(zip(order, levels, strict=True))
         log.debug("arrivals %.2f/s, levels %s", total, self.levels)
 
@@ -171,7 +171,7 @@
             return None
         stations = {s: st for s, st in stations.items() if s in owned}
         home = self.ownership.home if self.ownership.home in owned else min(owned)
-        chosen = balance.choose_shard(home, stations, waiting, self.levels)
+        chosen = queueing_model.choose_shard(home, stations, waiting, self.levels)
         return chosen if chosen in owned else home
 
     def arrives(self, shard: Shard, chunk: Chunk) -> None:
@@ -183,7 +183,7 @@
         stations, waiting, _ = self._stations()
         waiting[shard.index] -= len(indices)
         owned = {s: st for s, st in stations.items() if self.ownership.owner(s)}
-        chosen = balance.choose_shard(shard.index, owned, waiting, self.levels)
+        chosen = queueing_model.choose_shard(shard.index, owned, waiting, self.levels)
         if chosen != shard.index and chosen in owned:
             shard.recorder.move(chunk, indices, chosen)
 
--- a/quinceslip/coordination/commands.py
+++ b/quinceslip/coordination/reconciliation/commands.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from quinceslip.coordination.context import SECOND
-from quinceslip.coordination.effects import NOT_SENT
-from quinceslip.coordination.hearing import PROBES
-from quinceslip.coordination.recording import Recorder
-from quinceslip.coordination.state import Attempt, ShardState, Worker
+from quinceslip.coordination.actor.context import SECOND
+from quinceslip.coordination.actor.effects import NOT_SENT
+from quinceslip.coordination.jobs.persistence import Recorder
+from quinceslip.coordination.reconciliation.delivery import PROBES
+from quinceslip.coordination.shard.state import Attempt, ShardState, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 
--- a/quinceslip/coordination/custody.py
+++ b/quinceslip/coordination/reconciliation/reconciler.py
@@ -13,9 +13,9 @@
 
 import logging
 
-from quinceslip.coordination.context import REPORT_WAIT_US, SECOND, Context, micros
-from quinceslip.coordination.ownership import Ownership
-from quinceslip.coordination.state import Attempt, Chunk, ShardState, Worker
+from quinceslip.coordination.actor.context import REPORT_WAIT_US, SECOND, Context, micros
+from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.shard.state import Attempt, Chunk, ShardState, Worker
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
--- a/quinceslip/coordination/patience.py
+++ b/quinceslip/coordination/scheduling/ageing.py
@@ -14,8 +14,8 @@
 import logging
 from collections.abc import Iterable
 
-from quinceslip.coordination.context import SECOND, Context, micros
-from quinceslip.coordination.state import NOT, OLD, ONE, WHOLE, Chunk, Worker, fits
+from quinceslip.coordination.actor.context import SECOND, Context, micros
+from quinceslip.coordination.shard.state import NOT, OLD, ONE, WHOLE, Chunk, Worker, fits
 
 log = logging.getLogger(__name__)
 
--- a/quinceslip/coordination/usable.py
+++ b/quinceslip/coordination/scheduling/candidates.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from quinceslip.coordination.state import Worker
+from quinceslip.coordination.shard.state import Worker
 
 
 class Looks(Protocol):
--- a/quinceslip/coordination/placement.py
+++ b/quinceslip/coordination/scheduling/placement.py
@@ -9,12 +9,12 @@
 from collections import deque
 from collections.abc import Iterable
 
-from quinceslip.coordination.context import SECOND
-from quinceslip.coordination.patience import Patience
-from quinceslip.coordination.state import EPSILON, NOT, ONE, Attempt, Chunk, ShardState, Worker, fits
-from quinceslip.coordination.usable import Usable
+from quinceslip.coordination.actor.context import SECOND
+from quinceslip.coordination.scheduling.ageing import Patience
+from quinceslip.coordination.scheduling.candidates import Usable
+from quinceslip.coordination.shard.state import EPSILON, NOT, ONE, Attempt, Chunk, ShardState, Worker, fits
 from quinceslip.protocol import messages as m
-from quinceslip.storage import tasksets
+from quinceslip.storage import task_sets
 
 log = logging.getLogger(__name__)
 
@@ -70,7 +70,7 @@
         job = self.ctx.view.job(chunk.uid)
         others = [] if job is None or (not job.parts and job.shard == state.index) else [
             c for s, c in self.ctx.view.chunks(chunk.uid).items()
-            if s != state.index and tasksets.decode(c.own) - tasksets.decode(c.done)]
+            if s != state.index and task_sets.decode(c.own) - task_sets.decode(c.done)]
         # Where others hold a part of it, only disjoint zones keep both from meeting.
         apart = not spec.one_zone and chunk.zones and all(c.zones and not chunk.zones & set(c.zones) for c in others)
         if chunk.unknown or chunk.in_doubt or (others and not apart):
--- a/quinceslip/coordination/shard.py
+++ b/quinceslip/coordination/shard/shard.py
@@ -5,15 +5,15 @@
 
 import msgspec
 
-from quinceslip.coordination.commands import Commander
-from quinceslip.coordination.context import SECOND, Context
-from quinceslip.coordination.custody import Custody
-from quinceslip.coordination.effects import Urgency
-from quinceslip.coordination.foresight import foresee
-from quinceslip.coordination.ownership import Ownership
-from quinceslip.coordination.placement import Placement
-from quinceslip.coordination.recording import Recorder
-from quinceslip.coordination.state import Attempt, Chunk, Worker
+from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.actor.effects import Urgency
+from quinceslip.coordination.jobs.persistence import Recorder
+from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.reconciliation.commands import Commander
+from quinceslip.coordination.reconciliation.reconciler import Custody
+from quinceslip.coordination.scheduling.deadline_order import foresee
+from quinceslip.coordination.scheduling.placement import Placement
+from quinceslip.coordination.shard.state import Attempt, Chunk, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 
--- a/quinceslip/coordination/state.py
+++ b/quinceslip/coordination/shard/state.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from quinceslip.coordination.context import SECOND, Context
-from quinceslip.coordination.hearing import Hearing
-from quinceslip.coordination.ownership import Ownership
-from quinceslip.mistakes.trial import Trial
+from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.reconciliation.delivery import Hearing
+from quinceslip.crash_loops.detector import Trial
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
--- a/quinceslip/pipelines/spreading.py
+++ b/quinceslip/dependencies/cancellation.py
@@ -8,9 +8,9 @@
 
 from collections.abc import Callable
 
-from quinceslip.coordination.context import SECOND, Context
-from quinceslip.coordination.effects import Urgency
-from quinceslip.pipelines.graph import Graph
+from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.actor.effects import Urgency
+from quinceslip.dependencies.graph import Graph
 from quinceslip.protocol.messages import WITHDRAWN
 from quinceslip.storage import records
 
--- a/quinceslip/rollout/gate.py
+++ b/quinceslip/feature_gate/gate.py
@@ -17,10 +17,10 @@
 
 import logging
 
-from quinceslip.coordination.context import SECOND, Context, TxnDone
-from quinceslip.coordination.effects import Urgency
-from quinceslip.coordination.ownership import Ownership
-from quinceslip.rollout import CURRENT
+from quinceslip.coordination.actor.context import SECOND, Context, TxnDone
+from quinceslip.coordination.actor.effects import Urgency
+from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.feature_gate import CURRENT
 from quinceslip.storage import records
 
 log = logging.getLogger(__name__)
--- a/quinceslip/models/gap.py
+++ b/quinceslip/models/gap.py
@@ -21,11 +21,11 @@
 
 import msgspec
 
-from quinceslip.coordination.commands import Commander
-from quinceslip.coordination.context import SECOND, Timing
-from quinceslip.coordination.custody import Custody
-from quinceslip.coordination.ownership import Ownership
-from quinceslip.coordination.state import Attempt, Chunk, Worker
+from quinceslip.coordination.actor.context import SECOND, Timing
+from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.reconciliation.commands import Commander
+from quinceslip.coordination.reconciliation.reconciler import Custody
+from quinceslip.coordination.shard.state import Attempt, Chunk, Worker
 from quinceslip.models.takeover import SPEC, UID, Found
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import Settings
--- a/quinceslip/models/takeover.py
+++ b/quinceslip/models/takeover.py
@@ -23,11 +23,11 @@
 
 import msgspec
 
-from quinceslip.coordination.commands import Commander
-from quinceslip.coordination.custody import Custody
-from quinceslip.coordination.effects import UNKNOWN
-from quinceslip.coordination.hearing import IN_VAIN, PROBES
-from quinceslip.coordination.state import ALL_GUARDS, Attempt, Chunk, Worker
+from quinceslip.coordination.actor.effects import UNKNOWN
+from quinceslip.coordination.reconciliation.commands import Commander
+from quinceslip.coordination.reconciliation.delivery import IN_VAIN, PROBES
+from quinceslip.coordination.reconciliation.reconciler import Custody
+from quinceslip.coordination.shard.state import ALL_GUARDS, Attempt, Chunk, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.storage.records import JobRecord
 
--- a/quinceslip/quota/gate.py
+++ b/quinceslip/quota/admission.py
@@ -9,14 +9,14 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from quinceslip.coordination.context import SECOND
-from quinceslip.coordination.state import Attempt, Chunk, ShardState, Worker, fits
+from quinceslip.coordination.actor.context import SECOND
+from quinceslip.coordination.shard.state import Attempt, Chunk, ShardState, Worker, fits
 from quinceslip.protocol import messages as m
-from quinceslip.quota.meter import Kept
-from quinceslip.quota.purses import Purses
-from quinceslip.quota.rounds import Rounds
-from quinceslip.quota.search import Places, Search, stopped_first
+from quinceslip.quota.allocations import Purses
+from quinceslip.quota.fair_share_order import Rounds
+from quinceslip.quota.preemption import Places, Search, stopped_first
 from quinceslip.quota.tree import UNLIMITED, ZERO, Amounts, Tree, add, positive, task_amounts, times, within
+from quinceslip.quota.usage import Kept
 
 log = logging.getLogger(__name__)
 
--- a/quinceslip/quota/keeper.py
+++ b/quinceslip/quota/allocation_manager.py
@@ -13,17 +13,17 @@
 
 import msgspec
 
-from quinceslip.coordination.context import SECOND, Context
-from quinceslip.coordination.effects import NOT_SENT, Urgency
-from quinceslip.coordination.ownership import Ownership
-from quinceslip.coordination.shard import Shard
-from quinceslip.coordination.subsystem import Maker, Subsystem
+from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.actor.effects import NOT_SENT, Urgency
+from quinceslip.coordination.actor.subsystem import Maker, Subsystem
+from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.shard.shard import Shard
 from quinceslip.protocol import messages as m
-from quinceslip.quota import purses as keys
-from quinceslip.quota.gate import Claim, Gate
-from quinceslip.quota.grants import GrantRecord, Move, Purse
-from quinceslip.quota.purses import Purses, TreeRecord, Wanted, WantRecord
-from quinceslip.quota.show import page
+from quinceslip.quota import allocations as keys
+from quinceslip.quota.admission import Claim, Gate
+from quinceslip.quota.allocation import GrantRecord, Move, Purse
+from quinceslip.quota.allocations import Purses, TreeRecord, Wanted, WantRecord
+from quinceslip.quota.status_page import page
 from quinceslip.quota.tree import ZERO, Amounts, Tree, add, least, positive, shown, times
 
 log = logging.getLogger(__name__)
--- a/quinceslip/quota/purses.py
+++ b/quinceslip/quota/allocations.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from quinceslip.quota.grants import GrantRecord, Purse
+from quinceslip.quota.allocation import GrantRecord, Purse
 from quinceslip.quota.tree import Tree
 from quinceslip.storage import records
 
--- a/quinceslip/quota/bench.py
+++ b/quinceslip/quota/bench.py
@@ -11,15 +11,15 @@
 
 import msgspec
 
-from quinceslip.coordination.context import SECOND, Context
-from quinceslip.coordination.placement import Placement
-from quinceslip.coordination.state import Attempt, Chunk, ShardState, Worker
+from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.scheduling.placement import Placement
+from quinceslip.coordination.shard.state import Attempt, Chunk, ShardState, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import Settings, Tuning
-from quinceslip.quota.gate import Gate
-from quinceslip.quota.grants import GrantRecord
-from quinceslip.quota.keeper import Quotas
-from quinceslip.quota.purses import CAP, GRANT, OWN, Purses, grant_name
+from quinceslip.quota.admission import Gate
+from quinceslip.quota.allocation import GrantRecord
+from quinceslip.quota.allocation_manager import Quotas
+from quinceslip.quota.allocations import CAP, GRANT, OWN, Purses, grant_name
 from quinceslip.quota.tree import UNLIMITED, Amounts, Level, Tree
 from quinceslip.storage import records
 
--- a/quinceslip/quota/commands.py
+++ b/quinceslip/quota/commands.py
@@ -11,12 +11,12 @@
 import msgspec
 
 from quinceslip.protocol.settings import SettingsError, Team, load_settings, read_operator_file, split_address
+from quinceslip.quota.allocation import GUARDS
 from quinceslip.quota.bench import Cost, measure
 from quinceslip.quota.config import SECTION, load_tree
-from quinceslip.quota.grants import GUARDS
 from quinceslip.quota.model import STEPS, explore
 from quinceslip.quota.plots import record
-from quinceslip.quota.show import table
+from quinceslip.quota.status_page import table
 
 TIMEOUT_S = 5.0
 #: passes measured with and without a tree, in turn
--- a/quinceslip/quota/rounds.py
+++ b/quinceslip/quota/fair_share_order.py
@@ -4,10 +4,9 @@
 from collections.abc import Iterable, Iterator, Sequence
 from itertools import groupby, islice
 
-from quinceslip.coordination.state import Chunk, ShardState, Worker
-from quinceslip.quota.fair import divide
-from quinceslip.quota.meter import Meter
-from quinceslip.quota.purses import Purses
+from quinceslip.coordination.shard.state import Chunk, ShardState, Worker
+from quinceslip.quota.allocations import Purses
+from quinceslip.quota.max_min import divide
 from quinceslip.quota.tree import (
     KINDS,
     UNLIMITED,
@@ -21,6 +20,7 @@
     times,
     within,
 )
+from quinceslip.quota.usage import Meter
 
 #: shares are compared in parts of what a parent has
 ONE = 1 << 30
--- a/quinceslip/quota/model.py
+++ b/quinceslip/quota/model.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from quinceslip.quota.grants import ALL_GUARDS, GrantRecord, Move, Purse, may_start
+from quinceslip.quota.allocation import ALL_GUARDS, GrantRecord, Move, Purse, may_start
 from quinceslip.quota.tree import UNLIMITED, Amounts
 
 KEY = "purse"
--- a/quinceslip/quota/plots.py
+++ b/quinceslip/quota/plots.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from quinceslip import drawing
+from quinceslip import plotting
 from quinceslip.protocol.settings import SettingsError
 from quinceslip.quota.tree import RESOURCES
 
@@ -72,7 +72,7 @@
     names = [level["level"] for level in samples[-1]["levels"]]
     times = [sample["at_s"] for sample in samples]
     by_name = [{level["level"]: level for level in sample["levels"]} for sample in samples]
-    figure, axes = drawing.rows(len(names), 9)
+    figure, axes = plotting.rows(len(names), 9)
     for axis, name in zip(axes, names, strict=True):
         def series(key: str, name: str = name) -> list[float]:
             return [found.get(name, {}).get(key, {}).get(resource, 0.0) for found in by_name]
@@ -89,7 +89,7 @@
         axis.set_ylim(bottom=0)
     axes[0].legend(loc="upper right", fontsize=7)
     axes[-1].set_xlabel("seconds")
-    return drawing.page(figure, "quotas", "Quotas", f"{resource} of each level, {len(samples)} samples")
+    return plotting.page(figure, "quotas", "Quotas", f"{resource} of each level, {len(samples)} samples")
 
 
 def write_page(samples_path: Path, target: Path, resource: str) -> str:
--- a/quinceslip/quota/search.py
+++ b/quinceslip/quota/preemption.py
@@ -3,12 +3,12 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from quinceslip.coordination.state import EPSILON, Attempt, Worker
+from quinceslip.coordination.shard.state import EPSILON, Attempt, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.quota.tree import ZERO, Amounts, add, within
 
 if TYPE_CHECKING:
-    from quinceslip.quota.gate import Gate
+    from quinceslip.quota.admission import Gate
 
 
 class Search:
--- a/quinceslip/quota/show.py
+++ b/quinceslip/quota/status_page.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from quinceslip.quota.gate import Gate
-from quinceslip.quota.purses import Purses
+from quinceslip.quota.admission import Gate
+from quinceslip.quota.allocations import Purses
 from quinceslip.quota.tree import RESOURCES, ZERO, Amounts, Tree, add, positive, shown
 
 #: levels in one answer, so that its line stays under 64 KiB (PROTOCOL)
--- a/quinceslip/quota/meter.py
+++ b/quinceslip/quota/usage.py
@@ -3,10 +3,10 @@
 from collections.abc import Container, Iterable
 from dataclasses import dataclass, field
 
-from quinceslip.coordination.state import Attempt, ShardState, Worker
+from quinceslip.coordination.shard.state import Attempt, ShardState, Worker
 from quinceslip.protocol import messages as m
-from quinceslip.quota.grants import may_start
-from quinceslip.quota.purses import Purses
+from quinceslip.quota.allocation import may_start
+from quinceslip.quota.allocations import Purses
 from quinceslip.quota.tree import UNLIMITED, ZERO, Amounts, Tree, add, positive, task_amounts
 
 
--- a/quinceslip/service.py
+++ b/quinceslip/service.py
@@ -4,10 +4,10 @@
 import threading
 from collections.abc import Sequence
 
-from quinceslip.coordination.context import SECOND, Timing
-from quinceslip.coordination.effects import Call, Effect, PeerSaid, Reply
-from quinceslip.coordination.node import Node
-from quinceslip.coordination.subsystem import Maker
+from quinceslip.coordination.actor.context import SECOND, Timing
+from quinceslip.coordination.actor.effects import Call, Effect, PeerSaid, Reply
+from quinceslip.coordination.actor.subsystem import Maker
+from quinceslip.coordination.controller.controller import Node
 from quinceslip.protocol.settings import Settings, Tuning, split_address
 from quinceslip.storage.watch import Watch
 from quinceslip.transport.actor import ActorThread
--- a/quinceslip/storage/records.py
+++ b/quinceslip/storage/records.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from quinceslip.protocol.messages import DONE, QUEUED, WITHDRAWN, Event, Item, JobSpec, MachineType
-from quinceslip.storage import tasksets
+from quinceslip.storage import task_sets
 
 log = logging.getLogger(__name__)
 
@@ -300,4 +300,4 @@
 
 
 def done_count(view: View, uid: str) -> int:
-    return sum(len(tasksets.decode(chunk.done)) for chunk in view.chunks(uid).values())
+    return sum(len(task_sets.decode(chunk.done)) for chunk in view.chunks(uid).values())
--- a/quinceslip/storage/watch.py
+++ b/quinceslip/storage/watch.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from quinceslip.coordination.effects import ViewChanges, ViewReset
+from quinceslip.coordination.actor.effects import ViewChanges, ViewReset
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import split_address
 from quinceslip.storage.records import PREFIX
--- a/quinceslip/subsystems.py
+++ b/quinceslip/subsystems.py
@@ -2,7 +2,7 @@
 
 import configparser
 
-from quinceslip.coordination.subsystem import Maker
+from quinceslip.coordination.actor.subsystem import Maker
 from quinceslip.protocol.settings import Settings
 
 
@@ -16,8 +16,8 @@
     teams = settings.facts.teams
     if any(s.split(" ")[0] == "quota" for s in operators.sections()) or any(
             t.cpus or t.cpus_max or t.gpus or t.gpus_max for t in teams) or (fair_teams and len(teams) > 1):
+        from quinceslip.quota.allocation_manager import attach
         from quinceslip.quota.config import load_tree
-        from quinceslip.quota.keeper import attach
 
         tree = load_tree(operators, teams, source, fair_teams)
         if tree is not None:
--- a/quinceslip/transport/actor.py
+++ b/quinceslip/transport/actor.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from quinceslip.coordination.effects import Effect, Settle, Tick
+from quinceslip.coordination.actor.effects import Effect, Settle, Tick
 from quinceslip.transport.clock import steady_us
 
 log = logging.getLogger(__name__)
--- a/quinceslip/transport/clients.py
+++ b/quinceslip/transport/clients.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from quinceslip.coordination.effects import NOT_SENT, UNKNOWN, Answer, Call
+from quinceslip.coordination.actor.effects import NOT_SENT, UNKNOWN, Answer, Call
 from quinceslip.protocol.settings import split_address
 from quinceslip.transport.clock import steady_us
 from quinceslip.transport.headers import HeaderError, read_headers
--- a/quinceslip/transport/http_server.py
+++ b/quinceslip/transport/http_server.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from quinceslip.coordination.effects import Asked, Reply, Reported, UserRequest
+from quinceslip.coordination.actor.effects import Asked, Reply, Reported, UserRequest
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import split_address
 from quinceslip.transport.clock import steady_us
--- a/quinceslip/transport/watchdog.py
+++ b/quinceslip/transport/watchdog.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
+from quinceslip.liveness import stall_records
+from quinceslip.liveness.stall_detector import Judge, Look
 from quinceslip.protocol import messages as m
-from quinceslip.standstill import notes
-from quinceslip.standstill.judge import Judge, Look
 from quinceslip.storage.records import StandstillRecord
 from quinceslip.transport.clients import Connection, exchange
 from quinceslip.transport.clock import steady_us, wall_us
@@ -103,18 +103,18 @@
         """Note this end; microseconds to wait where the last one was too short a while ago, or can't be known."""
         connection = Connection(*self.state)
         now_us = wall_us()
-        path, key = f"{m.PATH_KV}/{notes.key(self.label)}", notes.key(self.label)
+        path, key = f"{m.PATH_KV}/{stall_records.key(self.label)}", stall_records.key(self.label)
         try:
             status, body = exchange(connection, "GET", path, None, NOTE_S)
             if status not in (200, 404):
                 return self._wait_without_note()
             item = msgspec.json.decode(body, type=m.Item) if status == 200 else None
             note = msgspec.json.decode(item.value, type=StandstillRecord) if item is not None else None
-            wait_us = notes.next_end_us(note, self.lease_us) - now_us
+            wait_us = stall_records.next_end_us(note, self.lease_us) - now_us
             if wait_us > 0:
                 return wait_us
             # Of two lives of one controller the later one's note stays, however late the other's is written.
-            record = notes.following(note, part, now_us, self.lease_us)
+            record = stall_records.following(note, part, now_us, self.lease_us)
             status, _ = exchange(connection, "POST", m.PATH_TXN, m.txn_request(
                 {key: item.stamp if item is not None else 0}, {key: (record, None)}, []), NOTE_S)
             return 0 if status == 200 else self._wait_without_note()
@@ -125,4 +125,4 @@
 
     def _wait_without_note(self) -> int:
         """Without one, the time since the start alone bounds how often."""
-        return notes.pause_us(1, self.lease_us) - (steady_us() - self.started_us)
+        return stall_records.pause_us(1, self.lease_us) - (steady_us() - self.started_us)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -150,14 +150,14 @@
 NEVER_SOLVED = """
 import os, sys, threading
 sys.path[:0] = [{root!r}, {deps!r}]
-from quinceslip.coordination import balance
-solved = balance.fair_levels
+from quinceslip.coordination.load_balancing import queueing_model
+solved = queueing_model.fair_levels
 def fair_levels(stations, total):
     while os.path.exists({mark!r}):
         if os.path.getsize({mark!r}):
             threading.Event().wait()
     return solved(stations, total)
-balance.fair_levels = fair_levels
+queueing_model.fair_levels = fair_levels
 from quinceslip.cli import main
 sys.exit(main(sys.argv[1:]))
 """
--- a/tests/test_golden_samples.py
+++ b/tests/test_golden_samples.py
@@ -28,16 +28,16 @@
 
 # Adapter: the names of the program. A rename edits this block and nothing else.
 from quinceslip.cli import main as command_line
+from quinceslip.liveness import stall_records
 from quinceslip.protocol import frames
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import SettingsError, load_settings, load_tuning, read_operator_file
-from quinceslip.quota import purses
+from quinceslip.quota import allocations
+from quinceslip.quota.allocation_manager import Quotas
 from quinceslip.quota.commands import lines as quota_table
 from quinceslip.quota.config import load_tree
-from quinceslip.quota.keeper import Quotas
-from quinceslip.quota.show import page as quota_page
-from quinceslip.standstill import notes
-from quinceslip.storage import records, tasksets
+from quinceslip.quota.status_page import page as quota_page
+from quinceslip.storage import records, task_sets
 
 SAMPLES = Path(__file__).resolve().parent / "samples" / "golden"
 ROOT = Path(__file__).resolve().parents[1]
@@ -65,7 +65,7 @@
 def following_note(previous: Any, part: str, wall_us: int, lease_us: int) -> Any:
     """The standstill record that is written after `previous`."""
     note = None if previous is None else msgspec.convert(previous, RECORD_TYPES["standstill"])
-    return notes.following(note, part, wall_us, lease_us)
+    return stall_records.following(note, part, wall_us, lease_us)
 
 
 #: functions that make messages, records, keys and paths; called with the arguments of a sample, in order
@@ -81,15 +81,15 @@
     "job waiting on": lambda job, uids: m.waiting_on(as_job(job), uids),
     "final record": lambda job, *rest: records.final_record(msgspec.convert(job, RECORD_TYPES["job"]), *rest),
     "following standstill": following_note,
-    "task set": lambda numbers: tasksets.encode(set(numbers)),
-    "task set read": lambda text: sorted(tasksets.decode(text)),
+    "task set": lambda numbers: task_sets.encode(set(numbers)),
+    "task set read": lambda text: sorted(task_sets.decode(text)),
     "key of shard": records.shard_key, "key of job": records.job_key, "key of part": records.part_key,
     "key of roster": records.roster_key, "key of hire": records.hire_key, "key of stray": records.stray_key,
-    "key of supports": records.supports_key, "key of load": records.load_key, "key of standstill": notes.key,
-    "key of want": purses.want_key, "name of grant": purses.grant_name,
+    "key of supports": records.supports_key, "key of load": records.load_key, "key of standstill": stall_records.key,
+    "key of want": allocations.want_key, "name of grant": allocations.grant_name,
     "kind and name of key": records.View.split,
     "other keys": lambda: [records.PREFIX, records.TERM, records.TYPES, records.ROLLOUT, records.NOTHING,
-                           purses.TREE_KEY],
+                           allocations.TREE_KEY],
     "paths": lambda: [m.PATH_JOBS, m.PATH_READY, m.PATH_REPORT, m.PATH_INSPECT, m.PATH_DO, m.PATH_FLAVORS, m.PATH_HOSTS,
                       m.PATH_HOSTS_DELETE, m.PATH_TXN, m.PATH_HOLDS, m.PATH_KV, m.CANCEL_END, *Quotas.questions],
     "words": lambda: [m.QUEUED, m.RUNNING, m.DONE, m.WITHDRAWN, m.PULLING, m.FLUSHING, m.EXITED, m.CAUSE_DONE,
@@ -140,9 +140,9 @@
     view = records.View()
     view.know(Quotas.kinds)
     grant = {"version": 1, "total": [9000, 0, 0, 0], "parts": {"0": [4000, 0, 0, 0], "2": [6000, 0, 0, 0]}}
-    view.put(f"{records.PREFIX}{purses.GRANT}/{purses.grant_name('guild', purses.CAP)}",
-             msgspec.convert(grant, RECORD_TYPES[purses.GRANT]), 5)
-    page = quota_page(tree, purses.Purses(tree, view), {}, "", "")
+    view.put(f"{records.PREFIX}{allocations.GRANT}/{allocations.grant_name('guild', allocations.CAP)}",
+             msgspec.convert(grant, RECORD_TYPES[allocations.GRANT]), 5)
+    page = quota_page(tree, allocations.Purses(tree, view), {}, "", "")
     return {"digest": tree.digest, "page": encoded(page), "table": list(quota_table(page, False))}
 
 
--- a/tests/test_hearing.py
+++ b/tests/test_hearing.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quinceslip.coordination.hearing import IN_VAIN, Hearing
+from quinceslip.coordination.reconciliation.delivery import IN_VAIN, Hearing
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 from tests.test_scenarios import Runner
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -10,7 +10,7 @@
 from hypothesis import assume, given, settings
 from hypothesis import strategies as st
 
-from quinceslip.coordination.balance import (
+from quinceslip.coordination.load_balancing.queueing_model import (
     HALVINGS,
     MOST_TERMS,
     NARROWINGS,
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quinceslip.pipelines.graph import Graph, Urgency
+from quinceslip.dependencies.graph import Graph, Urgency
 from quinceslip.protocol import messages as m
 from quinceslip.storage.records import Chunk, JobRecord, final_record
 from tests.test_random_days import days
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -13,7 +13,7 @@
 
 from quinceslip.protocol import frames
 from quinceslip.protocol import messages as m
-from quinceslip.quota.keeper import Quotas
+from quinceslip.quota.allocation_manager import Quotas
 from quinceslip.storage.records import KINDS, Chunk, JobRecord, View, final_record
 from tests.world import job_spec
 
--- a/tests/test_quota_properties.py
+++ b/tests/test_quota_properties.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from quinceslip.quota.bench import Bed
-from quinceslip.quota.fair import divide, fill
+from quinceslip.quota.max_min import divide, fill
 from quinceslip.quota.tree import UNLIMITED, Level, Tree
 
 REST = (UNLIMITED, UNLIMITED, UNLIMITED)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -25,10 +25,12 @@
 import msgspec
 import pytest
 
-from quinceslip.bench import supply
+from quinceslip.bench import capacity
 from quinceslip.bench.fleet import measure
 from quinceslip.bench.plots import write_page
-from quinceslip.coordination.balance import (
+from quinceslip.coordination.actor.effects import Answer, Call, PeerSaid, Tick, Urgency, ViewChanges, ViewReset
+from quinceslip.coordination.controller.controller import Node
+from quinceslip.coordination.load_balancing.queueing_model import (
     Station,
     choose_shard,
     credible,
@@ -39,10 +41,11 @@
     shares,
     wait_probability,
 )
-from quinceslip.coordination.effects import Answer, Call, PeerSaid, Tick, Urgency, ViewChanges, ViewReset
-from quinceslip.coordination.foresight import foresee
-from quinceslip.coordination.node import Node
-from quinceslip.coordination.state import Chunk
+from quinceslip.coordination.scheduling.deadline_order import foresee
+from quinceslip.coordination.shard.state import Chunk
+from quinceslip.feature_gate import PIPELINES
+from quinceslip.liveness import stall_records
+from quinceslip.liveness.stall_detector import Judge, Look
 from quinceslip.models.gap import explore as gap
 from quinceslip.models.takeover import explore as takeover
 from quinceslip.models.takeover import read_steps
@@ -51,10 +54,7 @@
 from quinceslip.protocol.settings import SettingsError, Tuning
 from quinceslip.quota.model import explore
 from quinceslip.quota.plots import merged
-from quinceslip.rollout import PIPELINES
-from quinceslip.standstill import notes
-from quinceslip.standstill.judge import Judge, Look
-from quinceslip.storage import tasksets
+from quinceslip.storage import task_sets
 from quinceslip.storage.records import JobRecord, StandstillRecord, View
 from quinceslip.transport.actor import ActorThread
 from quinceslip.transport.clients import Budget, Pool
@@ -996,12 +996,12 @@
         assert choose_shard(int(plain[0]), stations, waiting, levels) == named["shard"]
 
     def do_set(self, plain: list[str], named: dict[str, Any]) -> None:
-        numbers = tasksets.decode(plain[0])
+        numbers = task_sets.decode(plain[0])
         assert len(numbers) == named["size"]
-        assert tasksets.decode(tasksets.encode(numbers)) == numbers
+        assert task_sets.decode(task_sets.encode(numbers)) == numbers
         odd = set(range(1, 100_000, 2))
-        assert tasksets.decode(tasksets.encode(odd)) == odd
-        assert len(tasksets.encode(odd)) < 16_000
+        assert task_sets.decode(task_sets.encode(odd)) == odd
+        assert len(task_sets.encode(odd)) < 16_000
 
     def do_foresee(self, plain: list[str], named: dict[str, Any]) -> None:
         """foresee CPUS_PER_S NAME:tasks:estimate:due,... late=NAME,...: jobs of 2 CPUs that are put back"""
@@ -1074,18 +1074,18 @@
         """standstills_in HOURS lease=S back=S ends=N: a process that stands still at once, each time it is started"""
         lease_us, now_us, ends = int(named["lease"] * US), 0, 0
         note: StandstillRecord | None = None
-        while (now_us := max(now_us + int(named["back"] * US), notes.next_end_us(note, lease_us))) < \
+        while (now_us := max(now_us + int(named["back"] * US), stall_records.next_end_us(note, lease_us))) < \
                 float(plain[0]) * 3600 * US:
-            note, ends = notes.following(note, "levels", now_us, lease_us), ends + 1
-            assert notes.rests(note, "levels", now_us + lease_us, lease_us)
-            assert not notes.rests(note, "moves", now_us, lease_us)
+            note, ends = stall_records.following(note, "levels", now_us, lease_us), ends + 1
+            assert stall_records.rests(note, "levels", now_us + lease_us, lease_us)
+            assert not stall_records.rests(note, "moves", now_us, lease_us)
             for part in ("moves", "rights", "machines", "Tick"):
                 other = StandstillRecord(part, 1, now_us)
-                assert notes.rests(other, part, now_us, lease_us) == (part == "moves")
+                assert stall_records.rests(other, part, now_us, lease_us) == (part == "moves")
         assert ends <= named["ends"], ends
         assert note is not None and note.times == ends
-        later_us = now_us + 3 * notes.pause_us(ends, lease_us)
-        assert notes.following(note, "levels", later_us, lease_us).times == 1  # long ago: it starts anew
+        later_us = now_us + 3 * stall_records.pause_us(ends, lease_us)
+        assert stall_records.following(note, "levels", later_us, lease_us).times == 1  # long ago: it starts anew
 
     def do_loopback_standstill(self, plain: list[str], named: dict[str, Any]) -> None:
         standstill()
@@ -1144,14 +1144,14 @@
     def do_supply(self, plain: list[str], named: dict[str, Any]) -> None:
         """supply N ... vain=TIMES found=S: requests in vain against those of one alone; most seconds to find room"""
         counts = [1, *map(int, plain)]
-        runs = [supply.measure(count, True, 4, 600.0, 1, 8.0) for count in counts]
+        runs = [capacity.measure(count, True, 4, 600.0, 1, 8.0) for count in counts]
         assert all(run["vain_a_minute"] <= named["vain"] * runs[0]["vain_a_minute"] for run in runs), runs
         assert all(run["found_s"]["p95"] <= named["found"] for run in runs), runs
-        alone = [supply.measure(count, False, 4, 600.0, 1, 8.0) for count in counts]
+        alone = [capacity.measure(count, False, 4, 600.0, 1, 8.0) for count in counts]
         assert alone[-1]["vain_a_minute"] > 5 * runs[-1]["vain_a_minute"], (alone, runs)
         with tempfile.TemporaryDirectory() as folder:
             target = Path(folder) / "page.html"
-            assert supply.write_page(runs + alone, target) == f"{target}: {len(runs + alone)} runs"
+            assert capacity.write_page(runs + alone, target) == f"{target}: {len(runs + alone)} runs"
             assert "seconds until room" in target.read_text(encoding="utf-8")
 
     def do_fleet_work(self, plain: list[str], named: dict[str, Any]) -> None:
--- a/tests/test_supply_properties.py
+++ b/tests/test_supply_properties.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quinceslip.coordination.context import SECOND
+from quinceslip.coordination.actor.context import SECOND
+from quinceslip.coordination.autoscaling.capacity import LEAST_REST_US, MOST_REST_US, TURN_US, Kind, Supply
 from quinceslip.protocol import frames
-from quinceslip.supply.knowledge import LEAST_REST_US, MOST_REST_US, TURN_US, Kind, Supply
 
 many = settings(max_examples=100, deadline=None, database=None, derandomize=True)
 KINDS: list[Kind] = [("mid", zone, spot) for zone in "abcdefghi" for spot in (True, False)]
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quinceslip.coordination.context import DRIFT, SECOND, Timing
-from quinceslip.coordination.ownership import Ownership
+from quinceslip.coordination.actor.context import DRIFT, SECOND, Timing
+from quinceslip.coordination.leadership.election import Ownership
 from quinceslip.protocol.settings import SettingsError
 from tests.test_scenarios import Runner
 from tests.world import settings_of
