--- a/quinceslip/bench/capacity.py
+++ b/quinceslip/bench/capacity.py
@@ -48,21 +48,21 @@
             if now_us >= next_plan[place]:
                 next_plan[place] = now_us + SECOND
                 for kind in wanted:
-                    if not node.rests(kind, now_us):
-                        node.asked(kind, 4, 0 if short[kind] else 4, now_us)
+                    if not node.backs_off(kind, now_us):
+                        node.request_answered(kind, 4, 0 if short[kind] else 4, now_us)
                         vain += short[kind]
                         if not short[kind] and kind in back:
                             found.append((now_us - back.pop(kind)) / SECOND)
-            if now_us >= next_beat[place] - (NEWS_US if node.news else 0):
+            if now_us >= next_beat[place] - (NEWS_US if node.has_news else 0):
                 next_beat[place] = now_us + SECOND
-                seen = node.tell(now_us)
+                seen = node.own_observations(now_us)
                 if seen:
                     frame = frames.pack_sightings(frames.Sightings(node.label, seen))
                     heard = frames.read_sightings(frame[frames.HEADER.size:])
                     sent += len(frame)
                     for other in nodes:
                         if other is not node and chance.random() >= LOSS:
-                            other.heard(node.label, heard.sightings, now_us)
+                            other.observations_received(node.label, heard.sightings, now_us)
     marks = statistics.quantiles(found, n=20) if len(found) > 1 else [0.0] * 19
     return {"controllers": controllers, "told": told, "kinds": kinds, "seconds": seconds,
             "vain_a_minute": round(vain / max(short_us / 60 / SECOND, 1e-9), 2),
--- a/quinceslip/bench/fleet.py
+++ b/quinceslip/bench/fleet.py
@@ -316,5 +316,5 @@
             "cpu_s": round(sum(c.cpu_us for c in timed.costs.values()) / 1e6, 2),
             "calls": sum(c.calls for c in counted_run.costs.values()),
             "jobs": timed.jobs, "launched": timed.launched, "ended": timed.ended, "writes": timed.writes,
-            "looked": sum(s.placement.looked for s in timed.node.shards.values()), "kinds": kinds}
+            "looked": sum(s.placement.workers_examined for s in timed.node.shards.values()), "kinds": kinds}
 
--- a/quinceslip/coordination/actor/context.py
+++ b/quinceslip/coordination/actor/context.py
@@ -54,7 +54,7 @@
         if workers.report_s * 1.25 >= workers.lease_s:
             raise SettingsError(f"facts.workers.report_s = {workers.report_s:g}: a worker's lease (lease_s = "
                                 f"{workers.lease_s:g}) runs out between two reports")
-        self.report_us = micros(workers.report_s)
+        self.heartbeat_period_us = micros(workers.report_s)
         self.worker_lease_us = micros(workers.lease_s)
         cancel_us = micros(workers.cancel_s)
         margin_us = SECOND + int(2 * DRIFT * cancel_us)
@@ -71,10 +71,10 @@
         # owner's lease + grace + worker's lease must end before a cancellation it cannot hear of falls due.
         self.grace_us = left_us - self.owner_lease_us
         self.margin_us = margin_us
-        self.lost_us = int(self.worker_lease_us * (1 + 2 * DRIFT)) + margin_us
+        self.lease_expiry_us = int(self.worker_lease_us * (1 + 2 * DRIFT)) + margin_us
         # Reports come every report_s, a quarter more at most; later than this, a worker is asked.
-        self.probe_us = int(1.4 * self.report_us) + SECOND // 4
-        self.fresh_us = max(int(2.6 * self.report_us), 2 * SECOND)
+        self.probe_after_us = int(1.4 * self.heartbeat_period_us) + SECOND // 4
+        self.fresh_us = max(int(2.6 * self.heartbeat_period_us), 2 * SECOND)
 
 
 class Context:
@@ -86,26 +86,26 @@
         self.timing = Timing(settings)
         self.limits = settings.facts.state.lasting()
         self.view = View()
-        self.graph = Graph(self.view.job, self._urgency, self.way_us)
-        self.out: list[Effect] = []
+        self.graph = Graph(self.view.job, self._urgency, self.expected_duration_us)
+        self.effects: list[Effect] = []
         self.now_us = now_us
         self.wall_offset_us = wall_us - now_us
         self.started_us = now_us
         self.calls: dict[int, Done] = {}
         self.next_id = 0
         self.types: dict[str, messages.MachineType] = {}
-        self.changed: Callable[[Iterable[str]], None] = lambda keys: None
+        self.on_records_changed: Callable[[Iterable[str]], None] = lambda keys: None
         #: whether all controllers act by a level (`quinceslip.feature_gate`)
-        self.allows: Callable[[int], bool] = lambda level: False
-        self.state_ok_us = 0
+        self.feature_active: Callable[[int], bool] = lambda level: False
+        self.store_ok_us = 0
         self.state_bad_us = 0
         self.timeout_us = micros(tuning.request_timeout_s)
         self.quick_types: set[str] = set()
         self.teams = {t.name: t for t in settings.facts.teams}
-        self.part = ""  # of the tick, while it runs: where the actor is, for whoever sees it stand still
+        self.active_part = ""  # of the tick, while it runs: where the actor is, for whoever sees it stand still
         self.keys_synced = 0
-        self.refused: dict[bytes, None] = {}  # digests of changes that the state service does not take
-        self.spared: list[TxnDone] = []  # who sent such changes again, and is told so at the next tick
+        self.rejected_changes: dict[bytes, None] = {}  # digests of changes that the state service does not take
+        self.rejected_again: list[TxnDone] = []  # who sent such changes again, and is told so at the next tick
 
     # What the graph of jobs asks: as it is before anything runs, by the estimates of the jobs' owners.
 
@@ -116,7 +116,7 @@
             if o.kind == "deadline" and o.job_class == spec.job_class)})
         return JobUrgency(spec.priority, tuple(at_us + micros(due_s) for due_s in dues))
 
-    def way_us(self, spec: messages.JobSpec) -> int:
+    def expected_duration_us(self, spec: messages.JobSpec) -> int:
         """How long a job takes once it may start: its image, its tasks, the writes at both ends."""
         rate = min((t.fetch_gb_per_s for t in self.types.values()), default=1.0)
         return micros(WAY_PART * spec.estimate_s + spec.image_gb / max(rate, 0.01)) + 2 * SECOND
@@ -125,18 +125,18 @@
     def wall_us(self) -> int:
         return self.now_us + self.wall_offset_us
 
-    def quick(self, kind: messages.MachineType | None) -> bool:
+    def starts_quickly(self, kind: messages.MachineType | None) -> bool:
         """Whether services start there soon enough; any type is, where none is quick."""
         return kind is not None and (not self.quick_types or kind.label in self.quick_types)
 
-    def rests(self, part: str) -> bool:
+    def is_suspended(self, part: str) -> bool:
         """Whether this controller stood still in that part so lately that it is left out (`standstill.notes`)."""
         note = self.view.by_kind["standstill"].get(self.settings.label)
         return stall_records.rests(note, part, self.wall_us, self.timing.worker_lease_us)
 
-    def steps(self) -> int:
+    def progress(self) -> int:
         """Grows while a long message is taken: a listing of all records is no standstill."""
-        return self.view.taken + self.keys_synced
+        return self.view.records_taken + self.keys_synced
 
     def team(self, name: str) -> Team | None:
         return self.teams.get(name)
@@ -145,23 +145,23 @@
              timeout_us: int = 0, writes: int = 0, urgency: Urgency = Urgency.USER) -> None:
         self.next_id += 1
         self.calls[self.next_id] = done
-        self.out.append(Call(target, self.next_id, method, path, body, timeout_us or self.timeout_us, writes, urgency))
+        self.effects.append(Call(target, self.next_id, method, path, body, timeout_us or self.timeout_us, writes, urgency))
 
-    def answered(self, answer: Answer) -> None:
+    def handle_result(self, answer: Answer) -> None:
         done = self.calls.pop(answer.id, None)
         if done is not None:
             done(answer.status, answer.body)
 
     def reply(self, request: int, status: int, body: Any = None, **headers: str) -> None:
-        self.out.append(Reply(request, status, body, headers))
+        self.effects.append(Reply(request, status, body, headers))
 
-    def state_ok(self) -> bool:
+    def store_available(self) -> bool:
         """Whether the state service answered this node lately."""
-        return self.now_us - self.state_ok_us < 3 * SECOND and self.view.loaded
+        return self.now_us - self.store_ok_us < 3 * SECOND and self.view.synced
 
-    def note_state(self, status: int) -> None:
+    def note_store_status(self, status: int) -> None:
         if status in (200, 404, 409):
-            self.state_ok_us = self.now_us
+            self.store_ok_us = self.now_us
         elif status != 429:
             self.state_bad_us = self.now_us
 
@@ -173,15 +173,15 @@
         are not sent again. An expired lease is answered 400 too, and says nothing of the changes.
         """
         request = messages.txn_request(conditions, puts, drops)
-        if self.refused and _digest(request) in self.refused:
-            self.spared.append(done)  # later, as every answer: callers set their marks after the call as well
+        if self.rejected_changes and _digest(request) in self.rejected_changes:
+            self.rejected_again.append(done)  # later, as every answer: callers set their marks after the call as well
             return
 
         def finish(status: int, body: bytes) -> None:
-            self.note_state(status)
+            self.note_store_status(status)
             if status in (400, 413) and messages.NO_LEASE not in body:
                 status = 400
-                self._refuse(request, body)
+                self._reject(request, body)
             failed: list[str] = []
             keys: list[str] = []
             if status in (200, 409):
@@ -193,35 +193,35 @@
                     return
                 failed = answer.failed
                 if status == 200:
-                    keys += [k for k, (v, _) in puts.items() if self.view.put(k, v, answer.ledger)]
-                    keys += [k for k in drops if self.view.drop(k, answer.ledger)]
+                    keys += [k for k, (v, _) in puts.items() if self.view.store(k, v, answer.ledger)]
+                    keys += [k for k in drops if self.view.delete(k, answer.ledger)]
             done(status, failed)
-            self.changed(keys)
+            self.on_records_changed(keys)
 
         self.call("state", "POST", messages.PATH_TXN, request, finish, writes=len(puts) + len(drops),
                   urgency=urgency)
 
-    def _refuse(self, request: dict[str, Any], why: bytes) -> None:
+    def _reject(self, request: dict[str, Any], why: bytes) -> None:
         changes = request["then"]
         keys = [change.get("write") or change["drop"] for change in changes]
         sizes = [len(msgspec.json.encode(change["v"])) for change in changes if "v" in change]
         log.error("state service refused %d changes with %d conditions, the largest value of %d bytes: %s: %s",
                   len(changes), len(request["if"]), max(sizes, default=0), ", ".join(keys),
                   why[:200].decode("utf-8", "replace"))
-        self.refused[_digest(request)] = None
-        if len(self.refused) > MOST_REFUSED:
-            del self.refused[next(iter(self.refused))]
+        self.rejected_changes[_digest(request)] = None
+        if len(self.rejected_changes) > MOST_REFUSED:
+            del self.rejected_changes[next(iter(self.rejected_changes))]
 
-    def tell_spared(self) -> None:
-        spared, self.spared = self.spared, []
+    def answer_rejected_again(self) -> None:
+        spared, self.rejected_again = self.rejected_again, []
         for done in spared:
             done(400, [])
 
-    def fits(self, value: Any) -> bool:
+    def fits_record(self, value: Any) -> bool:
         """Whether a value is within the limit on values, also the one that is announced."""
         return len(msgspec.json.encode(value)) <= self.limits.value_kb * 1024
 
-    def sweep(self, keys: list[str]) -> None:
+    def delete_unneeded(self, keys: list[str]) -> None:
         """Drop records that nothing reads any more, as many at a time as a transaction takes.
 
         Once: what fails is left behind, and costs its bytes alone.
--- a/quinceslip/coordination/actor/effects.py
+++ b/quinceslip/coordination/actor/effects.py
@@ -14,7 +14,7 @@
     """The order in which calls to the state service get their share of its budget."""
 
     USER = 0  # a user waits for it, or the right to a shard does
-    ROSTER = 1  # launches wait for it
+    LAUNCH = 1  # launches wait for it
     RESULT = 2
     REST = 3
 
--- a/quinceslip/coordination/actor/subsystem.py
+++ b/quinceslip/coordination/actor/subsystem.py
@@ -24,22 +24,22 @@
     #: questions to this controller that it answers, by the last part of their path
     questions: tuple[str, ...] = ()
 
-    def gained(self, shard: "Shard") -> None:
+    def shard_gained(self, shard: "Shard") -> None:
         """A shard is ours, after a start or a takeover."""
 
-    def lost(self, index: int) -> None:
+    def shard_lost(self, index: int) -> None:
         """A shard is no longer ours."""
 
-    def changed(self, kind: str, name: str) -> None:
+    def record_changed(self, kind: str, name: str) -> None:
         """One of its records changed in the view."""
 
     def tick(self) -> None:
         """About ten times a second."""
 
-    def settled(self) -> None:
+    def batch_ended(self) -> None:
         """A batch of messages was taken and every shard has placed what it can."""
 
-    def never_runs(self, spec: m.JobSpec) -> str | None:
+    def never_runs_reason(self, spec: m.JobSpec) -> str | None:
         """Why a job can never run, for its 422; None if it may."""
         return None
 
--- a/quinceslip/coordination/autoscaling/autoscaler.py
+++ b/quinceslip/coordination/autoscaling/autoscaler.py
@@ -50,12 +50,12 @@
         self.shards = shards
         self.next_types_us = 0
         self.next_plan_us = 0
-        self.hiring = Hiring(ctx, ownership, shards, self._plan_soon)
-        self.supply = self.hiring.supply
+        self.scale_out = Hiring(ctx, ownership, shards, self._plan_soon)
+        self.capacity = self.scale_out.capacity
         self.inventory = Inventory(ctx, ownership, shards, self._delete)
         self.next_delete_us = 0
-        self.packer = Packer(ctx, ownership)
-        self.quick_rooms: Callable[[], list[int]] = list
+        self.consolidator = Packer(ctx, ownership)
+        self.quick_service_cpus: Callable[[], list[int]] = list
 
     def _plan_soon(self) -> None:
         self.next_plan_us = self.ctx.now_us  # what is still lacking is asked for elsewhere at once
@@ -75,7 +75,7 @@
                 record = self.ctx.view.by_kind["roster"].get(worker.name)
                 if record is not None:
                     worker.type = self.ctx.types.get(record.type, worker.type)
-            shard.dirty = True
+            shard.needs_placement = True
 
     def _ask_types(self) -> None:
         self.next_types_us = self.ctx.now_us + 3 * SECOND
@@ -93,7 +93,7 @@
             self.next_types_us = self.ctx.now_us + 60 * SECOND
             stamp = self.ctx.view.stamp(records.TYPES)
             # More types than fit a record are not kept, for a part of them would tell users that jobs never run.
-            if (first or stamp == 0) and self.ctx.fits(types):
+            if (first or stamp == 0) and self.ctx.fits_record(types):
                 self.ctx.txn({records.TYPES: stamp}, {records.TYPES: (types, None)}, [], lambda s, f: None)
 
         self.ctx.call("cloud", "GET", m.PATH_FLAVORS, None, done, timeout_us=3 * SECOND, urgency=Urgency.REST)
@@ -104,51 +104,51 @@
         now_us = self.ctx.now_us
         if now_us >= self.next_types_us:
             self._ask_types()
-        self.inventory.look()
-        if not self.ownership.entitled() or not self.ctx.view.loaded or not self.ctx.types:
+        self.inventory.list_if_due()
+        if not self.ownership.entitled() or not self.ctx.view.synced or not self.ctx.types:
             return
-        self.inventory.tidy()
-        self.hiring.pursue()
+        self.inventory.reconcile()
+        self.scale_out.carry_through()
         for shard in list(self.shards.values()):
-            if shard.alarm:
-                shard.alarm = False
-                self._give_back(shard)
+            if shard.worker_failed:
+                shard.worker_failed = False
+                self._scale_in(shard)
         if now_us >= self.next_plan_us:
             self.next_plan_us = now_us + SECOND
             for shard in list(self.shards.values()):
-                self._give_back(shard)
-                self._plan(shard)
-                slots, size = self._expected()
-                self._note_quick()
-                self.packer.pack(shard, slots * size / max(1, len(self.quick_rooms())))
+                self._scale_in(shard)
+                self._plan_scale_out(shard)
+                slots, size = self._expected_services()
+                self._update_quick_types()
+                self.consolidator.consolidate(shard, slots * size / max(1, len(self.quick_service_cpus())))
 
-    def _plan(self, shard: Shard) -> None:
+    def _plan_scale_out(self, shard: Shard) -> None:
         """Rent for the waiting tasks that no coming machine will take."""
-        if self.hiring.unrecorded(shard.index):
+        if self.scale_out.has_unrecorded(shard.index):
             return
         coming: list[tuple[str, bool, m.MachineType, list[float]]] = []
         for worker in shard.workers.values():
             # Boots take up to half as long again; one that takes longer may never end.
-            if not worker.heard_us and worker.type and not worker.deleting and \
-                    self.ctx.now_us - worker.born_us < LATE_BOOT * micros(worker.type.boot_s):
+            if not worker.last_contact_us and worker.type and not worker.deleting and \
+                    self.ctx.now_us - worker.registered_us < LATE_BOOT * micros(worker.type.boot_s):
                 room = [worker.type.cpus, worker.type.gpus, worker.type.memory_gb]
                 coming.append((worker.zone, worker.spot, worker.type, room))
-        for hire in self.hiring.hires.values():
+        for hire in self.scale_out.requests.values():
             kind = self.ctx.types.get(hire.record.type)
             if hire.shard == shard.index and kind:
-                for _ in range(hire.coming()):
+                for _ in range(hire.expected_machines()):
                     coming.append((hire.record.zone, hire.record.spot, kind,
                                    [kind.cpus, kind.gpus, kind.memory_gb]))
         lacking: dict[tuple[str, bool, bool], tuple[Chunk, float, int]] = {}
         spoken_for: dict[int, tuple[int, int, int, int]] = {}
-        for chunk in shard.ordered():
+        for chunk in shard.waiting_in_order():
             # Tasks that pause after a failure need no machine: a mistaken job would rent many.
-            waiting, spec = chunk.ready(), chunk.spec
+            waiting, spec = chunk.startable(), chunk.spec
             if shard.quota is not None:
                 waiting = shard.quota.startable(spec, waiting, spoken_for)
             if waiting <= 0:
                 continue
-            zones = shard.placement.zones_for(chunk)
+            zones = shard.placement.eligible_zones(chunk)
             if zones is not None and not zones:
                 continue
             for zone, spot, kind, room in coming:
@@ -171,7 +171,7 @@
             if not service:
                 cpus = cpus * self.ctx.tuning.hire_fraction - self._absorbed(shard, self._spare_part())
             if cpus > 0:
-                self._rent_for(shard, chunk, spot, cpus, count)
+                self._scale_out_for(shard, chunk, spot, cpus, count)
         if not any(service for _, _, service in lacking):
             self._keep_headroom(shard, [room[0] for _, spot, _, room in coming if not spot])
 
@@ -181,21 +181,21 @@
         The lowest shard that has services rents for all: what one shard lacks, another may have.
         """
         services = [c for c in shard.chunks.values() if c.spec.service]
-        homes = [job.shard for job in self.ctx.view.services.values()]
+        homes = [job.shard for job in self.ctx.view.open_services.values()]
         if not services or min(homes, default=-1) != shard.index:
             return
         chunk = max(services, key=lambda c: c.spec.cpus)
-        need, size = self._expected()
+        need, size = self._expected_services()
         slots = self._service_slots(size)
         slots += sum(int(room // size) for room in coming)
         if slots < need:
             log.debug("room for %d services of %d to expect", slots, need)
             # Any zone will do: the zones of this running service say nothing of those to come.
-            self._rent_for(shard, chunk, False, (need - slots) * size, need - slots, anywhere=True)
+            self._scale_out_for(shard, chunk, False, (need - slots) * size, need - slots, anywhere=True)
 
-    def _expected(self) -> tuple[int, float]:
+    def _expected_services(self) -> tuple[int, float]:
         """Service tasks to expect while a machine boots, one job's at least, and the CPUs of one."""
-        jobs = self.ctx.view.services.values()
+        jobs = self.ctx.view.open_services.values()
         if not jobs:
             return (0, 0.0)
         since_us = self.ctx.wall_us - HEADROOM_WINDOW_US
@@ -206,10 +206,10 @@
         typical = sum(j.tasks for j in jobs) / len(jobs) if recent else 1.0
         return (math.ceil(typical + sum(recent) * SECOND / HEADROOM_WINDOW_US * boot_s), size)
 
-    def _note_quick(self) -> None:
+    def _update_quick_types(self) -> None:
         """Which types fetch a usual image of the services at hand within the wait that users accept."""
         placement = next(iter(self.shards.values())).placement
-        specs = [j.spec for j in self.ctx.view.services.values() if j.spec is not None]
+        specs = [j.spec for j in self.ctx.view.open_services.values() if j.spec is not None]
         self.ctx.quick_types = {t.label for t in self.ctx.types.values()
                                 if 2 * sum(placement.quick_type(t, s) for s in specs) > len(specs)}
 
@@ -225,14 +225,14 @@
     def _absorbed(self, shard: Shard, part: float) -> float:
         """CPUs of waiting work that machines already here get to before a new one could boot."""
         kinds = [t.boot_s for t in self.ctx.types.values()]
-        slots, rate = shard.station()
+        slots, rate = shard.queueing_station()
         cpus, _ = shard.mean_task()
         return part * slots * cpus * rate * min(kinds) if kinds else 0.0
 
-    def _rent_for(self, shard: Shard, chunk: Chunk, spot: bool, cpus: float, count: int,
+    def _scale_out_for(self, shard: Shard, chunk: Chunk, spot: bool, cpus: float, count: int,
                   anywhere: bool = False) -> None:
         spec = chunk.spec
-        zones = None if anywhere else shard.placement.zones_for(chunk)
+        zones = None if anywhere else shard.placement.eligible_zones(chunk)
         in_zone: dict[str, int] = defaultdict(int)
         for worker in shard.workers.values():
             in_zone[worker.zone] += 1
@@ -241,7 +241,7 @@
             room = (kind.cpus, kind.gpus, kind.memory_gb)
             if not fits(room, spec) or (spec.types is not None and kind.label not in spec.types):
                 continue
-            if anywhere and not self.ctx.quick(kind):
+            if anywhere and not self.ctx.starts_quickly(kind):
                 continue
             per_machine = max(1, int(min(kind.cpus / max(spec.cpus, 0.01),
                                          kind.memory_gb / max(spec.memory_gb, 0.001), count)))
@@ -257,7 +257,7 @@
                 for cheap in ([True, False] if spot else [False]):
                     if not cheap and dear <= 0:
                         continue
-                    if self.supply.rests((kind.label, zone, cheap), self.ctx.now_us):
+                    if self.capacity.backs_off((kind.label, zone, cheap), self.ctx.now_us):
                         continue
                     price = (kind.spot_price if cheap else kind.price) / (per_machine * max(spec.cpus, 0.01))
                     options.append((price, in_zone[zone], kind.label, zone, cheap, machines if cheap else dear))
@@ -270,54 +270,54 @@
             return
         # The cheapest for what it can serve; between zones, the one with fewest of our machines.
         _, _, label, zone, cheap, machines = min(options)
-        self.hiring.hire(shard, label, zone, cheap, machines)
+        self.scale_out.start(shard, label, zone, cheap, machines)
 
     # Returns.
 
-    def _give_back(self, shard: Shard) -> None:
+    def _scale_in(self, shard: Shard) -> None:
         now_us = self.ctx.now_us
         names: list[str] = []
         # Where most are silent, it is this node's network or a takeover, not the machines.
-        known = [w for w in shard.workers.values() if (w.heard_us or w.hearing.deaf) and not w.lost]
-        heard = sum(bool(w.heard_us) and not w.hearing.deaf for w in known)
+        known = [w for w in shard.workers.values() if (w.last_contact_us or w.delivery.unanswered_probes) and not w.lease_expired]
+        heard = sum(bool(w.last_contact_us) and not w.delivery.unanswered_probes for w in known)
         mostly_heard = 2 * heard >= len(known) or (len(known) <= 2 and self.ownership.entitled())
         # At the moment of a cut the first machines count as silent while the others were heard just before it: one is
         # only known to be silent by itself if another was heard since it was first asked in vain.
-        newest_us = max((w.heard_us for w in known if not w.hearing.deaf), default=0)
-        dark = self._dark_zones(shard)
+        newest_us = max((w.last_contact_us for w in known if not w.delivery.unanswered_probes), default=0)
+        dark = self._unreachable_zones(shard)
         idle_rank = {True: 0, False: 0}
         headroom: tuple[int | None, float] | None = None
         for worker in sorted(shard.workers.values(), key=lambda w: w.idle_us):
             if worker.deleting or worker.type is None:
                 continue
             boot_us = micros(worker.type.boot_s)
-            host = self.inventory.hosts.get(worker.name)
-            deaf = worker.hearing.deaf >= PROBES and mostly_heard and worker.zone not in dark and (
+            host = self.inventory.listed.get(worker.name)
+            deaf = worker.delivery.unanswered_probes >= PROBES and mostly_heard and worker.zone not in dark and (
                 len(known) <= 2
-                or newest_us > max(worker.hearing.since_us, shard.taken_us) + ASKED_US)
+                or newest_us > max(worker.delivery.first_missed_us, shard.led_since_us) + ASKED_US)
             if worker.name in shard.unresolved and deaf:
                 # Deleted, it is certain to be gone, and what it may have held can start elsewhere.
                 if not worker.draining:  # else it was asked for before, and the cloud did not answer
                     log.info("inherited worker %s does not answer: replaced", worker.name)
                 names.append(worker.name)
                 continue
-            if not worker.heard_us:
-                if now_us - worker.born_us > 4 * boot_us + 20 * SECOND and worker.name not in shard.unresolved:
+            if not worker.last_contact_us:
+                if now_us - worker.registered_us > 4 * boot_us + 20 * SECOND and worker.name not in shard.unresolved:
                     log.info("machine %s never came up", worker.name)
                     names.append(worker.name)
                 continue
-            silent_us = now_us - max(worker.heard_us, shard.taken_us)
-            if silent_us > self.ctx.timing.lost_us and (host is not None or worker.lost):
+            silent_us = now_us - max(worker.last_contact_us, shard.led_since_us)
+            if silent_us > self.ctx.timing.lease_expiry_us and (host is not None or worker.lease_expired):
                 names.append(worker.name)
                 continue
             # A hung or cut machine keeps its tasks from starting elsewhere until its lease ends.
             # Once it is deleted they are certain to be gone, so they start again at once.
-            if deaf and not worker.lost and worker.attempts:
+            if deaf and not worker.lease_expired and worker.attempts:
                 log.info("worker %s is silent for %.1f s: replaced", worker.name, silent_us / SECOND)
                 names.append(worker.name)
                 continue
-            if worker.hearing.deaf >= PROBES and not worker.attempts and \
-                    now_us - worker.hearing.since_us > self.ctx.timing.lost_us:
+            if worker.delivery.unanswered_probes >= PROBES and not worker.attempts and \
+                    now_us - worker.delivery.first_missed_us > self.ctx.timing.lease_expiry_us:
                 # Its reports arrive, so it would neither be used nor ever be found idle. Like one that is silent for
                 # so long it holds nothing, so a cut zone loses nothing by it.
                 if not worker.draining:
@@ -325,30 +325,30 @@
                 names.append(worker.name)
                 continue
             idle_us = now_us - worker.idle_us
-            if worker.attempts or any(t.state != m.EXITED for t in worker.reported.values()):
+            if worker.attempts or any(t.state != m.EXITED for t in worker.reported_tasks.values()):
                 continue
             spare = False
             # Until the roster is resolved what it may have to run is not known.
             if not worker.attempts and not shard.unresolved and shard.placement.usable(worker):
                 # One idle machine is kept in hand for long; the more there are, the shorter.
                 idle_rank[worker.spot] += 1
-                patience_us = self._patience_us(boot_us) // idle_rank[worker.spot]
-                if idle_us > patience_us and not self._awaited(shard, worker):
+                patience_us = self._idle_limit_us(boot_us) // idle_rank[worker.spot]
+                if idle_us > patience_us and not self._awaited_by_gang(shard, worker):
                     headroom = self._spare_slots(shard) if headroom is None else headroom
-                    spare = not self._kept(worker, *headroom)
-            if worker.draining or worker.errors > 2 or spare:
+                    spare = not self._needed_as_headroom(worker, *headroom)
+            if worker.draining or worker.task_failures > 2 or spare:
                 names.append(worker.name)
         if names:
             self._delete(shard, names[:DELETE_MOST])
 
     @staticmethod
-    def _awaited(shard: Shard, worker: Worker) -> bool:
+    def _awaited_by_gang(shard: Shard, worker: Worker) -> bool:
         """Whether a gang waits that this machine may be a part of: it starts on all of them at once or on none."""
-        return any(c.spec.gang and c.ready() and not c.held and fits(worker.free(), c.spec)
-                   and shard.placement.allowed(worker, c.spec, None) for c in shard.queued.values())
+        return any(c.spec.gang and c.startable() and not c.on_hold and fits(worker.free(), c.spec)
+                   and shard.placement.satisfies_constraints(worker, c.spec, None) for c in shard.queued.values())
 
     @staticmethod
-    def _dark_zones(shard: Shard) -> set[str]:
+    def _unreachable_zones(shard: Shard) -> set[str]:
         """Zones in which most of the machines that are asked do not answer: these are cut off.
 
         Their machines go on working and mostly come back. To delete them all would stop what runs there
@@ -360,19 +360,19 @@
         last_us: dict[str, int] = defaultdict(int)  # when the last of the silent ones was first asked in vain
         alive_us: dict[str, int] = defaultdict(int)  # when any other was
         for worker in shard.workers.values():
-            if worker.lost:
+            if worker.lease_expired:
                 continue
-            if worker.hearing.deaf:
-                last_us[worker.zone] = max(last_us[worker.zone], worker.hearing.since_us, shard.taken_us)
+            if worker.delivery.unanswered_probes:
+                last_us[worker.zone] = max(last_us[worker.zone], worker.delivery.first_missed_us, shard.led_since_us)
             else:
-                alive_us[worker.zone] = max(alive_us[worker.zone], worker.heard_us)
+                alive_us[worker.zone] = max(alive_us[worker.zone], worker.last_contact_us)
             if worker.service_tasks or worker.name in shard.unresolved:
                 asked[worker.zone] += 1
-                silent[worker.zone] += worker.hearing.deaf > 0
+                silent[worker.zone] += worker.delivery.unanswered_probes > 0
         return {zone for zone, count in silent.items() if count >= DARK_LEAST and 2 * count >= asked[zone]
                 and alive_us[zone] <= last_us[zone] + DARK_US}
 
-    def _patience_us(self, boot_us: int) -> int:
+    def _idle_limit_us(self, boot_us: int) -> int:
         return max(10 * SECOND, int(self.ctx.tuning.idle_return_factor * boot_us))
 
     def _spare_slots(self, shard: Shard) -> tuple[int | None, float]:
@@ -382,19 +382,19 @@
         """
         if not any(c.spec.service for c in shard.chunks.values()):
             return (None, 0.0)
-        need, size = self._expected()
+        need, size = self._expected_services()
         return (self._service_slots(size) - need, size) if size else (None, 0.0)
 
-    def _kept(self, worker: Worker, spare: int | None, size: float) -> bool:
+    def _needed_as_headroom(self, worker: Worker, spare: int | None, size: float) -> bool:
         """Whether there would be too little room for the services to expect without this machine."""
         if worker.spot or spare is None:
             return False
-        mine = int(worker.service_room() // size) if self.ctx.quick(worker.type) else 0
+        mine = int(worker.service_room() // size) if self.ctx.starts_quickly(worker.type) else 0
         return mine > 0 and mine > spare
 
     def _service_slots(self, size: float) -> int:
         """Places for services of that many CPUs, free or held by what they may preempt, in all shards."""
-        return sum(int(room // size) for room in self.quick_rooms())
+        return sum(int(room // size) for room in self.quick_service_cpus())
 
     def _delete(self, shard: Shard, names: list[str]) -> None:
         if self.ctx.now_us < self.next_delete_us:
@@ -414,8 +414,8 @@
                 for name in names:
                     worker = shard.workers.get(name)
                     if worker is not None and worker.type is not None:
-                        self.supply.returned((worker.type.label, worker.zone, worker.spot), 1, self.ctx.now_us)
-                    self.inventory.forget(shard, name, "returned")
+                        self.capacity.machines_returned((worker.type.label, worker.zone, worker.spot), 1, self.ctx.now_us)
+                    self.inventory.machine_gone(shard, name, "returned")
             else:
                 self.next_delete_us = self.ctx.now_us + SECOND
                 # Whether it was done is open: nothing may be launched there, ask again.
--- a/quinceslip/coordination/autoscaling/capacity.py
+++ b/quinceslip/coordination/autoscaling/capacity.py
@@ -32,7 +32,7 @@
 class Known:
     """A sighting as one controller knows it, at its own clock."""
 
-    sighting: Sighting
+    observation: Sighting
     at_us: int
 
 
@@ -52,81 +52,81 @@
         self.label = label
         self.labels = sorted(labels)
         self.asks_per_s = asks_per_s
-        self.born = born
-        self.told = told  # whether the controllers tell each other at all
+        self.process_started_ms = born
+        self.sharing = told  # whether the controllers tell each other at all
         self.count = 0
         #: by controller, by kind: the newest sighting of each
-        self.known: dict[str, dict[Kind, Known]] = {}
-        self.rest: dict[Kind, Rest] = {}
-        self.news = False  # something was seen that peers have not been told
+        self.by_origin: dict[str, dict[Kind, Known]] = {}
+        self.backoffs: dict[Kind, Rest] = {}
+        self.has_news = False  # something was seen that peers have not been told
 
     # First hand.
 
-    def asked(self, kind: Kind, asked: int, granted: int, now_us: int) -> None:
+    def request_answered(self, kind: Kind, asked: int, granted: int, now_us: int) -> None:
         """The cloud answered a request for so many machines."""
-        self._saw(kind, asked, granted, now_us)
+        self._observe(kind, asked, granted, now_us)
 
-    def returned(self, kind: Kind, count: int, now_us: int) -> None:
+    def machines_returned(self, kind: Kind, count: int, now_us: int) -> None:
         """Machines that are returned make room for others of their kind, whoever wants them."""
-        self._saw(kind, count, count, now_us)
+        self._observe(kind, count, count, now_us)
 
-    def _saw(self, kind: Kind, asked: int, granted: int, now_us: int) -> None:
-        mine = self.known.setdefault(self.label, {})
+    def _observe(self, kind: Kind, asked: int, granted: int, now_us: int) -> None:
+        mine = self.by_origin.setdefault(self.label, {})
         short = granted < asked
-        if not short and kind not in self.rest and not (kind in mine and _short(mine[kind])):
+        if not short and kind not in self.backoffs and not (kind in mine and _short(mine[kind])):
             return  # nobody was told otherwise: no news
         self.count += 1
-        mine[kind] = Known(Sighting(kind, self.born, self.count, 0, asked, granted), now_us)
-        self.news = True
-        self._judge(kind, now_us)
+        mine[kind] = Known(Sighting(kind, self.process_started_ms, self.count, 0, asked, granted), now_us)
+        self.has_news = True
+        self._update_backoff(kind, now_us)
 
     # Hearsay.
 
-    def tell(self, now_us: int) -> list[Sighting]:
+    def own_observations(self, now_us: int) -> list[Sighting]:
         """What this controller saw itself, each with its age; newest first."""
-        self.news = False
-        if not self.told:
+        self.has_news = False
+        if not self.sharing:
             return []
-        mine = self.known.get(self.label, {})
+        mine = self.by_origin.get(self.label, {})
         for kind in [k for k, known in mine.items() if now_us - known.at_us > MOST_REST_US]:
             del mine[kind]
         newest = sorted(mine.values(), key=lambda k: -k.at_us)
-        return [replace(k.sighting, age_us=now_us - k.at_us) for k in newest]
+        return [replace(k.observation, age_us=now_us - k.at_us) for k in newest]
 
-    def heard(self, origin: str, sightings: Iterable[Sighting], now_us: int) -> None:
+    def observations_received(self, origin: str, sightings: Iterable[Sighting], now_us: int) -> None:
         """What a peer says that it saw itself. Costs by what is new of it."""
-        if not self.told or origin == self.label or origin not in self.labels:
+        if not self.sharing or origin == self.label or origin not in self.labels:
             return
-        theirs = self.known.setdefault(origin, {})
+        theirs = self.by_origin.setdefault(origin, {})
         for sighting in sightings:
             at_us, before = now_us - sighting.age_us, theirs.get(sighting.kind)
             if before is not None:
-                version, known = (sighting.born, sighting.number), (before.sighting.born, before.sighting.number)
+                version, known = (sighting.born, sighting.number), (before.observation.born, before.observation.number)
                 # Guard: the same sighting heard again, or an older one that was late, moves nothing later.
                 if version < known or (version == known and at_us >= before.at_us):
                     continue
             theirs[sighting.kind] = Known(sighting, at_us)
             if len(theirs) > MOST_KINDS:
                 del theirs[min(theirs, key=lambda k: theirs[k].at_us)]
-            self._judge(sighting.kind, now_us)
+            self._update_backoff(sighting.kind, now_us)
 
     # Judgement.
 
-    def rests(self, kind: Kind, now_us: int) -> bool:
+    def backs_off(self, kind: Kind, now_us: int) -> bool:
         """Whether it should not be asked for yet."""
-        rest = self.rest.get(kind)
+        rest = self.backoffs.get(kind)
         if rest is None:
             return False
         if now_us >= rest.until_us:
-            del self.rest[kind]
+            del self.backoffs[kind]
             return False
         return True
 
-    def _judge(self, kind: Kind, now_us: int) -> None:
+    def _update_backoff(self, kind: Kind, now_us: int) -> None:
         """One rest for each kind, counted from the latest moment at which it was short, unless room was seen since."""
         shortage: tuple[Known, str] | None = None
         room_us: int | None = None
-        for origin, theirs in self.known.items():
+        for origin, theirs in self.by_origin.items():
             known = theirs.get(kind)
             if known is None:
                 continue
@@ -134,32 +134,32 @@
                 room_us = known.at_us if room_us is None else max(room_us, known.at_us)
             elif shortage is None or known.at_us > shortage[0].at_us:
                 shortage = (known, origin)
-        before = self.rest.pop(kind, None)
+        before = self.backoffs.pop(kind, None)
         if shortage is None or (room_us is not None and room_us >= shortage[0].at_us):
             return
         known, origin = shortage
-        version = (known.sighting.born, known.sighting.number)
-        until_us = known.at_us + self.pause_us(now_us) + self.turn_us(origin)
+        version = (known.observation.born, known.observation.number)
+        until_us = known.at_us + self.backoff_us(now_us) + self.turn_delay_us(origin)
         if before is not None and (before.origin, before.version) == (origin, version):
             until_us = min(until_us, before.until_us)  # guard: the end of a rest is not moved later by what is heard
         if until_us > now_us:
-            self.rest[kind] = Rest(origin, version, until_us)
+            self.backoffs[kind] = Rest(origin, version, until_us)
 
-    def pause_us(self, now_us: int) -> int:
+    def backoff_us(self, now_us: int) -> int:
         """How long a kind rests: all that rest are asked for in turn, with a part of the cloud's calls together."""
-        resting = 1 + sum(rest.until_us > now_us for rest in self.rest.values())
+        resting = 1 + sum(rest.until_us > now_us for rest in self.backoffs.values())
         return min(max(int(SECOND * resting / (self.asks_per_s * ASK_PART)), LEAST_REST_US), MOST_REST_US)
 
-    def turn_us(self, origin: str) -> int:
+    def turn_delay_us(self, origin: str) -> int:
         """The controllers ask one after the other, so that one answer serves all; whoever was short last comes last."""
         size = len(self.labels)
         place = (self.labels.index(self.label) - self.labels.index(origin) - 1) % size
         return place * min(TURN_US, MOST_REST_US // 4 // size)
 
-    def view(self) -> Mapping[str, Mapping[Kind, Known]]:
+    def all_observations(self) -> Mapping[str, Mapping[Kind, Known]]:
         """What is known, by controller: for tests, logs and whoever asks."""
-        return self.known
+        return self.by_origin
 
 
 def _short(known: Known) -> bool:
-    return known.sighting.granted < known.sighting.asked
+    return known.observation.granted < known.observation.asked
--- a/quinceslip/coordination/autoscaling/consolidation.py
+++ b/quinceslip/coordination/autoscaling/consolidation.py
@@ -31,40 +31,40 @@
     def __init__(self, ctx: Context, ownership: Ownership) -> None:
         self.ctx = ctx
         self.ownership = ownership
-        self.spare_since: dict[int, int] = {}
+        self.spare_since_us: dict[int, int] = {}
         self.allowance: dict[int, float] = {}
 
-    def pack(self, shard: Shard, reserve_cpus: float) -> None:
+    def consolidate(self, shard: Shard, reserve_cpus: float) -> None:
         """Called each second; `reserve_cpus` must stay free for services that are expected."""
         emptying = [w for w in shard.workers.values() if w.draining == PACKING]
-        if shard.unresolved or shard.waiting() or not self.ownership.entitled(shard.index):
+        if shard.unresolved or shard.waiting_tasks() or not self.ownership.entitled(shard.index):
             for worker in emptying:
                 worker.draining = ""
-                shard.dirty = True
-            self.spare_since.pop(shard.index, None)
+                shard.needs_placement = True
+            self.spare_since_us.pop(shard.index, None)
             return
         workers = [w for w in shard.workers.values() if shard.placement.usable(w) and not w.spot]
         replicas = sum(w.service_tasks for w in workers) + sum(w.service_tasks for w in emptying)
         allowance = min(3.0, self.allowance.get(shard.index, 0.0) + max(0.25, MOVED_PER_S * replicas))
         for worker in sorted(emptying, key=lambda w: w.service_cpus):
-            allowance -= self._move_some(shard, worker, workers, int(allowance))
+            allowance -= self._move_replicas(shard, worker, workers, int(allowance))
         self.allowance[shard.index] = allowance
         if len(emptying) < max(1, int(AT_ONCE * len(workers))):
-            self._choose(shard, workers, reserve_cpus)
+            self._choose_machine(shard, workers, reserve_cpus)
 
-    def _choose(self, shard: Shard, workers: list[Worker], reserve_cpus: float) -> None:
+    def _choose_machine(self, shard: Shard, workers: list[Worker], reserve_cpus: float) -> None:
         now_us = self.ctx.now_us
         holding = [w for w in workers if w.service_tasks and w.type is not None]
-        victim = max(holding, key=lambda w: (self._wasted(w), w.name), default=None)
+        victim = max(holding, key=lambda w: (self._wasted_price(w), w.name), default=None)
         if victim is None or victim.type is None:
             return
         others = [w for w in workers if w is not victim]
         spare = sum(w.free()[0] for w in others)
         near = sum(w.free()[0] for w in others if w.zone == victim.zone and w.running)
         if near < 1.5 * victim.service_cpus or spare < victim.used_cpus + reserve_cpus:
-            self.spare_since.pop(shard.index, None)
+            self.spare_since_us.pop(shard.index, None)
             return
-        since_us = self.spare_since.setdefault(shard.index, now_us)
+        since_us = self.spare_since_us.setdefault(shard.index, now_us)
         if now_us - since_us > SPARE_BOOTS * micros(victim.type.boot_s):
             log.info("machine %s is emptied: %g CPUs of services fit elsewhere", victim.name, victim.service_cpus)
             victim.draining = PACKING
@@ -73,19 +73,19 @@
         """The lowest price of a CPU for an hour on ordinary machines."""
         return min((t.price / t.cpus for t in self.ctx.types.values() if t.cpus > 0), default=0.0)
 
-    def _wasted(self, worker: Worker) -> float:
+    def _wasted_price(self, worker: Worker) -> float:
         """What a machine costs in an hour beyond what runs on it is worth."""
         return worker.type.price - self._unit_price() * worker.used_cpus if worker.type is not None else 0.0
 
-    def _move_some(self, shard: Shard, worker: Worker, workers: list[Worker], most: int) -> int:
+    def _move_replicas(self, shard: Shard, worker: Worker, workers: list[Worker], most: int) -> int:
         moved = 0
         room = {w.name: w.free() for w in workers if w.zone == worker.zone}
         # Where a large machine is kept by little, a fetch is worth it, if it is no slower than a start may be.
-        patient = self._wasted(worker) > DEAR * self._unit_price() * worker.service_cpus
-        for attempt in worker.live():
+        patient = self._wasted_price(worker) > DEAR * self._unit_price() * worker.service_cpus
+        for attempt in worker.live_attempts():
             if moved >= most:
                 break
-            if not attempt.spec.service or attempt.halting or not attempt.seen or \
+            if not attempt.spec.service or attempt.stopping or not attempt.observed or \
                     self.ctx.now_us - attempt.running_us < SETTLED_US:
                 continue
             target = self._target(shard, attempt, workers, room, patient)
@@ -103,7 +103,7 @@
         fetching: Worker | None = None
         for worker in workers:
             if worker.name in room and worker.running and fits(room[worker.name], spec) \
-                    and shard.placement.allowed(worker, spec, None):
+                    and shard.placement.satisfies_constraints(worker, spec, None):
                 if spec.image in worker.images:
                     return worker
                 if patient and fetching is None and not shard.placement.slow_fetch(worker, spec):
--- a/quinceslip/coordination/autoscaling/inventory.py
+++ b/quinceslip/coordination/autoscaling/inventory.py
@@ -28,39 +28,39 @@
         self.shards = shards
         self.delete = delete
         self.deleting: set[str] = set()  # machines whose deletion is on its way
-        self.hosts: dict[str, m.Host] = {}
+        self.listed: dict[str, m.Host] = {}
         self.listed_us = 0  # when the last complete list was asked for
         self.first_listed: dict[str, int] = {}
         self.listing = False
         self.next_list_us = 0
-        self.leaving: dict[str, int] = {}  # machines that are gone and still on the roster, and their shard
-        self.striking = False
-        self.next_strike_us = 0
+        self.to_deregister: dict[str, int] = {}  # machines that are gone and still on the roster, and their shard
+        self.deregistering = False
+        self.next_deregister_us = 0
         self.next_adopt_us = 0
-        self.left_us: dict[str, int] = {}  # when a machine left the roster
-        self.vouch_us: dict[str, int] = {}  # machines that were asked whether they exist, and until when not again
+        self.deregistered_us: dict[str, int] = {}  # when a machine left the roster
+        self.adoption_probed_until_us: dict[str, int] = {}  # machines that were asked whether they exist, and until when not again
         # Our part of the cloud's calls, leaving half for rentals and deletions.
         rate = ctx.settings.facts.cloud.rps / ctx.settings.facts.size
         self.list_period_us = max(int(SECOND / max(rate / 4, 0.05)), 2 * SECOND)
         self.lag_us = micros(ctx.settings.facts.cloud.list_lag_s)
 
-    def look(self) -> None:
+    def list_if_due(self) -> None:
         """Ask for the list when it is due."""
         if not self.listing and self.ctx.now_us >= self.next_list_us and self.shards:
             self._ask_list()
 
-    def tidy(self) -> None:
+    def reconcile(self) -> None:
         """Adopt what nobody expected and strike what is gone; for a node that may write."""
         if self.ctx.now_us >= self.next_adopt_us:
             self.next_adopt_us = self.ctx.now_us + SECOND
             self._adopt_listed()
-        self._strike()
+        self._deregister()
 
     def roster_changed(self, name: str) -> None:
         if name in self.ctx.view.by_kind["roster"]:
-            self.left_us.pop(name, None)
+            self.deregistered_us.pop(name, None)
         else:
-            self.left_us[name] = self.ctx.now_us
+            self.deregistered_us[name] = self.ctx.now_us
 
     # The list of machines.
 
@@ -83,9 +83,9 @@
                 self.listing = False
                 self.next_list_us = self.ctx.now_us + self.list_period_us
                 return
-            found.update({h.uid: h for h in answer.hosts})
+            found.update({h.machine: h for h in answer.hosts})
             if answer.more and answer.hosts:
-                page(answer.hosts[-1].uid)
+                page(answer.hosts[-1].machine)
                 return
             self.listing = False
             self.next_list_us = self.ctx.now_us + self.list_period_us
@@ -94,7 +94,7 @@
         page("")
 
     def _listed(self, found: dict[str, m.Host], asked_us: int) -> None:
-        self.hosts, self.listed_us = found, asked_us
+        self.listed, self.listed_us = found, asked_us
         for name in found:
             self.first_listed.setdefault(name, asked_us)
         for shard in self.shards.values():
@@ -105,73 +105,73 @@
                     # older than the one that showed it is proof (it lags by up to twice the lag).
                     seen_us = self.first_listed.get(name)
                     if seen_us is not None and asked_us > seen_us + 2 * self.lag_us + 2 * SECOND:
-                        self.forget(shard, name, "no longer listed")
+                        self.machine_gone(shard, name, "no longer listed")
                 elif host.status == m.HOST_FAILED:
-                    shard.gone(name)
+                    shard.machine_gone(name)
                     self.delete(shard, [name])
 
-    def forget(self, shard: Shard, name: str, why: str) -> None:
+    def machine_gone(self, shard: Shard, name: str, why: str) -> None:
         """A machine is gone for certain: so is its place in the roster."""
         log.info("machine %s is gone: %s", name, why)
-        shard.gone(name)
-        self.leaving[name] = shard.index
+        shard.machine_gone(name)
+        self.to_deregister[name] = shard.index
 
-    def _strike(self) -> None:
+    def _deregister(self) -> None:
         """Take machines that are gone off the roster: as many in one write as a transaction takes, until it is done.
 
         One write for each was more than the budget takes when a third of the machines falls at once. What stayed on
         the roster held up the next takeover, which waits for every machine on it.
         """
         roster = self.ctx.view.by_kind["roster"]
-        for name in [n for n, index in self.leaving.items() if n not in roster or not self.ownership.owns(index)]:
-            del self.leaving[name]
-        if not self.leaving or self.striking or self.ctx.now_us < self.next_strike_us:
+        for name in [n for n, index in self.to_deregister.items() if n not in roster or not self.ownership.leads(index)]:
+            del self.to_deregister[name]
+        if not self.to_deregister or self.deregistering or self.ctx.now_us < self.next_deregister_us:
             return
-        index = next(iter(self.leaving.values()))
-        names = [n for n, s in self.leaving.items() if s == index][: self.ctx.limits.txn_ops]
-        self.striking = True
+        index = next(iter(self.to_deregister.values()))
+        names = [n for n, s in self.to_deregister.items() if s == index][: self.ctx.limits.txn_ops]
+        self.deregistering = True
 
         def done(status: int, failed: list[str]) -> None:
-            self.striking = False
+            self.deregistering = False
             if status != 200:
-                self.next_strike_us = self.ctx.now_us + SECOND // 2
+                self.next_deregister_us = self.ctx.now_us + SECOND // 2
 
         # Guard: carried out late it strikes nothing that has been written since.
         keys = [records.roster_key(n) for n in names]
         stamps = {k: self.ctx.view.stamp(k) for k in keys}
-        self.ctx.txn({**self.ownership.condition(index), **stamps}, {}, keys, done)
+        self.ctx.txn({**self.ownership.fencing_condition(index), **stamps}, {}, keys, done)
 
     # Adoption.
 
     def adopt(self, name: str, record: records.RosterRecord, done: TxnDone | None = None) -> None:
         """Put an unexpected machine on the roster of one of our shards."""
-        if not self.ownership.owns(record.shard):
+        if not self.ownership.leads(record.shard):
             if done:
                 done(503, [])
             return
         key = records.roster_key(name)
-        self.ctx.txn({**self.ownership.condition(record.shard), key: 0}, {key: (record, None)}, [],
-                     done or (lambda s, f: None), Urgency.ROSTER)
+        self.ctx.txn({**self.ownership.fencing_condition(record.shard), key: 0}, {key: (record, None)}, [],
+                     done or (lambda s, f: None), Urgency.LAUNCH)
 
-    def adopt_reported(self, report: m.WorkerReport, index: int, done: TxnDone) -> None:
+    def adopt_from_heartbeat(self, report: m.WorkerReport, index: int, done: TxnDone) -> None:
         """Put a machine that reports, and that nobody expected, on the roster of a shard.
 
         Guard: only one that answers for itself now. A report may come long after its machine is gone, and a machine
         on the roster holds up the next takeover until it is proven gone. What left the roster was proven gone.
         """
         name, now_us = report.worker, self.ctx.now_us
-        if name in self.left_us or now_us < self.vouch_us.get(name, 0):
+        if name in self.deregistered_us or now_us < self.adoption_probed_until_us.get(name, 0):
             done(NOT_SENT, [])
             return
-        for known in [n for n, until_us in self.vouch_us.items() if until_us < now_us]:
-            del self.vouch_us[known]
+        for known in [n for n, until_us in self.adoption_probed_until_us.items() if until_us < now_us]:
+            del self.adoption_probed_until_us[known]
         # Copies of one that is gone come by the hundred: it is not asked again for a while.
-        self.vouch_us[name] = now_us + self.ctx.timing.worker_lease_us // 2
+        self.adoption_probed_until_us[name] = now_us + self.ctx.timing.worker_lease_us // 2
         record = records.RosterRecord(index, report.type, report.zone, report.spot, report.endpoint, used=True)
 
         def asked(status: int, body: bytes) -> None:
             if status == 200 and m.names(body, name):
-                self.vouch_us.pop(name, None)
+                self.adoption_probed_until_us.pop(name, None)
                 self.adopt(name, record, done)
             else:
                 log.info("worker %s is unexpected and does not answer: not adopted", name)
@@ -185,15 +185,15 @@
         if shard is None:
             return
         roster = self.ctx.view.by_kind["roster"]
-        names = sorted(self.hosts)
+        names = sorted(self.listed)
         for place, name in enumerate(names):
             if name in roster or name in self.deleting or place % self.ctx.settings.facts.size != shard.index:
                 continue
             # The list shows what is gone for a while longer; a machine that was just returned
             # must not be taken for one that nobody expected.
-            if self.listed_us < self.left_us.get(name, -DEAD_LISTED_US) + 2 * self.lag_us + DEAD_LISTED_US:
+            if self.listed_us < self.deregistered_us.get(name, -DEAD_LISTED_US) + 2 * self.lag_us + DEAD_LISTED_US:
                 continue
-            host = self.hosts[name]
+            host = self.listed[name]
             if host.age_s < 4 * self.lag_us / SECOND + 10 or host.status == m.HOST_FAILED:
                 continue
             self.next_adopt_us = self.ctx.now_us + 2 * SECOND
--- a/quinceslip/coordination/autoscaling/scale_out.py
+++ b/quinceslip/coordination/autoscaling/scale_out.py
@@ -30,12 +30,12 @@
     recorded: bool = False
     asking: bool = False
     next_us: int = 0
-    names: list[str] | None = None  # what was rented, once the cloud has answered
-    enrolled: set[str] = field(default_factory=set)
+    machines: list[str] | None = None  # what was rented, once the cloud has answered
+    registered: set[str] = field(default_factory=set)
 
-    def coming(self) -> int:
+    def expected_machines(self) -> int:
         """Machines that may come of it and are not on the roster yet."""
-        return self.record.count if self.names is None else len(self.names) - len(self.enrolled)
+        return self.record.count if self.machines is None else len(self.machines) - len(self.registered)
 
 
 class Hiring:
@@ -46,32 +46,32 @@
         self.ctx = ctx
         self.ownership = ownership
         self.shards = shards
-        self.answered = answered
-        self.hires: dict[str, Hire] = {}
+        self.on_answer = answered
+        self.requests: dict[str, Hire] = {}
         self.counter = 0
         settings = ctx.settings
-        self.supply = Supply(settings.label, [settings.label, *(p.label for p in settings.known)],
+        self.capacity = Supply(settings.label, [settings.label, *(p.label for p in settings.known)],
                              settings.facts.cloud.rps, ctx.wall_us // 1000, ctx.tuning.tell_supply)
 
-    def unrecorded(self, shard: int) -> bool:
+    def has_unrecorded(self, shard: int) -> bool:
         """Whether a request of this shard is not durable yet."""
-        return any(not h.recorded for h in self.hires.values() if h.shard == shard)
+        return any(not h.recorded for h in self.requests.values() if h.shard == shard)
 
-    def pursue(self) -> None:
+    def carry_through(self) -> None:
         """Carry recorded intents through, those of an earlier owner among them."""
         for name, record in self.ctx.view.by_kind["hire"].items():
-            if name not in self.hires and record.shard in self.shards:
-                self.hires[name] = Hire(name, record.shard, record, recorded=True)
-        for hire in list(self.hires.values()):
+            if name not in self.requests and record.shard in self.shards:
+                self.requests[name] = Hire(name, record.shard, record, recorded=True)
+        for hire in list(self.requests.values()):
             if hire.shard not in self.shards or (hire.recorded and hire.name not in self.ctx.view.by_kind["hire"]):
-                del self.hires[hire.name]
+                del self.requests[hire.name]
             elif hire.recorded and not hire.asking and self.ctx.now_us >= hire.next_us:
-                if hire.names is None:
-                    self._ask_hire(hire)
+                if hire.machines is None:
+                    self._send(hire)
                 else:
-                    self._enroll(hire)
+                    self._register(hire)
 
-    def _ask_hire(self, hire: Hire) -> None:
+    def _send(self, hire: Hire) -> None:
         hire.asking = True
         record = hire.record
 
@@ -89,28 +89,28 @@
                 pass
             else:
                 return  # 429, trouble or no answer: the same name again later
-            self.supply.asked((record.type, record.zone, record.spot), record.count, len(names), self.ctx.now_us)
+            self.capacity.request_answered((record.type, record.zone, record.spot), record.count, len(names), self.ctx.now_us)
             log.info("hire %s: %d of %d %s in %s%s", hire.name, len(names), record.count, record.type,
                      record.zone, " (spot)" if record.spot else "")
-            hire.names = names
-            self.answered()
-            self._enroll(hire)
+            hire.machines = names
+            self.on_answer()
+            self._register(hire)
 
         body = m.hire_request(hire.name, record.type, record.zone, record.spot, record.count)
         self.ctx.call("cloud", "POST", m.PATH_HOSTS, body, done, timeout_us=4 * SECOND)
 
-    def _enroll(self, hire: Hire) -> None:
+    def _register(self, hire: Hire) -> None:
         """Put rented machines on the roster; the intent goes with the last of them."""
-        if not self.ownership.owns(hire.shard) or hire.names is None:
+        if not self.ownership.leads(hire.shard) or hire.machines is None:
             return
         record = hire.record
         roster = self.ctx.view.by_kind["roster"]
-        hire.enrolled |= {n for n in hire.names if n in roster}
-        left = [n for n in hire.names if n not in hire.enrolled]
+        hire.registered |= {n for n in hire.machines if n in roster}
+        left = [n for n in hire.machines if n not in hire.registered]
         entry = records.RosterRecord(hire.shard, record.type, record.zone, record.spot)
         fresh = left[: self.ctx.limits.txn_ops - 1]
         rest = len(left) > len(fresh)
-        conditions = self.ownership.condition(hire.shard)
+        conditions = self.ownership.fencing_condition(hire.shard)
         # Guard: each of these writes stamps the intent anew, or drops it. One that is carried out late, after another,
         # does not bring machines back that have left the roster since.
         key = records.hire_key(hire.name)
@@ -123,25 +123,25 @@
         def done(status: int, failed: list[str]) -> None:
             hire.asking = False
             if status == 200:
-                hire.enrolled.update(fresh)
+                hire.registered.update(fresh)
                 if rest:
                     hire.next_us = self.ctx.now_us
 
         self.ctx.txn(conditions, puts, [] if rest else [key], done,
-                     Urgency.ROSTER)
+                     Urgency.LAUNCH)
 
-    def hire(self, shard: Shard, machine_type: str, zone: str, spot: bool, count: int) -> None:
+    def start(self, shard: Shard, machine_type: str, zone: str, spot: bool, count: int) -> None:
         self.counter += 1
         # The term is this owner's alone and the counter is never reset, so no name comes twice.
         name = f"{self.ctx.settings.label}-{shard.term}-{self.counter}"
         record = records.HireRecord(shard.index, machine_type, zone, spot, min(count, HIRE_MOST))
-        hire = self.hires[name] = Hire(name, shard.index, record)
+        hire = self.requests[name] = Hire(name, shard.index, record)
 
         def done(status: int, failed: list[str]) -> None:
             if status == 200:
                 hire.recorded = True
             else:
-                self.hires.pop(name, None)
+                self.requests.pop(name, None)
 
-        self.ctx.txn({**self.ownership.condition(shard.index), records.hire_key(name): 0},
-                     {records.hire_key(name): (record, None)}, [], done, Urgency.ROSTER)
+        self.ctx.txn({**self.ownership.fencing_condition(shard.index), records.hire_key(name): 0},
+                     {records.hire_key(name): (record, None)}, [], done, Urgency.LAUNCH)
--- a/quinceslip/coordination/controller/controller.py
+++ b/quinceslip/coordination/controller/controller.py
@@ -42,140 +42,140 @@
     def __init__(self, settings: Settings, tuning: Tuning, now_us: int, wall_us: int,
                  makers: Sequence[Maker] = ()) -> None:
         self.ctx = Context(settings, tuning, now_us, wall_us)
-        self.ctx.changed = self._changed
+        self.ctx.on_records_changed = self._records_changed
         self.labels = sorted([settings.label, *(p.label for p in settings.known)])
-        self.home = self.labels.index(settings.label)
+        self.home_shard = self.labels.index(settings.label)
         self.shards: dict[int, Shard] = {}
-        self.ownership = Ownership(self.ctx, self.home, self._gained, self._lost)
-        self.rollout = Rollout(self.ctx, self.ownership, self.labels)
-        self.ctx.allows = self.rollout.open
+        self.ownership = Ownership(self.ctx, self.home_shard, self._shard_gained, self._shard_lost)
+        self.feature_gate = Rollout(self.ctx, self.ownership, self.labels)
+        self.ctx.feature_active = self.feature_gate.is_open
         self.subsystems = [make(self.ctx, self.ownership, self.shards) for make in makers]
         for subsystem in self.subsystems:
-            self.ctx.view.know(subsystem.kinds)
-        self.balancer = Balancer(self.ctx, self.ownership, self.shards)
-        self.provision = Provisioner(self.ctx, self.ownership, self.shards)
-        self.provision.quick_rooms = self.balancer.quick_rooms
-        self.spreader = Spreader(self.ctx, self.ctx.graph, self.ownership.owns)
-        self.users = Users(self.ctx, self.shards, self.balancer, self.subsystems)
-        self.reach = Reach(self.ctx, self.home)
+            self.ctx.view.register_kind(subsystem.kinds)
+        self.load_balancer = Balancer(self.ctx, self.ownership, self.shards)
+        self.autoscaler = Provisioner(self.ctx, self.ownership, self.shards)
+        self.autoscaler.quick_service_cpus = self.load_balancer.quick_service_cpus
+        self.cancellation_propagator = Spreader(self.ctx, self.ctx.graph, self.ownership.leads)
+        self.user_requests = Users(self.ctx, self.shards, self.load_balancer, self.subsystems)
+        self.connectivity = Reach(self.ctx, self.home_shard)
         self.next_beat_us = 0
         self.next_summary_us = now_us + 30 * SECOND
-        self.next_give_back_us = 0
+        self.next_hand_over_us = 0
 
     def handle(self, message: Message, now_us: int) -> list[Effect]:
         ctx = self.ctx
         ctx.now_us = now_us
-        ctx.out = []
+        ctx.effects = []
         if isinstance(message, Tick):
             self._tick()
         elif isinstance(message, Reported):
-            self._report(message.request, message.report)
+            self._receive_heartbeat(message.request, message.report)
         elif isinstance(message, Answer):
-            ctx.answered(message)
+            ctx.handle_result(message)
         elif isinstance(message, UserRequest):
             if message.verb == "ready":
                 ctx.reply(message.request, 200 if self.ready() else 503)
             else:
-                self.users.take(message)
+                self.user_requests.handle(message)
         elif isinstance(message, Asked):
             answers = [s.answer(message.question, message.after) for s in self.subsystems
                        if message.question in s.questions]
             ctx.reply(message.request, 200 if answers else 404, answers[0] if answers else {"error": "no such path"})
         elif isinstance(message, ViewChanges):
             self.ownership.watch_sent_us = max(self.ownership.watch_sent_us, message.asked_us)
-            ctx.state_ok_us = now_us
-            self._changed(ctx.view.apply(message.events, message.ledger))
-            self.users.caught_up()
+            ctx.store_ok_us = now_us
+            self._records_changed(ctx.view.apply_changes(message.events, message.ledger))
+            self.user_requests.cache_advanced()
         elif isinstance(message, ViewReset):
             self.ownership.watch_sent_us = max(self.ownership.watch_sent_us, message.asked_us)
-            self._changed(ctx.view.reset(message.items, message.ledger, message.until))
-            self.users.caught_up()
+            self._records_changed(ctx.view.apply_listing(message.items, message.ledger, message.until))
+            self.user_requests.cache_advanced()
         elif isinstance(message, PeerSaid):
             if isinstance(message.said, frames.Sightings):
-                self.provision.supply.heard(message.said.label, message.said.sightings, now_us)
+                self.autoscaler.capacity.observations_received(message.said.label, message.said.sightings, now_us)
             else:
-                self.balancer.heard(message.said)
+                self.load_balancer.heartbeat_received(message.said)
         elif isinstance(message, Settle):
             for shard in self.shards.values():
-                shard.settle()
+                shard.end_batch()
             for subsystem in self.subsystems:
-                subsystem.settled()
-        return ctx.out
+                subsystem.batch_ended()
+        return ctx.effects
 
     # The view.
 
-    def _changed(self, keys: Iterable[str]) -> None:
+    def _records_changed(self, keys: Iterable[str]) -> None:
         keys = list(keys)
         # First who waits for whom: whether a job may start rests on the records of others in the same batch.
-        pipelines = self.ctx.graph.changed([name for kind, name in map(records.View.split, keys) if kind == "job"])
+        pipelines = self.ctx.graph.records_changed([name for kind, name in map(records.View.split, keys) if kind == "job"])
         for key in keys:
             self.ctx.keys_synced += 1
             kind, name = records.View.split(key)
             if kind == "job":
                 for shard in self.shards.values():
-                    shard.recorder.sync(name)
+                    shard.recorder.load(name)
             elif kind == "part":
                 uid = name.partition("/")[2]
                 for shard in self.shards.values():
-                    shard.recorder.sync(uid)
+                    shard.recorder.load(uid)
             elif kind == "roster":
-                self.provision.inventory.roster_changed(name)
+                self.autoscaler.inventory.roster_changed(name)
                 for shard in self.shards.values():
                     shard.roster_changed(name)
             elif kind == "shard":
-                self.ownership.record_changed(int(name))
+                self.ownership.shard_record_changed(int(name))
             elif kind == "stray":
-                self.reach.noted(name)
+                self.connectivity.peer_record_changed(name)
             elif kind == "types":
-                self.provision.types_changed()
+                self.autoscaler.types_changed()
             else:
                 for subsystem in self.subsystems:
                     if kind in subsystem.kinds:
-                        subsystem.changed(kind, name)
+                        subsystem.record_changed(kind, name)
         for uid in pipelines.ready:
-            self._ready(uid)
-        for uid in pipelines.urged:
+            self._job_ready(uid)
+        for uid in pipelines.urgency_changed:
             for shard in self.shards.values():
-                shard.recorder.urged(uid)
+                shard.recorder.urgency_changed(uid)
 
-    def _ready(self, uid: str) -> None:
+    def _job_ready(self, uid: str) -> None:
         """A job waits for no other any more: now it arrives, as by the paper's model."""
         for shard in self.shards.values():
-            shard.recorder.sync(uid)
+            shard.recorder.load(uid)
             chunk = shard.chunks.get(uid)
             if chunk is not None:
-                self.balancer.arrives(shard, chunk)
+                self.load_balancer.job_ready(shard, chunk)
 
-    def _gained(self, index: int, term: int, own_before: int) -> None:
+    def _shard_gained(self, index: int, term: int, own_before: int) -> None:
         known = self.shards.get(index)
         if known is not None:
             known.term_raised(term)
             return
         shard = self.shards[index] = Shard(self.ctx, self.ownership, index, term, own_before)
         for subsystem in self.subsystems:
-            subsystem.gained(shard)
+            subsystem.shard_gained(shard)
 
-    def _lost(self, index: int) -> None:
+    def _shard_lost(self, index: int) -> None:
         self.shards.pop(index, None)
         for subsystem in self.subsystems:
-            subsystem.lost(index)
+            subsystem.shard_lost(index)
 
     # Time.
 
     def _tick(self) -> None:
         """Every part on its own: a defect in one of them costs that part its turn and nothing else."""
-        for name, part in (("refused", self.ctx.tell_spared), ("rights", self.ownership.tick),
-                           ("rollout", self.rollout.tick), ("shards", self._tick_shards),
-                           ("machines", self.provision.tick), ("beat", self._tick_beat),
-                           ("balance", self.balancer.tick), ("peers", self._tick_seldom),
-                           *((type(s).__name__, s.tick) for s in self.subsystems), ("users", self.users.tick),
-                           ("withdrawals", self.spreader.tick)):
-            self.ctx.part = name
+        for name, part in (("refused", self.ctx.answer_rejected_again), ("rights", self.ownership.tick),
+                           ("rollout", self.feature_gate.tick), ("shards", self._tick_shards),
+                           ("machines", self.autoscaler.tick), ("beat", self._tick_beat),
+                           ("balance", self.load_balancer.tick), ("peers", self._tick_periodic),
+                           *((type(s).__name__, s.tick) for s in self.subsystems), ("users", self.user_requests.tick),
+                           ("withdrawals", self.cancellation_propagator.tick)):
+            self.ctx.active_part = name
             try:
                 part()
             except Exception:
                 log.exception("a part of the tick failed")
-        self.ctx.part = ""
+        self.ctx.active_part = ""
 
     def _tick_shards(self) -> None:
         for shard in list(self.shards.values()):
@@ -183,35 +183,35 @@
 
     def _tick_beat(self) -> None:
         # What the cloud has or lacks is told at once: peers are about to ask for the same.
-        if self.ctx.now_us >= self.next_beat_us - (NEWS_US if self.provision.supply.news else 0):
+        if self.ctx.now_us >= self.next_beat_us - (NEWS_US if self.autoscaler.capacity.has_news else 0):
             self.next_beat_us = self.ctx.now_us + SECOND
             self._beat()
 
-    def _tick_seldom(self) -> None:
+    def _tick_periodic(self) -> None:
         now_us = self.ctx.now_us
         if now_us >= self.next_summary_us:
             self.next_summary_us = now_us + 30 * SECOND
             for shard in self.shards.values():
                 log.info("%s", shard.summary())
-        if now_us >= self.next_give_back_us:
-            self.next_give_back_us = now_us + SECOND
-            self._give_back_shards()
-            self._hand_over_shards()
+        if now_us >= self.next_hand_over_us:
+            self.next_hand_over_us = now_us + SECOND
+            self._hand_shards_home()
+            self._hand_over_unreachable_shards()
         if self.ownership.entitled():
-            self.reach.note()
-        self.reach.tick()
-        self.ownership.aside = self.reach.aside
+            self.connectivity.write_misrouted_record()
+        self.connectivity.tick()
+        self.ownership.yielding = self.connectivity.yielding
 
     # Peers.
 
     def _beat(self) -> None:
-        beat = frames.Beat(self.ctx.settings.label, self.ctx.state_ok(), self.ctx.view.ledger,
-                           self.balancer.loads(), self.reach.aside, self.reach.strays())
+        beat = frames.Beat(self.ctx.settings.label, self.ctx.store_available(), self.ctx.view.ledger,
+                           self.load_balancer.loads(), self.connectivity.yielding, self.connectivity.misrouted_counts())
         said = frames.pack_beat(beat)
-        seen = self.provision.supply.tell(self.ctx.now_us)
+        seen = self.autoscaler.capacity.own_observations(self.ctx.now_us)
         if seen:
             said += frames.pack_sightings(frames.Sightings(self.ctx.settings.label, seen))
-        self.ctx.out.append(ToPeers(said))
+        self.ctx.effects.append(ToPeers(said))
 
     def ready(self) -> bool:
         """Unready only where this node alone has lost the state service.
@@ -219,92 +219,92 @@
         One that has lost its peers as well cannot tell an outage from its own network. Were it called ready, users
         would stay with it for as long as that lasts, and others may serve them.
         """
-        if not self.ctx.view.loaded:
+        if not self.ctx.view.synced:
             return False
-        if self.ctx.state_ok():
+        if self.ctx.store_available():
             return True
-        if len(self.labels) > 1 and not any(map(self.balancer.alive, self.balancer.peers)):
+        if len(self.labels) > 1 and not any(map(self.load_balancer.is_alive, self.load_balancer.peers)):
             return False
-        return not any(self.balancer.alive(label) and peer.beat.state_ok
-                       for label, peer in self.balancer.peers.items())
+        return not any(self.load_balancer.is_alive(label) and peer.beat.state_ok
+                       for label, peer in self.load_balancer.peers.items())
 
-    def _give_back_shards(self) -> None:
+    def _hand_shards_home(self) -> None:
         """A shard goes home once its home has been back long enough and nothing is in doubt."""
         if not self.ownership.entitled():
             return
         for shard in list(self.shards.values()):
             label = self.labels[shard.index]
-            if label == self.ctx.settings.label or not self.balancer.alive(label):
+            if label == self.ctx.settings.label or not self.load_balancer.is_alive(label):
                 continue
-            peer = self.balancer.peers[label]
-            steady_us = self.ctx.now_us - max(peer.since_us, shard.taken_us)
-            calm = not shard.unresolved and all(w.confirmed or w.lost or not w.heard_us or w.hearing.refused
+            peer = self.load_balancer.peers[label]
+            steady_us = self.ctx.now_us - max(peer.since_us, shard.led_since_us)
+            calm = not shard.unresolved and all(w.fenced or w.lease_expired or not w.last_contact_us or w.delivery.unreachable
                                                 for w in shard.workers.values())
             if peer.beat.state_ok and not peer.beat.aside and steady_us > 2 * self.ctx.timing.worker_lease_us and calm:
-                self.ownership.give_back(shard.index)
+                self.ownership.hand_over(shard.index)
                 return
 
-    def _hand_over_shards(self) -> None:
+    def _hand_over_unreachable_shards(self) -> None:
         """Peers that reach the workers of a shard take it from an owner that does not."""
         if not self.ownership.entitled():
             return
         for index, shard in self.shards.items():
-            strays = sum(count for label, peer in self.balancer.peers.items() if self.balancer.alive(label)
-                         for s, count in peer.beat.strays if s == index) + self.reach.written(index)
-            if strays and self.reach.cut_off(shard.workers.values(), strays):
-                self.reach.step_aside(index)
-                self.ownership.give_back(index)
+            strays = sum(count for label, peer in self.load_balancer.peers.items() if self.load_balancer.is_alive(label)
+                         for s, count in peer.beat.strays if s == index) + self.connectivity.recorded_misrouted(index)
+            if strays and self.connectivity.lost_contact(shard.workers.values(), strays):
+                self.connectivity.start_yielding(index)
+                self.ownership.hand_over(index)
                 return
 
     # Workers.
 
-    def _report(self, request: int, report: m.WorkerReport) -> None:
+    def _receive_heartbeat(self, request: int, report: m.WorkerReport) -> None:
         ctx = self.ctx
         record = ctx.view.by_kind["roster"].get(report.worker)
-        if not ctx.view.loaded:
+        if not ctx.view.synced:
             ctx.reply(request, 503)
             return
         if record is None:
-            self._adopt(request, report)
+            self._adopt_machine(request, report)
             return
         shard = self.shards.get(record.shard)
         if shard is None:
-            owner = self.ownership.owner(record.shard)
+            owner = self.ownership.leader(record.shard)
             if owner is None or owner == ctx.settings.label:
                 ctx.reply(request, 503)
             else:
-                self.reach.stray(record.shard, report)
+                self.connectivity.worker_misrouted(record.shard, report)
                 ctx.reply(request, 421, m.redirect(owner))
             return
-        if not self.ownership.answering():
+        if not self.ownership.may_answer():
             ctx.reply(request, 503)
             return
-        if report.worker in self.provision.inventory.leaving:
+        if report.worker in self.autoscaler.inventory.to_deregister:
             # Proven gone, and on the roster until the write that strikes it: a late report revives nothing.
             ctx.reply(request, 503)
             return
         if report.worker not in shard.workers:
             shard.roster_changed(report.worker)
-        answer = shard.reported(report)
+        answer = shard.receive_heartbeat(report)
         if answer is None:
             ctx.reply(request, 503)
             return
-        if not shard.workers[report.worker].hearing.doubted:
-            self.reach.reported()  # a report that proves no more than its sending is no reach
+        if not shard.workers[report.worker].delivery.suspect:
+            self.connectivity.worker_contacted()  # a report that proves no more than its sending is no reach
         ctx.reply(request, 200, answer)
 
-    def _adopt(self, request: int, report: m.WorkerReport) -> None:
+    def _adopt_machine(self, request: int, report: m.WorkerReport) -> None:
         """A machine that nobody expected: put it on the roster first, then answer."""
         ctx = self.ctx
         if not self.ownership.entitled() or not self.shards:
             ctx.reply(request, 503)
             return
-        index = self.home if self.home in self.shards else min(self.shards)
+        index = self.home_shard if self.home_shard in self.shards else min(self.shards)
 
         def done(status: int, failed: list[str]) -> None:
             if report.worker in ctx.view.by_kind["roster"]:
-                self._report(request, report)
+                self._receive_heartbeat(request, report)
             else:
                 ctx.reply(request, 503)
 
-        self.provision.inventory.adopt_reported(report, index, done)
+        self.autoscaler.inventory.adopt_from_heartbeat(report, index, done)
--- a/quinceslip/coordination/controller/user_requests.py
+++ b/quinceslip/coordination/controller/user_requests.py
@@ -32,9 +32,9 @@
 
     request: int
     uid: str
-    since_us: int
-    then: str = "status"
-    absent: tuple[int, object] = (404, {"error": "no such job"})
+    asked_us: int
+    action: str = "status"
+    answer_if_absent: tuple[int, object] = (404, {"error": "no such job"})
     spec: m.JobSpec | None = None  # what to submit once the read is known
 
 
@@ -45,27 +45,27 @@
         self.shards = shards
         self.balancer = balancer
         self.subsystems = subsystems
-        self.polls: list[Waiting] = []  # for the next barrier
-        self.behind: list[tuple[int, list[Waiting]]] = []  # for the view to catch up
-        self.cancels: list[tuple[int, str, int, int]] = []  # to be tried again
-        self.barrier_busy = False
+        self.waiting_for_barrier: list[Waiting] = []  # for the next barrier
+        self.awaiting_cache: list[tuple[int, list[Waiting]]] = []  # for the view to catch up
+        self.cancel_retries: list[tuple[int, str, int, int]] = []  # to be tried again
+        self.barrier_open = False
         facts = ctx.settings.facts
         self.read_gap_us = min(int(SECOND * facts.size / (READ_PART * ctx.limits.rps)), READ_WAIT_US)
         self.next_read_us = 0
-        self.reads = 0  # barriers so far, for tests and profiles
+        self.read_barriers = 0  # barriers so far, for tests and profiles
 
     def tick(self) -> None:
         now_us = self.ctx.now_us
-        due = [c for c in self.cancels if c[3] <= now_us]
-        self.cancels = [c for c in self.cancels if c[3] > now_us]
+        due = [c for c in self.cancel_retries if c[3] <= now_us]
+        self.cancel_retries = [c for c in self.cancel_retries if c[3] > now_us]
         for request, uid, tries, _ in due:
             self._cancel(request, uid, tries)
-        self.caught_up()
+        self.cache_advanced()
         # Guard: a read that hangs holds up nobody past the time that users wait, however many ask meanwhile.
-        self.polls = self._in_time(self.polls)
-        self._barrier()
+        self.waiting_for_barrier = self._still_in_time(self.waiting_for_barrier)
+        self._start_read_barrier()
 
-    def take(self, request: UserRequest) -> None:
+    def handle(self, request: UserRequest) -> None:
         if request.verb == "submit":
             self._submit(request.request, request.spec)
         elif request.verb == "malformed":
@@ -82,15 +82,15 @@
     def _status(self, uid: str, job: records.JobRecord) -> dict[str, object]:
         if records.is_final(job):
             return m.job_answer(uid, job.state, job.done, 0)
-        if self.ctx.graph.is_withdrawn(uid):
+        if self.ctx.graph.is_cancelled(uid):
             return m.job_answer(uid, m.WITHDRAWN, 0, 0)
         chunks = [s.chunks[uid] for s in self.shards.values() if uid in s.chunks]
         running = sum(a.state == m.RUNNING for c in chunks for a in c.attempts.values())
         done = records.done_count(self.ctx.view, uid)
-        why = next((c.trial.why() for c in chunks if c.trial.suspected), None)
+        why = next((c.crash_loop.reason() for c in chunks if c.crash_loop.suspected), None)
         return m.job_answer(uid, m.RUNNING if running else m.QUEUED, done, running, why)
 
-    def _never_runs(self, spec: m.JobSpec) -> str | None:
+    def _never_runs_reason(self, spec: m.JobSpec) -> str | None:
         """Why a job can never run; None if it can."""
         if self.ctx.team(spec.team) is None:
             return f"unknown team {spec.team}"
@@ -100,13 +100,13 @@
             where = "" if spec.zone is None else f" in {spec.zone}"
             return (f"a task of {spec.cpus:g} CPUs, {spec.gpus:g} GPUs and {spec.memory_gb:g} GB fits no allowed "
                     f"machine type{where}: {', '.join(sorted(t.label for t in kinds)) or 'there is none'}")
-        return next((why for s in self.subsystems if (why := s.never_runs(spec)) is not None), None)
+        return next((why for s in self.subsystems if (why := s.never_runs_reason(spec)) is not None), None)
 
-    def _over(self, uid: str, job: records.JobRecord | None) -> bool:
+    def _is_final(self, uid: str, job: records.JobRecord | None) -> bool:
         """Whether its state is final: by its own record, or by that of a job that it needs."""
-        return job is not None and (records.is_final(job) or self.ctx.graph.is_withdrawn(uid))
+        return job is not None and (records.is_final(job) or self.ctx.graph.is_cancelled(uid))
 
-    def _waits_wrongly(self, spec: m.JobSpec) -> str | None:
+    def _dependency_error(self, spec: m.JobSpec) -> str | None:
         """Why a job can never start for what it names; None if it can, as far as this node knows."""
         if spec.uid in spec.waits_on:
             return f"{spec.uid} waits on itself"
@@ -118,10 +118,10 @@
                 return f"waits on {uid}, which is a service and never done"
         return None
 
-    def _starts_withdrawn(self, spec: m.JobSpec) -> bool:
+    def _depends_on_cancelled(self, spec: m.JobSpec) -> bool:
         """Whether a job that it names is withdrawn already."""
         jobs = [(uid, self.ctx.view.job(uid)) for uid in spec.waits_on]
-        return any(job is not None and self._over(uid, job) and job.state != m.DONE for uid, job in jobs)
+        return any(job is not None and self._is_final(uid, job) and job.state != m.DONE for uid, job in jobs)
 
     def _submit(self, request: int, spec: m.JobSpec, read: bool = False) -> None:
         """`read`: the ledger was read since it was asked, and the view has it all."""
@@ -131,23 +131,23 @@
         if known is not None:
             self._poll(request, uid)
             return
-        if not ctx.view.loaded or not ctx.types or not self.ctx.state_ok():
+        if not ctx.view.synced or not ctx.types or not self.ctx.store_available():
             self._unavailable(request)
             return
         spec = m.waiting_on(spec, list(dict.fromkeys(spec.waits_on)))
         everything = task_sets.encode(set(range(spec.tasks)))
         last = ctx.settings.facts.size - 1  # of the shards, the longest to write
         job = records.JobRecord(m.QUEUED, spec.tasks, spec, last, records.Chunk(everything), ctx.wall_us)
-        why = self._never_runs(spec) if ctx.fits(job) else "its description is larger than a record may be"
+        why = self._never_runs_reason(spec) if ctx.fits_record(job) else "its description is larger than a record may be"
         if why is not None:
             # Not before it is sure that the job is not known: an accepted job never gets 422.
             self._poll(request, uid, absent=(422, {"error": why}))
             return
         if spec.waits_on:
-            if not ctx.allows(PIPELINES):
+            if not ctx.feature_active(PIPELINES):
                 self._unavailable(request)  # some controller may still run a version that does not know of it
                 return
-            why = self._waits_wrongly(spec)
+            why = self._dependency_error(spec)
             if why is not None:
                 # Final for its user: not before this node knows what others accepted until now.
                 if read:
@@ -167,9 +167,9 @@
         def done(status: int, failed: list[str]) -> None:
             if status == 200:
                 if not spec.waits_on:
-                    self.balancer.accepted(spec)
+                    self.balancer.tasks_arrived(spec)
                 log.debug("accepted %s: %d tasks of %s for shard %d", uid, spec.tasks, spec.job_class, shard)
-                ctx.reply(request, 201, m.job_answer(uid, m.WITHDRAWN if self._starts_withdrawn(spec) else m.QUEUED))
+                ctx.reply(request, 201, m.job_answer(uid, m.WITHDRAWN if self._depends_on_cancelled(spec) else m.QUEUED))
             elif status == 409:
                 self._poll(request, uid)
             else:
@@ -180,32 +180,32 @@
     def _poll(self, request: int, uid: str, then: str = "status",
               absent: tuple[int, object] = (404, {"error": "no such job"}), spec: m.JobSpec | None = None) -> None:
         job = self.ctx.view.job(uid)
-        if job is not None and self._over(uid, job):
+        if job is not None and self._is_final(uid, job):
             self.ctx.reply(request, 200, self._status(uid, job))
             return
-        if len(self.polls) >= MAX_WAITING_POLLS:
+        if len(self.waiting_for_barrier) >= MAX_WAITING_POLLS:
             self._unavailable(request)
             return
-        self.polls.append(Waiting(request, uid, self.ctx.now_us, then, absent, spec))
-        self._barrier()
+        self.waiting_for_barrier.append(Waiting(request, uid, self.ctx.now_us, then, absent, spec))
+        self._start_read_barrier()
 
-    def _barrier(self) -> None:
+    def _start_read_barrier(self) -> None:
         """One read of the ledger serves every waiting poll; then the view must have caught up.
 
         Reads keep a distance: however many users ask, they take no more than their part of the requests, and reports
         and results keep theirs. A read made before a poll came proves nothing for it, so none is shared backwards.
         """
-        if not self.polls or self.barrier_busy or self.ctx.now_us < self.next_read_us:
+        if not self.waiting_for_barrier or self.barrier_open or self.ctx.now_us < self.next_read_us:
             return
         self.next_read_us = self.ctx.now_us + self.read_gap_us
-        self.reads += 1
-        waiting, self.polls = self.polls, []
-        self.barrier_busy = True
-        left_us = waiting[0].since_us + ANSWER_US - self.ctx.now_us
+        self.read_barriers += 1
+        waiting, self.waiting_for_barrier = self.waiting_for_barrier, []
+        self.barrier_open = True
+        left_us = waiting[0].asked_us + ANSWER_US - self.ctx.now_us
 
         def done(status: int, body: bytes) -> None:
-            self.barrier_busy = False
-            self.ctx.note_state(status)
+            self.barrier_open = False
+            self.ctx.note_store_status(status)
             ledger = None
             if status == 404:
                 try:
@@ -216,28 +216,28 @@
                 for entry in waiting:
                     self._unavailable(entry.request)
             else:
-                self.behind.append((ledger, waiting))
-                self.caught_up()
+                self.awaiting_cache.append((ledger, waiting))
+                self.cache_advanced()
             # Bound: each is called by an answer of the state service, so none is within another.
-            self._barrier()
+            self._start_read_barrier()
 
         self.ctx.call("state", "GET", f"{m.PATH_KV}/{records.NOTHING}", None, done,
                       timeout_us=min(SECOND, max(READ_WAIT_US, left_us)))
 
-    def caught_up(self) -> None:
-        behind, self.behind = self.behind, []
+    def cache_advanced(self) -> None:
+        behind, self.awaiting_cache = self.awaiting_cache, []
         for ledger, waiting in behind:
-            if self.ctx.view.loaded and self.ctx.view.ledger >= ledger:
+            if self.ctx.view.synced and self.ctx.view.ledger >= ledger:
                 for entry in waiting:
                     self._after_barrier(entry)
-            elif left := self._in_time(waiting):
-                self.behind.append((ledger, left))
+            elif left := self._still_in_time(waiting):
+                self.awaiting_cache.append((ledger, left))
 
-    def _in_time(self, waiting: list[Waiting]) -> list[Waiting]:
+    def _still_in_time(self, waiting: list[Waiting]) -> list[Waiting]:
         """Those whose users still wait; the others are told that it cannot be decided yet."""
         left = []
         for entry in waiting:
-            if self.ctx.now_us < entry.since_us + ANSWER_US:
+            if self.ctx.now_us < entry.asked_us + ANSWER_US:
                 left.append(entry)
             else:
                 self._unavailable(entry.request)
@@ -248,8 +248,8 @@
         if job is None and entry.spec is not None:
             self._submit(entry.request, entry.spec, read=True)
         elif job is None:
-            self.ctx.reply(entry.request, *entry.absent)
-        elif entry.then == "cancel":
+            self.ctx.reply(entry.request, *entry.answer_if_absent)
+        elif entry.action == "cancel":
             self._cancel(entry.request, entry.uid, 3)
         else:
             self.ctx.reply(entry.request, 200, self._status(entry.uid, job))
@@ -257,10 +257,10 @@
     def _cancel(self, request: int, uid: str, tries: int) -> None:
         ctx = self.ctx
         job = ctx.view.job(uid)
-        if job is not None and self._over(uid, job):
+        if job is not None and self._is_final(uid, job):
             ctx.reply(request, 200, m.job_answer(uid, job.state if records.is_final(job) else m.WITHDRAWN))
             return
-        if job is None or not self.ctx.state_ok():
+        if job is None or not self.ctx.store_available():
             # A job this node has not heard of yet may exist all the same.
             if job is None:
                 self._poll(request, uid, then="cancel")
@@ -275,10 +275,10 @@
         def done(status: int, failed: list[str]) -> None:
             if status == 200:
                 log.info("job %s is withdrawn", uid)
-                ctx.sweep(parts[most:])
+                ctx.delete_unneeded(parts[most:])
                 ctx.reply(request, 200, m.job_answer(uid, m.WITHDRAWN))
             elif status == 409 and tries > 1:
-                self.cancels.append((request, uid, tries - 1, ctx.now_us + 200_000))
+                self.cancel_retries.append((request, uid, tries - 1, ctx.now_us + 200_000))
             else:
                 self._unavailable(request)
 
--- a/quinceslip/coordination/leadership/connectivity.py
+++ b/quinceslip/coordination/leadership/connectivity.py
@@ -37,22 +37,22 @@
     def __init__(self, ctx: Context, home: int) -> None:
         self.ctx = ctx
         self.home = home
-        self.reported_us = ctx.now_us  # when a worker of a shard of ours reported last
-        self.aside = False
-        self.next_ask_us = 0
-        self.asked = 0
-        self._strays: dict[int, dict[str, int]] = {}  # by shard: its workers that came here, and when
+        self.last_contact_us = ctx.now_us  # when a worker of a shard of ours reported last
+        self.yielding = False
+        self.next_probe_us = 0
+        self.probes_sent = 0
+        self._misrouted: dict[int, dict[str, int]] = {}  # by shard: its workers that came here, and when
         self._latest: dict[str, tuple[int, int]] = {}  # of these workers: session and number of the latest report
         self._read_us: dict[str, int] = {}  # when the record of a peer last changed
         self._writing = False
         self._next_write_us = 0
 
-    def reported(self) -> None:
+    def worker_contacted(self) -> None:
         """A worker of ours, or one that belongs elsewhere, has reached this controller."""
-        self.reported_us = self.ctx.now_us
-        self._back()
+        self.last_contact_us = self.ctx.now_us
+        self._contact_restored()
 
-    def stray(self, shard: int, report: m.WorkerReport) -> None:
+    def worker_misrouted(self, shard: int, report: m.WorkerReport) -> None:
         """A worker came here that a peer owns; a copy of what it said before is no coming."""
         number = (report.session, report.seq)
         if number <= self._latest.get(report.worker, (0, 0)):
@@ -61,31 +61,31 @@
         if len(self._latest) > 2 * len(roster):
             self._latest = {n: latest for n, latest in self._latest.items() if n in roster}
         self._latest[report.worker] = number
-        self._strays.setdefault(shard, {})[report.worker] = self.ctx.now_us
-        self._back()
+        self._misrouted.setdefault(shard, {})[report.worker] = self.ctx.now_us
+        self._contact_restored()
 
-    def strays(self) -> list[tuple[int, int]]:
+    def misrouted_counts(self) -> list[tuple[int, int]]:
         """Shard and number of workers that came here in vain lately: once at least while each tries all controllers."""
         since_us = self.ctx.now_us - 2 * REPORT_WAIT_US
         found = []
-        for shard, workers in list(self._strays.items()):
+        for shard, workers in list(self._misrouted.items()):
             for name in [n for n, at_us in workers.items() if at_us < since_us]:
                 del workers[name]
             if workers:
                 found.append((shard, len(workers)))
             else:
-                del self._strays[shard]
+                del self._misrouted[shard]
         return found
 
     # The same by way of the state service.
 
-    def note(self) -> None:
+    def write_misrouted_record(self) -> None:
         """Write down whose workers come here in vain; take it back once there are none."""
         if self._writing or self.ctx.now_us < self._next_write_us:
             return
         label, view = self.ctx.settings.label, self.ctx.view
         key = records.stray_key(label)
-        strays = [(shard, count) for shard, count in self.strays() if count >= LEAST]
+        strays = [(shard, count) for shard, count in self.misrouted_counts() if count >= LEAST]
         if not strays and label not in view.by_kind["stray"]:
             return
         self._writing, self._next_write_us = True, self.ctx.now_us + WRITE_US
@@ -95,52 +95,52 @@
 
         # Conditional, so that one that is late does not come back after it was taken back.
         puts = {key: (records.StrayRecord(strays), None)} if strays else {}
-        self.ctx.txn({key: view.stamp(key)}, puts, [] if strays else [key], done, Urgency.ROSTER)
+        self.ctx.txn({key: view.stamp(key)}, puts, [] if strays else [key], done, Urgency.LAUNCH)
 
-    def noted(self, label: str) -> None:
+    def peer_record_changed(self, label: str) -> None:
         """The record of a peer has changed."""
         self._read_us[label] = self.ctx.now_us
 
-    def written(self, shard: int) -> int:
+    def recorded_misrouted(self, shard: int) -> int:
         """How many workers of a shard came to peers in vain, by their records; the clock is that of the reader."""
         since_us = self.ctx.now_us - 2 * WRITE_US
         return sum(count for label, record in self.ctx.view.by_kind["stray"].items()
                    if label != self.ctx.settings.label and self._read_us.get(label, 0) > since_us
                    for s, count in record.strays if s == shard)
 
-    def cut_off(self, workers: Iterable[Worker], strays: int) -> bool:
+    def lost_contact(self, workers: Iterable[Worker], strays: int) -> bool:
         """Whether peers hear of most of these workers while this controller hears of none."""
-        if self.ctx.now_us - self.reported_us <= self.ctx.timing.probe_us:
+        if self.ctx.now_us - self.last_contact_us <= self.ctx.timing.probe_after_us:
             return False
-        asked = [w for w in workers if w.attempts and not w.lost and not w.deleting]
-        silent = sum(w.hearing.deaf > 0 for w in asked)
+        asked = [w for w in workers if w.attempts and not w.lease_expired and not w.deleting]
+        silent = sum(w.delivery.unanswered_probes > 0 for w in asked)
         return len(asked) >= LEAST and 2 * silent >= len(asked) and 2 * strays >= len(asked)
 
-    def step_aside(self, shard: int) -> None:
-        self.aside = True
-        self.next_ask_us = self.ctx.now_us + ASK_US
+    def start_yielding(self, shard: int) -> None:
+        self.yielding = True
+        self.next_probe_us = self.ctx.now_us + ASK_US
         log.info("shard %d is handed over: its workers reach peers and not this controller", shard)
 
     def tick(self) -> None:
         """While aside, ask one worker after the other."""
-        if not self.aside or self.ctx.now_us < self.next_ask_us:
+        if not self.yielding or self.ctx.now_us < self.next_probe_us:
             return
-        self.next_ask_us = self.ctx.now_us + ASK_US
+        self.next_probe_us = self.ctx.now_us + ASK_US
         roster = self.ctx.view.by_kind["roster"].values()
         endpoints = [r.endpoint for r in roster if r.endpoint and r.shard == self.home]
         if not endpoints:
-            self._back()
+            self._contact_restored()
             return
-        self.asked += 1
+        self.probes_sent += 1
 
         def done(status: int, body: bytes) -> None:
             if status == 200:
-                self._back()
+                self._contact_restored()
 
-        self.ctx.call(endpoints[self.asked % len(endpoints)], "GET", m.PATH_INSPECT, None, done, timeout_us=SECOND)
+        self.ctx.call(endpoints[self.probes_sent % len(endpoints)], "GET", m.PATH_INSPECT, None, done, timeout_us=SECOND)
 
-    def _back(self) -> None:
-        if self.aside:
+    def _contact_restored(self) -> None:
+        if self.yielding:
             log.info("workers reach this controller again")
-            self.aside = False
-            self.reported_us = self.ctx.now_us
+            self.yielding = False
+            self.last_contact_us = self.ctx.now_us
--- a/quinceslip/coordination/leadership/election.py
+++ b/quinceslip/coordination/leadership/election.py
@@ -24,25 +24,25 @@
         self.ctx = ctx
         self.home = home
         self.size = ctx.settings.facts.size
-        self.gained = gained
-        self.lost = lost
-        self.lease: int | None = None
+        self.on_gained = gained
+        self.on_lost = lost
+        self.leader_lease: int | None = None
         # No contact has been proven: whatever an earlier life of this controller knew, this one does not.
         self.lease_sent_us = self.watch_sent_us = ctx.now_us - 2 * (ctx.timing.owner_lease_us + ctx.timing.grace_us)
-        self.asking = False
+        self.lease_call_open = False
         self.next_lease_us = 0
         self.terms: dict[int, int] = {}
         self.stamps: dict[int, int] = {}
         self.claiming = False
         self.next_claim_us = 0
         self.absent_since: dict[int, int] = {}
-        self.leaving: dict[int, bool] = {}  # shards on their way to another owner; whether it may be done
-        self.next_give_back_us = 0
-        self.aside = False  # it does not reach its workers: others go first
+        self.handing_over: dict[int, bool] = {}  # shards on their way to another owner; whether it may be done
+        self.next_hand_over_us = 0
+        self.yielding = False  # it does not reach its workers: others go first
 
     # What the node may do now.
 
-    def _confirmed_us(self) -> int:
+    def _last_contact_us(self) -> int:
         # Both must be recent: the lease says nobody took over, the watch that we would have heard
         # of a cancellation. A watch that hangs while renewals succeed must not pass for contact.
         return min(self.lease_sent_us, self.watch_sent_us)
@@ -55,93 +55,93 @@
         it. What was there before, the next owner inherits as unknown.
         """
         lasts = int(self.ctx.timing.owner_lease_us * 0.95) - 50_000
-        return shard not in self.leaving and self.lease is not None and self.ctx.now_us < self._confirmed_us() + lasts
+        return shard not in self.handing_over and self.leader_lease is not None and self.ctx.now_us < self._last_contact_us() + lasts
 
-    def answering(self) -> bool:
+    def may_answer(self) -> bool:
         """May still answer the workers of its shards (grace)."""
         timing = self.ctx.timing
-        return self.ctx.now_us < self._confirmed_us() + timing.owner_lease_us + timing.grace_us
+        return self.ctx.now_us < self._last_contact_us() + timing.owner_lease_us + timing.grace_us
 
-    def owns(self, shard: int) -> bool:
+    def leads(self, shard: int) -> bool:
         return shard in self.terms
 
-    def condition(self, shard: int) -> dict[str, int]:
+    def fencing_condition(self, shard: int) -> dict[str, int]:
         return {records.shard_key(shard): self.stamps[shard]}
 
     # The lease: PROTOCOL's hold.
 
     def tick(self) -> None:
         ctx = self.ctx
-        if not self.asking and ctx.now_us >= self.next_lease_us:
-            if self.lease is None:
-                self._create()
+        if not self.lease_call_open and ctx.now_us >= self.next_lease_us:
+            if self.leader_lease is None:
+                self._create_lease()
             elif ctx.now_us >= self.lease_sent_us + ctx.timing.owner_lease_us // 4:
-                self._renew()
+                self._renew_lease()
         if not self.claiming:
             # A claim whose answer never came may have been applied: its stamp is not ours.
             for shard in [s for s in self.stamps if ctx.view.stamp(records.shard_key(s)) != self.stamps[s]]:
-                self._drop(shard)
-            if self.leaving and ctx.now_us >= self.next_give_back_us:
-                self.give_back(next(iter(self.leaving)))  # until its outcome is certain
-        if self.lease is not None and ctx.view.loaded and not self.claiming \
+                self._drop_shard(shard)
+            if self.handing_over and ctx.now_us >= self.next_hand_over_us:
+                self.hand_over(next(iter(self.handing_over)))  # until its outcome is certain
+        if self.leader_lease is not None and ctx.view.synced and not self.claiming \
                 and ctx.now_us >= self.next_claim_us and self.entitled():
-            self._claim_one()
+            self._claim_next()
 
-    def _create(self) -> None:
+    def _create_lease(self) -> None:
         sent_us = self.ctx.now_us
-        self.asking = True
+        self.lease_call_open = True
 
         def done(status: int, body: bytes) -> None:
-            self.asking = False
-            self.ctx.note_state(status)
+            self.lease_call_open = False
+            self.ctx.note_store_status(status)
             if status == 200:
-                self.lease = msgspec.json.decode(body, type=messages.HoldAnswer).hold
+                self.leader_lease = msgspec.json.decode(body, type=messages.HoldAnswer).hold
                 self.lease_sent_us = sent_us
-                log.info("lease %d created", self.lease)
+                log.info("lease %d created", self.leader_lease)
             else:
                 self.next_lease_us = self.ctx.now_us + SECOND // 2
 
         self.ctx.call("lease", "POST", messages.PATH_HOLDS,
                       messages.hold_request(self.ctx.timing.owner_lease_us), done)
 
-    def _renew(self) -> None:
+    def _renew_lease(self) -> None:
         sent_us = self.ctx.now_us
-        lease = self.lease
+        lease = self.leader_lease
         assert lease is not None
-        self.asking = True
+        self.lease_call_open = True
 
         def done(status: int, body: bytes) -> None:
-            self.asking = False
-            self.ctx.note_state(status)
-            if lease != self.lease:
+            self.lease_call_open = False
+            self.ctx.note_store_status(status)
+            if lease != self.leader_lease:
                 return
             if status == 200:
                 self.lease_sent_us = sent_us
             elif status == 404:
                 log.info("lease %d has ended; shards %s are no longer ours", lease, sorted(self.terms))
-                self.lease = None
+                self.leader_lease = None
                 for shard in list(self.terms):
-                    self._drop(shard)
+                    self._drop_shard(shard)
             else:
                 self.next_lease_us = self.ctx.now_us + 200_000
 
         self.ctx.call("lease", "POST", messages.renew_path(lease), None, done)
 
-    def _drop(self, shard: int) -> None:
+    def _drop_shard(self, shard: int) -> None:
         self.terms.pop(shard, None)
         self.stamps.pop(shard, None)
-        self.leaving.pop(shard, None)
-        self.lost(shard)
+        self.handing_over.pop(shard, None)
+        self.on_lost(shard)
 
     # Claims.
 
-    def _claim_one(self) -> None:
+    def _claim_next(self) -> None:
         now_us = self.ctx.now_us
         mine = self.ctx.settings.label
         for offset in range(self.size):
             shard = (self.home - offset) % self.size
             record = self.ctx.view.shard(shard)
-            if self.owns(shard):
+            if self.leads(shard):
                 continue
             if record is not None and record.owner != mine:
                 self.absent_since.pop(shard, None)
@@ -154,7 +154,7 @@
                 delay = offset * SECOND // 2
                 if since - self.ctx.started_us < self.ctx.timing.owner_lease_us:
                     delay += self.ctx.timing.owner_lease_us
-            if self.aside:
+            if self.yielding:
                 delay += 2 * self.ctx.timing.owner_lease_us
             if now_us >= since + delay:
                 self.claim(shard)
@@ -162,7 +162,7 @@
 
     def claim(self, shard: int, above: int = 0) -> None:
         """Take a shard, or raise the term of one we own already, to more than `above`."""
-        if self.claiming or self.lease is None:
+        if self.claiming or self.leader_lease is None:
             return
         view = self.ctx.view
         counter = view.by_kind["term"].get("")
@@ -172,38 +172,38 @@
         previous = view.shard(shard)
         own_before = previous.term if previous is not None and previous.owner == self.ctx.settings.label else 0
         record = records.ShardRecord(self.ctx.settings.label, term)
-        lease = self.lease
+        lease = self.leader_lease
         self.claiming = True
 
         def done(status: int, failed: list[str]) -> None:
             self.claiming = False
-            if status == 200 and self.lease == lease:
+            if status == 200 and self.leader_lease == lease:
                 stamp = view.stamp(key)
                 raised = shard in self.terms
                 self.terms[shard], self.stamps[shard] = term, stamp
                 self.absent_since.pop(shard, None)
                 log.info("shard %d is ours under term %d%s", shard, term, " (raised)" if raised else "")
-                self.gained(shard, term, own_before)
+                self.on_gained(shard, term, own_before)
             else:
                 self.next_claim_us = self.ctx.now_us + 150_000
 
         self.ctx.txn(conditions, {records.TERM: (records.TermRecord(term), None), key: (record, lease)},
                      [], done, Urgency.USER)
 
-    def record_changed(self, shard: int) -> None:
+    def shard_record_changed(self, shard: int) -> None:
         """The view has news of a shard record."""
         record = self.ctx.view.shard(shard)
         stamp = self.ctx.view.stamp(records.shard_key(shard))
         if shard in self.stamps and stamp != self.stamps[shard] and not (
                 self.claiming and record is not None and record.owner == self.ctx.settings.label):
             log.info("shard %d was taken from us by %s", shard, record.owner if record else "nobody yet")
-            self._drop(shard)
+            self._drop_shard(shard)
 
-    def owner(self, shard: int) -> str | None:
+    def leader(self, shard: int) -> str | None:
         record = self.ctx.view.shard(shard)
         return record.owner if record else None
 
-    def give_back(self, shard: int) -> None:
+    def hand_over(self, shard: int) -> None:
         """Hand a shard to its home, which is alive again, or to a peer that reaches its workers.
 
         The record is dropped, and whoever is next claims it.
@@ -211,8 +211,8 @@
         if self.claiming or shard not in self.stamps:
             return
         self.claiming = True
-        self.leaving.setdefault(shard, False)
-        self.next_give_back_us = self.ctx.now_us + SECOND // 2
+        self.handing_over.setdefault(shard, False)
+        self.next_hand_over_us = self.ctx.now_us + SECOND // 2
 
         def done(status: int, failed: list[str]) -> None:
             self.claiming = False
@@ -220,12 +220,12 @@
                 return
             if status == 200:
                 log.info("shard %d is handed over", shard)
-                self._drop(shard)
-            elif status in (NOT_SENT, 400, 429, 503) and not self.leaving.get(shard):
-                self.leaving.pop(shard, None)  # no attempt of it can be carried out any more
+                self._drop_shard(shard)
+            elif status in (NOT_SENT, 400, 429, 503) and not self.handing_over.get(shard):
+                self.handing_over.pop(shard, None)  # no attempt of it can be carried out any more
             else:
                 # Carried out without an answer, or to be: it goes on, until it is done or its condition fails. Where
                 # that has failed, the record has changed, and the watch is about to say so.
-                self.leaving[shard] = True
+                self.handing_over[shard] = True
 
-        self.ctx.txn(self.condition(shard), {}, [records.shard_key(shard)], done, Urgency.USER)
+        self.ctx.txn(self.fencing_condition(shard), {}, [records.shard_key(shard)], done, Urgency.USER)
--- a/quinceslip/coordination/load_balancing/load_balancer.py
+++ b/quinceslip/coordination/load_balancing/load_balancer.py
@@ -42,8 +42,8 @@
         self.next_balance_us = ctx.now_us + SECOND
         self.next_move_us = 0
         self.levels: dict[int, int] = {}
-        self.resting = False
-        self.accepted_us: list[tuple[int, int]] = []  # when, how many tasks
+        self.levels_suspended = False
+        self.recent_arrivals: list[tuple[int, int]] = []  # when, how many tasks
 
     def tick(self) -> None:
         now_us = self.ctx.now_us
@@ -55,38 +55,38 @@
             self._balance()
         if now_us >= self.next_move_us:
             self.next_move_us = now_us + SECOND
-            self.ctx.part = "moves"
+            self.ctx.active_part = "moves"
             # What it stood still in is left out for a while (docs/standstill.md): work waits where it was accepted.
-            if not self.ctx.rests("moves"):
+            if not self.ctx.is_suspended("moves"):
                 self._move_waiting()
 
-    def accepted(self, spec: m.JobSpec) -> None:
+    def tasks_arrived(self, spec: m.JobSpec) -> None:
         """Arrivals are the rate of the model. Services never finish, and are no part of m and u either."""
         if not spec.service:
-            self.accepted_us.append((self.ctx.now_us, spec.tasks))
+            self.recent_arrivals.append((self.ctx.now_us, spec.tasks))
 
     # Peers.
 
-    def heard(self, beat: frames.Beat) -> None:
+    def heartbeat_received(self, beat: frames.Beat) -> None:
         now_us = self.ctx.now_us
         last = self.peers.get(beat.label)
         steady = last is not None and now_us - last.at_us <= PEER_SILENT_US
         self.peers[beat.label] = Heard(now_us, last.since_us if last and steady else now_us, beat)
 
-    def alive(self, label: str) -> bool:
+    def is_alive(self, label: str) -> bool:
         known = self.peers.get(label)
         return known is not None and self.ctx.now_us - known.at_us < PEER_SILENT_US
 
     def peer_loads(self) -> list[frames.ShardLoad]:
         """What peers that are alive reported of their shards."""
-        return [load for label, peer in self.peers.items() if self.alive(label) for load in peer.beat.loads]
+        return [load for label, peer in self.peers.items() if self.is_alive(label) for load in peer.beat.loads]
 
     def loads(self) -> list[frames.ShardLoad]:
         """What this node reports of its own."""
         found = []
         for shard in self.shards.values():
-            slots, rate = shard.station()
-            found.append(frames.ShardLoad(shard.index, shard.waiting(), slots, shard.room(), rate,
+            slots, rate = shard.queueing_station()
+            found.append(frames.ShardLoad(shard.index, shard.waiting_tasks(), slots, shard.free_slots(), rate,
                                           shard.service_room(), shard.quick_room()))
         return found
 
@@ -99,18 +99,18 @@
         room: dict[int, int] = {}
         for name, record in self.ctx.view.by_kind["load"].items():
             if name.isdecimal():
-                self._told(int(name), record, stations, waiting)
+                self._add_load(int(name), record, stations, waiting)
         for load in self.peer_loads():
-            if self._told(load.shard, load, stations, waiting):
+            if self._add_load(load.shard, load, stations, waiting):
                 room[load.shard] = load.room
         for shard in self.shards.values():
-            slots, rate = shard.station()
+            slots, rate = shard.queueing_station()
             stations[shard.index] = queueing_model.Station(slots, rate)
-            waiting[shard.index] = shard.waiting()
-            room[shard.index] = shard.room()
+            waiting[shard.index] = shard.waiting_tasks()
+            room[shard.index] = shard.free_slots()
         return stations, waiting, room
 
-    def _told(self, shard: int, load: records.LoadRecord | frames.ShardLoad, stations: dict[int, queueing_model.Station],
+    def _add_load(self, shard: int, load: records.LoadRecord | frames.ShardLoad, stations: dict[int, queueing_model.Station],
               waiting: dict[int, int]) -> bool:
         """Take what was told of a shard's load; what nobody can have measured counts as a shard without machines."""
         station = queueing_model.Station(load.slots, load.rate)
@@ -126,18 +126,18 @@
             return
         now_us = self.ctx.now_us
         window_us = 60 * SECOND
-        self.accepted_us = [(t, n) for t, n in self.accepted_us if now_us - t < window_us]
+        self.recent_arrivals = [(t, n) for t, n in self.recent_arrivals if now_us - t < window_us]
         span_s = max(5.0, min(window_us, now_us - self.ctx.started_us) / SECOND)
-        arrivals = sum(n for _, n in self.accepted_us) / span_s
+        arrivals = sum(n for _, n in self.recent_arrivals) / span_s
         writes: list[tuple[str, records.LoadRecord, dict[str, int]]] = []
         for shard in self.shards.values():
-            slots, rate = shard.station()
+            slots, rate = shard.queueing_station()
             share = arrivals if shard.index == self.ownership.home else 0.0
-            record = records.LoadRecord(shard.waiting(), slots, rate, share, shard.room())
+            record = records.LoadRecord(shard.waiting_tasks(), slots, rate, share, shard.free_slots())
             if self.ctx.view.by_kind["load"].get(str(shard.index)) != record:
                 key = records.load_key(shard.index)
                 # Carried out late it undoes no newer one.
-                writes.append((key, record, {**self.ownership.condition(shard.index), key: self.ctx.view.stamp(key)}))
+                writes.append((key, record, {**self.ownership.fencing_condition(shard.index), key: self.ctx.view.stamp(key)}))
         most = self.ctx.limits.txn_ops
         for batch in (writes[start: start + most] for start in range(0, len(writes), most)):
             conditions = {key: stamp for *_, each in batch for key, stamp in each.items()}
@@ -146,17 +146,17 @@
     def _balance(self) -> None:
         stations, _, _ = self._stations()
         # Before the first listing it is not known whether the levels rest.
-        if not stations or not self.ctx.view.loaded:
+        if not stations or not self.ctx.view.synced:
             return
-        resting, self.resting = self.resting, self.ctx.rests("levels")
-        if resting != self.resting:
+        resting, self.levels_suspended = self.levels_suspended, self.ctx.is_suspended("levels")
+        if resting != self.levels_suspended:
             log.info("this controller stood still in the levels: %s",
-                     "the levels rest for a while, each is m" if self.resting else "the levels are solved again")
-        if self.resting:
+                     "the levels rest for a while, each is m" if self.levels_suspended else "the levels are solved again")
+        if self.levels_suspended:
             # The same records would be solved again at once: for a while each level is m, as without an answer.
             self.levels = {i: s.slots for i, s in stations.items()}
             return
-        self.ctx.part = "levels"
+        self.ctx.active_part = "levels"
         total = sum(r.arrivals for r in self.ctx.view.by_kind["load"].values() if queueing_model.credible_rate(r.arrivals))
         order = sorted(stations)
         levels = queueing_model.fair_levels([stations[i] for i in order], total)
@@ -166,7 +166,7 @@
     def shard_for(self) -> int | None:
         """Home below its level, else as the paper forwards."""
         stations, waiting, _ = self._stations()
-        owned = {s for s in range(self.ownership.size) if self.ownership.owner(s)}
+        owned = {s for s in range(self.ownership.size) if self.ownership.leader(s)}
         if not owned:
             return None
         stations = {s: st for s, st in stations.items() if s in owned}
@@ -174,15 +174,15 @@
         chosen = queueing_model.choose_shard(home, stations, waiting, self.levels)
         return chosen if chosen in owned else home
 
-    def arrives(self, shard: Shard, chunk: Chunk) -> None:
+    def job_ready(self, shard: Shard, chunk: Chunk) -> None:
         """A job that waited for others is ready: an arrival at its shard, which hands it on as the paper forwards."""
-        self.accepted(chunk.spec)
+        self.tasks_arrived(chunk.spec)
         indices = shard.recorder.movable(chunk)
         if not indices or not self.ownership.entitled(shard.index):
             return
         stations, waiting, _ = self._stations()
         waiting[shard.index] -= len(indices)
-        owned = {s: st for s, st in stations.items() if self.ownership.owner(s)}
+        owned = {s: st for s, st in stations.items() if self.ownership.leader(s)}
         chosen = queueing_model.choose_shard(shard.index, owned, waiting, self.levels)
         if chosen != shard.index and chosen in owned:
             shard.recorder.move(chunk, indices, chosen)
@@ -194,9 +194,9 @@
             reported[other.index] = frames.ShardLoad(other.index, 0, 0, 0, 0.0, other.service_room())
         reported.pop(shard.index, None)
         order = self.ctx.settings.facts.zones
-        for chunk in shard.ordered():
+        for chunk in shard.waiting_in_order():
             spec = chunk.spec
-            if not spec.service or not chunk.pending or chunk.held or \
+            if not spec.service or not chunk.pending or chunk.on_hold or \
                     self.ctx.now_us < shard.moved_us.get(chunk.uid, 0) + MOVE_AGAIN_US:
                 continue
             whole = bool(shard.recorder.movable(chunk))
@@ -210,7 +210,7 @@
                 rooms = [room for zone, room in zip(order, other_load.service_room, strict=False)
                          if zone in allowed and spec.zone in (None, zone)]
                 fit = sum(min(most, int(room // max(spec.cpus, 0.01))) for room in rooms)
-                if fit >= len(chunk.pending) and self.ownership.owner(other_load.shard) and (
+                if fit >= len(chunk.pending) and self.ownership.leader(other_load.shard) and (
                         best is None or sum(rooms) > best[0]):
                     best = (sum(rooms), other_load)
             if best is None:
@@ -221,7 +221,7 @@
             shard.moved_us[chunk.uid] = self.ctx.now_us
             shard.recorder.move(chunk, sorted(chunk.pending), target.shard, split)
 
-    def quick_rooms(self) -> list[int]:
+    def quick_service_cpus(self) -> list[int]:
         """CPUs in every shard that services could have on machines quick enough for them."""
         rooms = {s.index: s.quick_room() for s in self.shards.values()}
         for reported in self.peer_loads():
@@ -237,13 +237,13 @@
         _, _, room = self._stations()
         for shard in self.shards.values():
             moves = 0
-            for chunk in shard.ordered():
+            for chunk in shard.waiting_in_order():
                 # What only its quota holds up waits where it is: what the other shard lacks as well would
                 # go to and fro, and grants come to where work waits.
-                indices = [] if chunk.held else shard.recorder.movable(chunk)
+                indices = [] if chunk.on_hold else shard.recorder.movable(chunk)
                 if not indices:
                     continue
-                targets = [s for s in room if s != shard.index and room[s] > 0 and self.ownership.owner(s)]
+                targets = [s for s in room if s != shard.index and room[s] > 0 and self.ownership.leader(s)]
                 if not targets or moves >= 2:
                     break
                 target = max(targets, key=lambda s: (room[s], -s))
--- a/quinceslip/coordination/reconciliation/commands.py
+++ b/quinceslip/coordination/reconciliation/commands.py
@@ -26,9 +26,9 @@
         self.state = state
         self.ctx = state.ctx
         self.recorder = recorder
-        self.reported = reported
+        self.receive_heartbeat = reported
 
-    def orders(self, worker: Worker, entitled: bool = True) -> list[m.Command]:
+    def commands_for(self, worker: Worker, entitled: bool = True) -> list[m.Command]:
         """What the answer to a report says; repeated until a report shows it happened.
 
         Guard: whoever is not entitled still tells what is over to end. An owner may have heard of a cancellation long
@@ -40,10 +40,10 @@
         launches: list[m.Command] = []
         reaps: list[m.Command] = []
         for name, attempt in list(worker.attempts.items()):
-            if not entitled and not (attempt.halting and not attempt.ended and self._over(attempt.uid)):
+            if not entitled and not (attempt.stopping and not attempt.end_cause and self._job_finished(attempt.uid)):
                 continue
-            if not attempt.seen:
-                if attempt.halting:
+            if not attempt.observed:
+                if attempt.stopping:
                     if state.settled(worker, attempt) or "pinned" not in state.guards:
                         # Launches in answers to reports are settled by the next report.
                         state.requeue(worker, attempt)
@@ -55,35 +55,35 @@
                         state.raise_term()
                 else:
                     launches.append(m.launch(name, attempt.number))
-                    attempt.told = True
-            elif not attempt.ended:
-                if attempt.halting and (attempt.state != m.FLUSHING or attempt.grace_s == 0):
+                    attempt.sent = True
+            elif not attempt.end_cause:
+                if attempt.stopping and (attempt.state != m.FLUSHING or attempt.grace_s == 0):
                     halts.append(m.halt(name, attempt.number, attempt.grace_s))
-                    attempt.told = True
-            elif self.recorder.recorded(attempt) or "recorded" not in state.guards:
+                    attempt.sent = True
+            elif self.recorder.is_recorded(attempt) or "recorded" not in state.guards:
                 if state.settled(worker, attempt):
                     reaps.append(m.reap(name, attempt.number))
                 else:
                     state.raise_term()
-        for name, task in worker.reported.items():
+        for name, task in worker.reported_tasks.items():
             known = worker.attempts.get(name)
             if known is not None and known.number == task.attempt:
                 continue
             if task.state == m.EXITED:
-                if entitled and worker.confirmed and not self._result_open(name, task):
+                if entitled and worker.fenced and not self._holds_unrecorded_result(name, task):
                     reaps.append(m.reap(name, task.attempt))
-            elif self._over(name.rpartition("/")[0]) or (entitled and self._unwanted(worker, name, task.attempt)):
+            elif self._job_finished(name.rpartition("/")[0]) or (entitled and self._unwanted(worker, name, task.attempt)):
                 halts.append(m.halt(name, task.attempt, 0.0))
         return halts + launches + reaps
 
-    def _result_open(self, name: str, task: m.TaskReport) -> bool:
+    def _holds_unrecorded_result(self, name: str, task: m.TaskReport) -> bool:
         """Whether it is the only place of a result that is not recorded yet."""
         uid, _, number = name.rpartition("/")
         chunk = self.state.chunks.get(uid)
         return chunk is not None and number.isdigit() and task.why == m.CAUSE_DONE \
-            and int(number) in chunk.own and int(number) not in chunk.done
+            and int(number) in chunk.assigned and int(number) not in chunk.done
 
-    def _over(self, uid: str) -> bool:
+    def _job_finished(self, uid: str) -> bool:
         """Whether its job is done or withdrawn, for ever."""
         job = self.ctx.view.job(uid)
         return job is not None and records.is_final(job)
@@ -102,51 +102,51 @@
     def send_direct(self) -> None:
         """Tell workers at once what cannot wait for their next report."""
         state = self.state
-        if not state.to_tell or not state.ownership.entitled(state.index):
+        if not state.workers_to_command or not state.ownership.entitled(state.index):
             return
-        for name in sorted(state.to_tell):
+        for name in sorted(state.workers_to_command):
             worker = state.workers.get(name)
-            if worker is None or worker.lost:
-                state.to_tell.discard(name)
+            if worker is None or worker.lease_expired:
+                state.workers_to_command.discard(name)
                 continue
             # A worker that does not answer would hold a thread until the time limit, and healthy
             # ones would wait behind it; it learns from the answer to its next report.
-            if worker.busy or worker.hearing.doubted or not worker.endpoint or not worker.confirmed:
+            if worker.command_open or worker.delivery.suspect or not worker.endpoint or not worker.fenced:
                 continue
-            state.to_tell.discard(name)
-            fresh = [a for a in worker.attempts.values() if not a.told and not a.ended]
-            halts = [a for a in fresh if a.halting and a.seen and a.state != m.FLUSHING]
-            launches = [a for a in fresh if not a.halting and not a.seen]
+            state.workers_to_command.discard(name)
+            fresh = [a for a in worker.attempts.values() if not a.sent and not a.end_cause]
+            halts = [a for a in fresh if a.stopping and a.observed and a.state != m.FLUSHING]
+            launches = [a for a in fresh if not a.stopping and not a.observed]
             if halts or launches:
-                self._direct(worker, halts, launches)
+                self._send_now(worker, halts, launches)
 
-    def _direct(self, worker: Worker, halts: list[Attempt], launches: list[Attempt]) -> None:
+    def _send_now(self, worker: Worker, halts: list[Attempt], launches: list[Attempt]) -> None:
         commands = [m.halt(a.name, a.number, a.grace_s) for a in halts]
         commands += [m.launch(a.name, a.number) for a in launches]
         for attempt in halts + launches:
-            attempt.told = True
+            attempt.sent = True
         for attempt in launches:
-            attempt.direct = True
-        worker.busy = True
+            attempt.direct_call_open = True
+        worker.command_open = True
         term, session = self.state.term, worker.session
 
         def done(status: int, body: bytes) -> None:
-            worker.busy = False
+            worker.command_open = False
             for attempt in launches:
-                attempt.direct = False
+                attempt.direct_call_open = False
                 if status not in (NOT_SENT, 200, 409, 400):
                     attempt.unanswered_term = term
-            report = self._read(worker, body) if status in (200, 409) else None
+            report = self._decode_heartbeat(worker, body) if status in (200, 409) else None
             if report is None:
                 return
             if status == 200 and launches and report.worker != worker.name:
-                self._call_back(worker.endpoint, launches, report)
+                self._revoke_launch(worker.endpoint, launches, report)
             if self.state.workers.get(worker.name) is worker:
-                self._direct_report(worker, report)
+                self._receive_direct_heartbeat(worker, report)
 
         self.ctx.call(worker.endpoint, "POST", m.PATH_DO, m.DirectCommands(term, session, commands), done)
 
-    def _call_back(self, endpoint: str, launches: list[Attempt], report: m.WorkerReport) -> None:
+    def _revoke_launch(self, endpoint: str, launches: list[Attempt], report: m.WorkerReport) -> None:
         """Another machine at that address has executed them: they end there at once, before they begin.
 
         Guard: a machine may be back as another one at its address, in the same session as the one before. What was
@@ -169,22 +169,22 @@
             worker.probing = False
             if self.state.workers.get(worker.name) is not worker:
                 return
-            report = self._read(worker, body) if status == 200 else None
-            if report is None or not self._direct_report(worker, report):
-                if asked_us >= worker.heard_us:
-                    worker.hearing.missed(asked_us)  # one that was asked during a cut may report before this fails
+            report = self._decode_heartbeat(worker, body) if status == 200 else None
+            if report is None or not self._receive_direct_heartbeat(worker, report):
+                if asked_us >= worker.last_contact_us:
+                    worker.delivery.probe_missed(asked_us)  # one that was asked during a cut may report before this fails
                 if worker.service_tasks:
                     worker.next_probe_us = self.ctx.now_us
-                self.state.alarm = self.state.alarm or worker.hearing.deaf >= PROBES
+                self.state.worker_failed = self.state.worker_failed or worker.delivery.unanswered_probes >= PROBES
             else:
                 state = self.state
-                if worker.token < state.term and not worker.busy and state.ownership.entitled(state.index):
+                if worker.token < state.term and not worker.command_open and state.ownership.entitled(state.index):
                     # An empty command shows it our term now; its report would take seconds.
-                    self._direct(worker, [], [])
+                    self._send_now(worker, [], [])
 
         self.ctx.call(worker.endpoint, "GET", m.PATH_INSPECT, None, done, timeout_us=SECOND)
 
-    def _read(self, worker: Worker, body: bytes) -> m.WorkerReport | None:
+    def _decode_heartbeat(self, worker: Worker, body: bytes) -> m.WorkerReport | None:
         """The report in a reply; None for nonsense."""
         try:
             return msgspec.json.decode(body, type=m.WorkerReport)
@@ -192,14 +192,14 @@
             log.error("worker %s answered nonsense: %s", worker.name, error)
             return None
 
-    def _direct_report(self, worker: Worker, report: m.WorkerReport) -> bool:
+    def _receive_direct_heartbeat(self, worker: Worker, report: m.WorkerReport) -> bool:
         """Take the report in a reply; False where it is none of this worker's."""
         if report.worker != worker.name:
             # Another machine has its address now, and may have executed what was meant for it.
             log.info("%s answers at the address of %s", report.worker, worker.name)
             if report.worker in self.state.workers:
-                self.reported(report, True)
+                self.receive_heartbeat(report, True)
             return False
-        worker.hearing.proven()
-        self.reported(report, True)
+        worker.delivery.acknowledged()
+        self.receive_heartbeat(report, True)
         return True
--- a/quinceslip/coordination/reconciliation/delivery.py
+++ b/quinceslip/coordination/reconciliation/delivery.py
@@ -22,52 +22,52 @@
 class Hearing:
     """Owned by a worker of a shard."""
 
-    deaf: int = 0  # questions in a row that were not replied to
-    vain: int = 0  # answers to its reports in a row of which its next report showed nothing
-    since_us: int = 0  # when the first question in vain was asked
+    unanswered_probes: int = 0  # questions in a row that were not replied to
+    unacknowledged: int = 0  # answers to its reports in a row of which its next report showed nothing
+    first_missed_us: int = 0  # when the first question in vain was asked
     # What the answer to its last report must have brought about, if it came: a session, a token, launches.
     session: int = 0
     token: int = 0
     launches: frozenset[tuple[str, int]] = frozenset()
 
     @property
-    def doubted(self) -> bool:
+    def suspect(self) -> bool:
         """Whether something that it must have heard, or was asked, has shown no effect."""
-        return self.deaf > 0 or self.vain > 0
+        return self.unanswered_probes > 0 or self.unacknowledged > 0
 
     @property
-    def refused(self) -> bool:
+    def unreachable(self) -> bool:
         """Neither answers nor questions reach it: it is certain that its lease is not renewed by us."""
-        return self.deaf >= PROBES and self.vain >= IN_VAIN
+        return self.unanswered_probes >= PROBES and self.unacknowledged >= IN_VAIN
 
-    def told(self, report: m.WorkerReport, token: int, commands: Iterable[m.Command]) -> None:
+    def answer_sent(self, report: m.WorkerReport, token: int, commands: Iterable[m.Command]) -> None:
         """Its report is answered."""
         self.session, self.token = report.session, token if token > report.token else 0
         self.launches = frozenset((c.task, c.attempt) for c in commands if c.op == "launch")
 
-    def reports(self, report: m.WorkerReport) -> bool:
+    def heartbeat_received(self, report: m.WorkerReport) -> bool:
         """A newer report of its own accord, made after the last answer came or was given up; True where it proves.
 
         A launch that was executed shows in whatever state, a refused one too; only the end of the session drops it.
         """
         # It is asked anew before it counts as dead: after a cut its report is the first to arrive.
-        self.deaf = min(self.deaf, 1)
+        self.unanswered_probes = min(self.unanswered_probes, 1)
         token, launches, session = self.token, self.launches, self.session
         self.token, self.launches = 0, frozenset()
         if not token and not launches:
             return False
         if (token and report.token >= token) or any((t.task, t.attempt) in launches for t in report.tasks):
-            self.proven()
+            self.acknowledged()
             return True
         if token or report.session == session:
-            self.vain += 1
+            self.unacknowledged += 1
         return False
 
-    def proven(self) -> None:
+    def acknowledged(self) -> None:
         """It hears us."""
-        self.deaf = self.vain = self.since_us = 0
+        self.unanswered_probes = self.unacknowledged = self.first_missed_us = 0
 
-    def missed(self, asked_us: int) -> None:
+    def probe_missed(self, asked_us: int) -> None:
         """A question asked then was not replied to."""
-        self.deaf += 1
-        self.since_us = self.since_us or asked_us
+        self.unanswered_probes += 1
+        self.first_missed_us = self.first_missed_us or asked_us
--- a/quinceslip/coordination/reconciliation/reconciler.py
+++ b/quinceslip/coordination/reconciliation/reconciler.py
@@ -27,60 +27,60 @@
     def __init__(self, ctx: Context, ownership: Ownership, index: int, term: int) -> None:
         super().__init__(ctx, ownership, index, term)
         self.own_before = 0  # the term that this controller held before it ended, where nobody has had the shard since
-        self.first_term = term  # a worker that shows it, or a later one, is past its earlier owners
-        self.pausing: set[str] = set()  # jobs with tasks that pause after a failure
+        self.first_own_term = term  # a worker that shows it, or a later one, is past its earlier owners
+        self.retrying: set[str] = set()  # jobs with tasks that pause after a failure
 
     # What others make of it.
 
-    def starts(self, worker: Worker, attempt: Attempt) -> None:
+    def task_started(self, worker: Worker, attempt: Attempt) -> None:
         """A task has been seen to run."""
 
-    def completes(self, worker: Worker, attempt: Attempt, chunk: Chunk) -> None:
+    def task_completed(self, worker: Worker, attempt: Attempt, chunk: Chunk) -> None:
         """A task is done; its result is not recorded yet."""
 
     # Reports.
 
-    def over(self, worker: Worker, report: m.WorkerReport) -> bool:
+    def is_from_expired_epoch(self, worker: Worker, report: m.WorkerReport) -> bool:
         """Whether it is of a session whose lease has run out, and so was late on its way.
 
         Were the lease judged wrongly, an answer would prolong it while the tasks run elsewhere already. Without
         one the session ends for certain, and the worker comes back in the next.
         """
-        return worker.lost and report.session <= worker.session
+        return worker.lease_expired and report.session <= worker.session
 
-    def repeated(self, worker: Worker, report: m.WorkerReport) -> bool:
+    def is_duplicate(self, worker: Worker, report: m.WorkerReport) -> bool:
         """Whether a report of its own accord came before, or one that it made later did: it says nothing of now.
 
         Guard: the lease in our books is renewed by every answer, so what is answered must be the worker's own
         latest. One that a direct reply has overtaken is: its answer may arrive, and counts.
         """
-        if (report.session, report.seq) <= worker.own:
+        if (report.session, report.seq) <= worker.last_own_heartbeat:
             return True
-        worker.own = (report.session, report.seq)
+        worker.last_own_heartbeat = (report.session, report.seq)
         return False
 
-    def answers(self, worker: Worker, report: m.WorkerReport) -> bool:
+    def should_answer(self, worker: Worker, report: m.WorkerReport) -> bool:
         """Whether a newer report of its own accord is answered; what it shows of our last answer is taken.
 
         Guard: one that never showed our term, and that neither answers nor questions reach, is not. Its reports go
         on, and each answer would be taken for one that may have renewed its lease: it would hold up what was
         inherited for as long as it cannot be deleted (`outlived`).
         """
-        refused = worker.hearing.refused
-        worker.hearing.reports(report)
-        worker.silenced = refused and not worker.confirmed
-        return not worker.silenced
+        refused = worker.delivery.unreachable
+        worker.delivery.heartbeat_received(report)
+        worker.unanswered = refused and not worker.fenced
+        return not worker.unanswered
 
-    def outlived(self, worker: Worker) -> bool:
+    def lease_expired_unheard(self, worker: Worker) -> bool:
         """Whether every session that an earlier owner can have known is over, of one whose reports still come.
 
         Each answer of ours before its last report had no effect, or that would show our term, and to its last there was
         none. So nothing has renewed its lease since the earlier owner's last answer; what began later nobody else knew.
         """
-        return worker.name in self.unresolved and worker.silenced and \
-            self.ctx.now_us > worker.inherited_us + self.ctx.timing.lost_us
+        return worker.name in self.unresolved and worker.unanswered and \
+            self.ctx.now_us > worker.predecessor_renewed_us + self.ctx.timing.lease_expiry_us
 
-    def hear(self, worker: Worker, report: m.WorkerReport) -> bool:
+    def apply_heartbeat(self, worker: Worker, report: m.WorkerReport) -> bool:
         """Take what a worker says of itself, unless that is `over`; False where it is older than what is known."""
         now_us = self.ctx.now_us
         if (report.session, report.seq) <= (worker.session, worker.seq):
@@ -92,68 +92,68 @@
                 log.info("worker %s lost session %d", worker.name, worker.session)
                 self._drop_tasks(worker)
                 if "session" not in self.guards:
-                    self._settle_worker(worker)
+                    self._reconcile_worker(worker)
             worker.session = report.session
             # A session has its full lease from its start, whether its reports are answered or not.
             # Judged by the session before, its tasks were taken for lost while they ran.
-            worker.answered_us = max(worker.answered_us, now_us)
-        worker.lost = False
+            worker.lease_renewed_us = max(worker.lease_renewed_us, now_us)
+        worker.lease_expired = False
         worker.seq, worker.token = report.seq, report.token
-        worker.endpoint, worker.heard_us = report.endpoint, now_us
+        worker.endpoint, worker.last_contact_us = report.endpoint, now_us
         if worker.type is None:
             worker.type = self.ctx.types.get(report.type)
         worker.zone, worker.spot = report.zone, report.spot
         if report.notice_s is not None and not worker.notice_us:
             worker.notice_us = now_us + micros(max(report.notice_s, 0.0))
             log.info("worker %s goes in %.1f s", worker.name, report.notice_s)
-            self._notice(worker, report.notice_s)
-        worker.reported = {t.task: t for t in report.tasks}
-        self._match(worker)
-        if self.own_before and not worker.confirmed and report.token >= self.own_before:
+            self._reclaim_notice(worker, report.notice_s)
+        worker.reported_tasks = {t.task: t for t in report.tasks}
+        self._reconcile_attempts(worker)
+        if self.own_before and not worker.fenced and report.token >= self.own_before:
             # It had seen the term of our earlier life, so it has dropped all answers but that one's, which has ended.
-            ended_us = self.taken_us + REPORT_WAIT_US
-            if worker.answered_us == worker.inherited_us:
-                worker.answered_us = min(worker.answered_us, ended_us)
-            worker.inherited_us = min(worker.inherited_us, ended_us)
-        if not worker.confirmed and (report.token >= self.first_term or "term" not in self.guards):
-            worker.confirmed = True
+            ended_us = self.led_since_us + REPORT_WAIT_US
+            if worker.lease_renewed_us == worker.predecessor_renewed_us:
+                worker.lease_renewed_us = min(worker.lease_renewed_us, ended_us)
+            worker.predecessor_renewed_us = min(worker.predecessor_renewed_us, ended_us)
+        if not worker.fenced and (report.token >= self.first_own_term or "term" not in self.guards):
+            worker.fenced = True
             # Answers of earlier owners have been dropped since it saw our term, so none renews its lease any more.
-            worker.answered_us = now_us
-            worker.hearing.proven()  # nobody else told it our term
-            self._settle_worker(worker)
+            worker.lease_renewed_us = now_us
+            worker.delivery.acknowledged()  # nobody else told it our term
+            self._reconcile_worker(worker)
         return True
 
-    def _match(self, worker: Worker) -> None:
-        for name, task in worker.reported.items():
+    def _reconcile_attempts(self, worker: Worker) -> None:
+        for name, task in worker.reported_tasks.items():
             attempt = worker.attempts.get(name)
             if attempt is not None and attempt.number != task.attempt:
                 if task.attempt < attempt.number or "higher" not in self.guards:
                     continue  # ended earlier and not reaped yet: it keeps the newer one out for a moment
                 # A worker has one attempt of a task, so the older one is over. It came of a report from before
                 # our term that was late: kept, it would hide the living one, and let its result be reaped.
-                if worker.confirmed:
+                if worker.fenced:
                     log.error("%s on %s as attempt %d, not %d", name, worker.name, task.attempt, attempt.number)
                 self.requeue(worker, attempt)
                 self.detach(worker, name)
                 attempt = None
             if attempt is None:
-                attempt = self._discover(worker, name, task)
+                attempt = self._adopt_task(worker, name, task)
                 if attempt is None:
                     continue
-            attempt.seen = True
-            self._progress(worker, attempt, task)
+            attempt.observed = True
+            self._update_attempt(worker, attempt, task)
         for name, attempt in list(worker.attempts.items()):
-            if attempt.seen and name not in worker.reported:
-                if not attempt.ended:
+            if attempt.observed and name not in worker.reported_tasks:
+                if not attempt.end_cause:
                     # Until it has shown our term, a worker may have told of itself as it was long before.
-                    log.log(logging.ERROR if worker.confirmed else logging.INFO, "%s vanished from %s", name,
+                    log.log(logging.ERROR if worker.fenced else logging.INFO, "%s vanished from %s", name,
                             worker.name)
                     self.requeue(worker, attempt)
                 self.detach(worker, name)
         if self.quota is not None:
-            self.quota.reported(worker)
+            self.quota.heartbeat_received(worker)
 
-    def _discover(self, worker: Worker, name: str, task: m.TaskReport) -> Attempt | None:
+    def _adopt_task(self, worker: Worker, name: str, task: m.TaskReport) -> Attempt | None:
         """A task we did not launch: one of an earlier owner's.
 
         What it shows takes room and can be halted and reaped from here on, but the task stays unknown
@@ -165,7 +165,7 @@
         if chunk is None or not number.isdigit():
             return None
         index, over = int(number), task.state == m.EXITED
-        if index not in chunk.own or index in chunk.done or index in chunk.new_done:
+        if index not in chunk.assigned or index in chunk.done or index in chunk.unrecorded_done:
             return None
         final = over and task.why == m.CAUSE_DONE
         known = chunk.attempts.get(index)
@@ -174,111 +174,111 @@
             if not over:
                 other = self.workers.get(known.worker)
                 # The same attempt came here by the address that both had, one after the other.
-                sure = worker.confirmed and other is not None and other.confirmed and task.attempt != known.number
+                sure = worker.fenced and other is not None and other.fenced and task.attempt != known.number
                 log.log(logging.ERROR if sure else logging.INFO, "%s is on %s and on %s", name, worker.name,
                         known.worker)
             if task.attempt < known.number or "higher" not in self.guards:
                 return None
-        elif index not in chunk.unknown and not final:
+        elif index not in chunk.unreconciled and not final:
             if over or worker.name in self.unresolved:
                 return None
             log.error("%s turned up on %s", name, worker.name)
         if known is not None:
             self.halt(known, 0.0)
         chunk.pending.discard(index)
-        attempt = Attempt(uid, index, task.attempt, chunk.spec, worker.name, self.ctx.now_us, seen=True)
+        attempt = Attempt(uid, index, task.attempt, chunk.spec, worker.name, self.ctx.now_us, observed=True)
         chunk.attempts[index] = attempt
         self.attach(worker, attempt)
         return attempt
 
-    def _progress(self, worker: Worker, attempt: Attempt, task: m.TaskReport) -> None:
-        if attempt.ended:
+    def _update_attempt(self, worker: Worker, attempt: Attempt, task: m.TaskReport) -> None:
+        if attempt.end_cause:
             return
         if task.state != m.PULLING and task.state != m.EXITED:
             if not attempt.running_us:
                 attempt.running_us = self.ctx.now_us
-            self.starts(worker, attempt)
+            self.task_started(worker, attempt)
             if attempt.spec.service:
                 chunk = self.chunks.get(attempt.uid)
-                if chunk is not None and chunk.trial.stands(self.ctx.now_us - attempt.running_us):
-                    self.unpark(chunk)
+                if chunk is not None and chunk.crash_loop.clears_by_running(self.ctx.now_us - attempt.running_us):
+                    self.release_from_hold(chunk)
         attempt.state = task.state
         if task.state != m.EXITED:
             return
-        self.end(worker, attempt, task.why or m.CAUSE_ERROR)
+        self.end_attempt(worker, attempt, task.why or m.CAUSE_ERROR)
         chunk = self.chunks.get(attempt.uid)
         if chunk is None or chunk.attempts.get(attempt.index) is not attempt:
             return
         del chunk.attempts[attempt.index]
-        if attempt.ended == m.CAUSE_DONE:
-            chunk.new_done.add(attempt.index)
-            chunk.unknown.discard(attempt.index)  # final, whatever the rest of the roster holds
-            self.completes(worker, attempt, chunk)
+        if attempt.end_cause == m.CAUSE_DONE:
+            chunk.unrecorded_done.add(attempt.index)
+            chunk.unreconciled.discard(attempt.index)  # final, whatever the rest of the roster holds
+            self.task_completed(worker, attempt, chunk)
             return
-        if attempt.ended in m.CAUSES_GANG:
+        if attempt.end_cause in m.CAUSES_GANG:
             chunk.not_before[attempt.index] = self.ctx.now_us + SECOND
-            self.pausing.add(chunk.uid)
-        elif attempt.ended != m.CAUSE_HALTED:
+            self.retrying.add(chunk.uid)
+        elif attempt.end_cause != m.CAUSE_HALTED:
             # Retry elsewhere, later each time: a mistaken job fails on every machine.
             failures = chunk.failures[attempt.index] = chunk.failures.get(attempt.index, 0) + 1
             wait_us = min(30 * SECOND, SECOND // 2 * 2 ** min(failures, 6))
             chunk.not_before[attempt.index] = self.ctx.now_us + wait_us
-            self.pausing.add(chunk.uid)
-            log.info("%s on %s: %s", attempt.name, worker.name, attempt.ended)
-            if attempt.ended == m.CAUSE_ERROR:
-                if chunk.trial.sound and worker.name in chunk.trial.blamed:
-                    worker.errors += 1
+            self.retrying.add(chunk.uid)
+            log.info("%s on %s: %s", attempt.name, worker.name, attempt.end_cause)
+            if attempt.end_cause == m.CAUSE_ERROR:
+                if chunk.crash_loop.sound and worker.name in chunk.crash_loop.blamed_machines:
+                    worker.task_failures += 1
                 ran_us = self.ctx.now_us - attempt.running_us if attempt.running_us else 0
-                if chunk.trial.failed(worker.name, failures, ran_us) and not chunk.spec.gang:
-                    log.info("job %s is suspected of a mistake: %s", chunk.uid, chunk.trial.why())
-                    self.park(chunk)
+                if chunk.crash_loop.task_failed(worker.name, failures, ran_us) and not chunk.spec.gang:
+                    log.info("job %s is suspected of a mistake: %s", chunk.uid, chunk.crash_loop.reason())
+                    self.put_on_hold(chunk)
         self.add_pending(chunk, [attempt.index])
 
     def _drop_tasks(self, worker: Worker) -> None:
         for name, attempt in list(worker.attempts.items()):
-            if not attempt.ended:
+            if not attempt.end_cause:
                 self.requeue(worker, attempt)
             self.detach(worker, name)
-        worker.reported = {}
+        worker.reported_tasks = {}
         worker.images.clear()
 
-    def lose(self, worker: Worker) -> None:
+    def expire_lease(self, worker: Worker) -> None:
         """Nothing of ours or of an earlier owner's can be on it any more: its lease has run out, or it is gone."""
         self._drop_tasks(worker)
-        worker.lost = True
-        self._settle_worker(worker)
+        worker.lease_expired = True
+        self._reconcile_worker(worker)
 
-    def gone(self, name: str) -> None:
+    def machine_gone(self, name: str) -> None:
         """The machine is proven gone."""
         worker = self.workers.pop(name, None)
         if worker is not None:
-            self.lose(worker)
+            self.expire_lease(worker)
 
     # Takeover.
 
-    def inherit(self, worker: Worker) -> None:
+    def inherit_worker(self, worker: Worker) -> None:
         """It may hold tasks of an earlier owner."""
         self.unresolved.add(worker.name)
 
-    def _settle_worker(self, worker: Worker) -> None:
+    def _reconcile_worker(self, worker: Worker) -> None:
         """What an earlier owner sent there is known in full, or dead."""
         if worker.name in self.unresolved:
             self.unresolved.discard(worker.name)
-            self.resolve()
+            self.release_unreconciled()
 
-    def resolve(self) -> None:
+    def release_unreconciled(self) -> None:
         """Once the whole roster has spoken, what is on none of its workers may start."""
         if self.unresolved:
             return
         for chunk in self.chunks.values():
-            if chunk.unknown:
-                unknown, chunk.unknown = chunk.unknown, set()
+            if chunk.unreconciled:
+                unknown, chunk.unreconciled = chunk.unreconciled, set()
                 self.add_pending(chunk, unknown)
-        self.dirty = True
+        self.needs_placement = True
 
-    def _notice(self, worker: Worker, notice_s: float) -> None:
+    def _reclaim_notice(self, worker: Worker, notice_s: float) -> None:
         worker.draining = "notice"
-        for attempt in worker.live():
+        for attempt in worker.live_attempts():
             spec = attempt.spec
             if spec.service or (spec.checkpoint_s > 0 and spec.save_s <= notice_s):
                 self.halt(attempt, spec.save_s)
--- a/quinceslip/coordination/scheduling/ageing.py
+++ b/quinceslip/coordination/scheduling/ageing.py
@@ -39,95 +39,95 @@
 
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
-        self.waits: Chunk | None = None  # room is kept for this one
-        self.kept: frozenset[str] = frozenset()  # on these machines
-        self.run_us = 0  # of a usual task
-        self.calls, self.called_us = 1.0, ctx.now_us  # beginnings that may be called now, and as of when
+        self.reserved_for: Chunk | None = None  # room is kept for this one
+        self.reserved_machines: frozenset[str] = frozenset()  # on these machines
+        self.typical_run_us = 0  # of a usual task
+        self.grants_available, self.grants_updated_us = 1.0, ctx.now_us  # beginnings that may be called now, and as of when
 
-    def look(self, queue: list[Chunk], run_s: float, slots: int) -> None:
+    def update(self, queue: list[Chunk], run_s: float, slots: int) -> None:
         """Set `first` of every waiting chunk. Asked for with each new foresight."""
         boots_us = [micros(t.boot_s) for t in self.ctx.types.values()]
         patient_us = patience_us(max(boots_us, default=0), micros(run_s))
         for chunk in queue:
-            first = self._first(chunk, patient_us) if self.ctx.tuning.bound_waits else NOT
-            if not chunk.first:
-                chunk.first_us = self.ctx.now_us
-            chunk.first = first
-        self.run_us = micros(run_s)
-        self._call(queue, slots / max(run_s, 0.1))
-
-    def _call(self, queue: list[Chunk], starts_per_s: float) -> None:
+            first = self._precedence(chunk, patient_us) if self.ctx.tuning.bound_waits else NOT
+            if not chunk.precedence:
+                chunk.precedence_since_us = self.ctx.now_us
+            chunk.precedence = first
+        self.typical_run_us = micros(run_s)
+        self._grant_starts(queue, slots / max(run_s, 0.1))
+
+    def _grant_starts(self, queue: list[Chunk], starts_per_s: float) -> None:
         """Whose turn it is to begin whatever their teams have: the largest first.
 
         Guard: a flood of single tasks is as many beginnings as jobs. Were all owed before the teams' parts, they would
         go before all that others have; so beginnings get a part of what the shard starts.
         """
-        passed_us, self.called_us = self.ctx.now_us - self.called_us, self.ctx.now_us
-        self.calls = min(self.calls + CALLED_PART * starts_per_s * passed_us / SECOND, max(1.0, starts_per_s))
+        passed_us, self.grants_updated_us = self.ctx.now_us - self.grants_updated_us, self.ctx.now_us
+        self.grants_available = min(self.grants_available + CALLED_PART * starts_per_s * passed_us / SECOND, max(1.0, starts_per_s))
         waiting = []
         for chunk in queue:
-            chunk.called = chunk.called and chunk.begins
-            if chunk.begins and not chunk.called:
+            chunk.start_granted = chunk.start_granted and chunk.awaits_start
+            if chunk.awaits_start and not chunk.start_granted:
                 waiting.append(chunk)
-        waiting.sort(key=lambda c: (c.priority, -c.spec.tasks * c.spec.cpus, c.at_us, c.uid))
-        for chunk in waiting[: int(self.calls)]:
-            chunk.called = True
-            self.calls -= 1.0
+        waiting.sort(key=lambda c: (c.priority, -c.spec.tasks * c.spec.cpus, c.submitted_us, c.uid))
+        for chunk in waiting[: int(self.grants_available)]:
+            chunk.start_granted = True
+            self.grants_available -= 1.0
 
-    def _first(self, chunk: Chunk, patient_us: int) -> int:
-        waited_us = self.ctx.wall_us - chunk.at_us
+    def _precedence(self, chunk: Chunk, patient_us: int) -> int:
+        waited_us = self.ctx.wall_us - chunk.submitted_us
         # What failed has begun, and a suspected job is tried one task at a time: neither is passed over.
-        if waited_us < patient_us or not chunk.ready() or chunk.trial.suspected:
+        if waited_us < patient_us or not chunk.startable() or chunk.crash_loop.suspected:
             return NOT
         if chunk.spec.service or chunk.spec.gang:
             return WHOLE
-        if not (chunk.attempts or chunk.done or chunk.new_done or chunk.failures):
+        if not (chunk.attempts or chunk.done or chunk.unrecorded_done or chunk.failures):
             return ONE
         return OLD if waited_us >= BEGIN_US else NOT
 
     # Room that is kept.
 
-    def holds(self, worker: Worker, chunk: Chunk) -> bool:
+    def is_reserved_from(self, worker: Worker, chunk: Chunk) -> bool:
         """Whether that machine is kept from this chunk."""
-        return worker.name in self.kept and self.waits is not None and chunk is not self.waits \
-            and bool(self.waits.pending) and chunk.priority >= self.waits.priority
+        return worker.name in self.reserved_machines and self.reserved_for is not None and chunk is not self.reserved_for \
+            and bool(self.reserved_for.pending) and chunk.priority >= self.reserved_for.priority
 
-    def check(self, chunks: dict[str, Chunk]) -> None:
+    def release_stale(self, chunks: dict[str, Chunk]) -> None:
         """Let go of what is kept for a chunk that waits no more, or not first."""
-        known = self.waits
-        if known is not None and (not known.first or not known.ready() or known.held
+        known = self.reserved_for
+        if known is not None and (not known.precedence or not known.startable() or known.on_hold
                                   or chunks.get(known.uid) is not known):
-            self.waits, self.kept = None, frozenset()
+            self.reserved_for, self.reserved_machines = None, frozenset()
 
-    def keep(self, chunk: Chunk, machines: Iterable[Worker]) -> None:
+    def reserve(self, chunk: Chunk, machines: Iterable[Worker]) -> None:
         """No machine has room for it; `machines` are those that it may use.
 
         Room is kept for one chunk at a time, so what it costs is bounded: the first of the highest priority.
         """
-        known = self.waits
+        known = self.reserved_for
         # Guard: kept only for what is called or old, or a flood of single tasks would keep machines from other teams.
-        if not chunk.owed and chunk.first != OLD:
+        if not chunk.start_due and chunk.precedence != OLD:
             return
         # What goes first takes the next place that is large enough; within a usual run each place comes free once.
-        if self.ctx.now_us < chunk.first_us + self.run_us or (
-                known is not None and known is not chunk and known.order() <= chunk.order()):
+        if self.ctx.now_us < chunk.precedence_since_us + self.typical_run_us or (
+                known is not None and known is not chunk and known.sort_key() <= chunk.sort_key()):
             return
-        found = self._soonest(chunk, list(machines))
-        if self.waits is not chunk and found:
+        found = self._soonest_machines(chunk, list(machines))
+        if self.reserved_for is not chunk and found:
             log.info("%s has waited for %.0f s: %s kept for it", chunk.uid,
-                     (self.ctx.wall_us - chunk.at_us) / SECOND, ", ".join(sorted(found)))
-        self.waits, self.kept = (chunk, found) if found else (None, frozenset())
+                     (self.ctx.wall_us - chunk.submitted_us) / SECOND, ", ".join(sorted(found)))
+        self.reserved_for, self.reserved_machines = (chunk, found) if found else (None, frozenset())
 
-    def _soonest(self, chunk: Chunk, machines: list[Worker]) -> frozenset[str]:
+    def _soonest_machines(self, chunk: Chunk, machines: list[Worker]) -> frozenset[str]:
         """The machines that will have the room soonest; none where all of them together never have it."""
         spec = chunk.spec
-        need = chunk.ready() if spec.gang or spec.service else 1
+        need = chunk.startable() if spec.gang or spec.service else 1
         ways = [[w for w in machines if w.zone == zone] for zone in sorted({w.zone for w in machines})] \
             if spec.one_zone else [machines]
         best: tuple[int, frozenset[str]] | None = None
         for way in ways:
             # What is kept already stays so while it serves: work there was let run out for it.
-            ranked = sorted((not (self.waits is chunk and w.name in self.kept), free_us, w.name, places, w.zone)
+            ranked = sorted((not (self.reserved_for is chunk and w.name in self.reserved_machines), free_us, w.name, places, w.zone)
                             for w in way for free_us, places in [_free_in(w, chunk, self.ctx.now_us)] if places)
             names, left, last_us = set(), need, 0
             most = (spec.tasks + 1) // 2 if spec.spread else need
@@ -148,7 +148,7 @@
     """In how many microseconds a task of it may fit there, and how many will once all that ends has ended."""
     room, soonest_us = worker.free(), 0 if fits(worker.free(), chunk.spec) else -1
     ends = sorted((max(0, (a.running_us or now_us) + micros(a.spec.estimate_s) - now_us), a.name, a.spec)
-                  for a in worker.live() if not a.spec.service)
+                  for a in worker.live_attempts() if not a.spec.service)
     for ends_us, _, spec in ends:
         room = (room[0] + spec.cpus, room[1] + spec.gpus, room[2] + spec.memory_gb)
         if soonest_us < 0 and fits(room, chunk.spec):
--- a/quinceslip/coordination/scheduling/candidates.py
+++ b/quinceslip/coordination/scheduling/candidates.py
@@ -9,7 +9,7 @@
 class Looks(Protocol):
     """Who decides which machines can be used, and counts how many were looked at."""
 
-    looked: int
+    workers_examined: int
 
     def usable(self, worker: Worker) -> bool: ...
 
@@ -28,14 +28,14 @@
     def all(self) -> list[Worker]:
         if self._all is None:
             self._all = [w for w in self.workers if self.placement.usable(w)]
-            self.placement.looked += len(self._all)
+            self.placement.workers_examined += len(self._all)
         return self._all
 
-    def roomy(self, cpus: float) -> list[Worker]:
+    def with_free_cpus(self, cpus: float) -> list[Worker]:
         """Those with so many CPUs free."""
         if self._all is not None:
             return [w for w in self._all if w.type is not None and w.type.cpus - w.used_cpus >= cpus]
         found = [w for w in self.workers if w.type is not None and w.type.cpus - w.used_cpus >= cpus
                  and self.placement.usable(w)]
-        self.placement.looked += len(found)
+        self.placement.workers_examined += len(found)
         return found
--- a/quinceslip/coordination/scheduling/deadline_order.py
+++ b/quinceslip/coordination/scheduling/deadline_order.py
@@ -25,7 +25,7 @@
         while rest:
             kept, rest, ahead = _on_time(rest, level, cpus_per_s, wall_us, ahead)
             for chunk in kept:
-                chunk.late = level
+                chunk.missed_due_times = level
             level += 1
 
 
@@ -37,11 +37,11 @@
              ahead: float) -> tuple[list[Chunk], list[Chunk], float]:
     """Those that can make their due time of this level, those put back, and the CPUs ahead after."""
     last = all(level >= len(c.due_us) for c in chunks)
-    chunks = sorted(chunks, key=lambda c: (_due(c, level) is None, _due(c, level) or c.at_us, c.uid))
+    chunks = sorted(chunks, key=lambda c: (_due(c, level) is None, _due(c, level) or c.submitted_us, c.uid))
     kept: list[tuple[float, str, Chunk]] = []
     back: list[Chunk] = []
     for chunk in chunks:
-        size = max(chunk.ready() * chunk.spec.cpus, 0.01)
+        size = max(chunk.startable() * chunk.spec.cpus, 0.01)
         heapq.heappush(kept, (-size, chunk.uid, chunk))
         ahead += size
         due_us = _due(chunk, level)
