--- a/quinceslip/bench/capacity.py
+++ b/quinceslip/bench/capacity.py
@@ -1,6 +1,6 @@
 """How often many controllers ask the cloud for what it has not, and how soon they find what it has again.
 
-The real `Supply` of each controller, in virtual time, against a cloud whose kinds of machines run short and come back.
+The real `CapacityObservations` of each controller, in virtual time, against a cloud whose kinds of machines run short and come back.
 All controllers want machines of every kind all the time, which is the worst there is. Heartbeats arrive at once, and
 some are lost. Counts repeat exactly for one seed.
 """
@@ -13,7 +13,7 @@
 
 from quinceslip import plotting
 from quinceslip.coordination.actor.context import SECOND
-from quinceslip.coordination.autoscaling.capacity import Kind, Supply
+from quinceslip.coordination.autoscaling.capacity import CapacityObservations, Kind
 from quinceslip.coordination.controller.controller import NEWS_US
 from quinceslip.protocol import frames
 
@@ -27,7 +27,7 @@
     """Asks in vain a minute for one kind that is short, and seconds from room again to the first that has of it."""
     chance = random.Random(seed)
     labels = [f"berth-{i}" for i in range(controllers)]
-    nodes = [Supply(label, labels, rps, 1, told) for label in labels]
+    nodes = [CapacityObservations(label, labels, rps, 1, told) for label in labels]
     wanted: list[Kind] = [(f"type-{i}", "zone", True) for i in range(kinds)]
     short = dict.fromkeys(wanted, False)
     turns = {kind: int(chance.uniform(*ROOM_S) * SECOND) for kind in wanted}
@@ -57,12 +57,12 @@
                 next_beat[place] = now_us + SECOND
                 seen = node.own_observations(now_us)
                 if seen:
-                    frame = frames.pack_sightings(frames.Sightings(node.label, seen))
-                    heard = frames.read_sightings(frame[frames.HEADER.size:])
+                    frame = frames.pack_observations(frames.PeerObservations(node.label, seen))
+                    heard = frames.read_observations(frame[frames.HEADER.size:])
                     sent += len(frame)
                     for other in nodes:
                         if other is not node and chance.random() >= LOSS:
-                            other.observations_received(node.label, heard.sightings, now_us)
+                            other.observations_received(node.label, heard.observations, now_us)
     marks = statistics.quantiles(found, n=20) if len(found) > 1 else [0.0] * 19
     return {"controllers": controllers, "told": told, "kinds": kinds, "seconds": seconds,
             "vain_a_minute": round(vain / max(short_us / 60 / SECOND, 1e-9), 2),
--- a/quinceslip/bench/fleet.py
+++ b/quinceslip/bench/fleet.py
@@ -1,6 +1,6 @@
 """What messages cost a controller, by kind: the real actor alone, machines that obey, virtual time.
 
-No network and no threads: reports, submissions, polls and ends of a fleet are played against one `Node`
+No network and no threads: reports, submissions, polls and ends of a fleet are played against one `Controller`
 that owns all machines. The state service grants everything after its latency. Counts repeat exactly for
 one seed; times are processor time of this machine, to be compared within one run only.
 """
@@ -19,7 +19,7 @@
 
 from quinceslip.coordination.actor import effects as fx
 from quinceslip.coordination.actor.context import SECOND
-from quinceslip.coordination.controller.controller import Node
+from quinceslip.coordination.controller.controller import Controller
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import Settings, Tuning
 
@@ -51,8 +51,8 @@
     zone: str
     spot: bool
     seq: int = 0
-    token: int = 0
-    tasks: dict[str, m.TaskReport] = field(default_factory=dict)
+    fencing_token: int = 0
+    tasks: dict[str, m.TaskStatus] = field(default_factory=dict)
     busy: bool = False
     soon: bool = False
 
@@ -68,7 +68,7 @@
         self.costs: dict[str, Cost] = defaultdict(Cost)
         self.counted = counted
         self.calls = 0
-        self.ledger = 0
+        self.revision = 0
         self.keys: dict[str, int] = {}
         self.fresh: list[m.Event] = []
         self.specs: dict[str, m.JobSpec] = {}
@@ -83,7 +83,7 @@
                        "cloud": {"rps": 9.0, "list_lag_s": 6.0}}}, Settings)
         self.type = m.MachineType("m", CPUS, 0.0, 64.0, 0.9, 50.0, ZONES, 0.36, 25.0)
         self.machines = [Machine(f"n-{n:06d}", ZONES[n % 2], n % 9 >= 5) for n in range(machines)]
-        self.node = Node(settings, Tuning(), 0, 0)
+        self.node = Controller(settings, Tuning(), 0, 0)
         self.by_endpoint = {self._endpoint(w): w for w in self.machines}
 
     @staticmethod
@@ -119,7 +119,7 @@
 
     def message(self, kind: str, message: Any) -> None:
         self.give(kind, message)
-        self.give("settle", fx.Settle())
+        self.give("settle", fx.BatchEnd())
 
     def _carry_out(self, effect: Any) -> None:
         if isinstance(effect, fx.Reply):
@@ -135,7 +135,7 @@
                 self.after(1000, lambda: self._direct(effect))
 
     def _answer(self, effect: Any, status: int, body: Any) -> None:
-        self.message("answer", fx.Answer(effect.id, status, msgspec.json.encode(body)))
+        self.message("answer", fx.CallResult(effect.id, status, msgspec.json.encode(body)))
 
     # Outside services.
 
@@ -144,28 +144,28 @@
         if effect.path == m.PATH_TXN:
             failed = [c["k"] for c in body["if"] if self.keys.get(c["k"], 0) != c["stamp"]]
             if failed:
-                self._answer(effect, 409, {"failed": failed, "ledger": self.ledger})
+                self._answer(effect, 409, {"failed": failed, "ledger": self.revision})
                 return
-            self.ledger += bool(body.get("then"))
+            self.revision += bool(body.get("then"))
             for change in body.get("then", []):
                 self.writes += 1
                 if "write" in change:
-                    self.keys[change["write"]] = self.ledger
+                    self.keys[change["write"]] = self.revision
                     raw = msgspec.Raw(msgspec.json.encode(change["v"]))
-                    self.fresh.append(m.Event(self.ledger, put=change["write"], value=raw))
+                    self.fresh.append(m.Event(self.revision, put=change["write"], value=raw))
                 elif self.keys.pop(change["drop"], None):
-                    self.fresh.append(m.Event(self.ledger, delete=change["drop"]))
-            self._answer(effect, 200, {"ledger": self.ledger})
+                    self.fresh.append(m.Event(self.revision, delete=change["drop"]))
+            self._answer(effect, 200, {"ledger": self.revision})
         elif effect.path.startswith(m.PATH_KV):
-            self._answer(effect, 404, {"ledger": self.ledger})
+            self._answer(effect, 404, {"ledger": self.revision})
         else:
             self._answer(effect, 200, {"hold": 1})
 
     def _cloud(self, effect: Any) -> None:
-        if effect.path == m.PATH_FLAVORS:
+        if effect.path == m.PATH_MACHINE_TYPES:
             self._answer(effect, 200, m.MachineTypes([self.type]))
         elif effect.method == "GET":
-            self._answer(effect, 200, m.HostList([], False))
+            self._answer(effect, 200, m.MachineListing([], False))
         else:
             self._answer(effect, 503, {"error": "no capacity"})
 
@@ -177,20 +177,20 @@
 
     # Machines.
 
-    def _report_of(self, machine: Machine) -> m.WorkerReport:
+    def _report_of(self, machine: Machine) -> m.WorkerHeartbeat:
         machine.seq += 1
-        return m.WorkerReport(worker=machine.name, endpoint=self._endpoint(machine), type="m", zone=machine.zone,
-                              spot=machine.spot, session=1, seq=machine.seq, token=machine.token,
+        return m.WorkerHeartbeat(worker=machine.name, endpoint=self._endpoint(machine), type="m", zone=machine.zone,
+                              spot=machine.spot, epoch=1, seq=machine.seq, fencing_token=machine.fencing_token,
                               tasks=list(machine.tasks.values()))
 
-    def report(self, machine: Machine) -> None:
+    def heartbeat(self, machine: Machine) -> None:
         def heard(status: int, body: Any) -> None:
             if status == 200:
                 self._obey(machine, body)
 
         machine.soon = False
         number = self._request(heard)
-        self.message("report", fx.Reported(number, self._report_of(machine)))
+        self.message("report", fx.HeartbeatReceived(number, self._report_of(machine)))
 
     def _request(self, heard: Callable[[int, Any], None]) -> int:
         self.order += 1
@@ -198,22 +198,22 @@
         return self.order
 
     def regular(self, machine: Machine) -> None:
-        self.report(machine)
+        self.heartbeat(machine)
         self.after(REPORT_S * SECOND * self.random.uniform(0.75, 1.25), lambda: self.regular(machine))
 
     def _soon(self, machine: Machine) -> None:
         if not machine.soon:
             machine.soon = True
-            self.after(SECOND // 2, lambda: self.report(machine))
+            self.after(SECOND // 2, lambda: self.heartbeat(machine))
 
     def _obey(self, machine: Machine, orders: Any) -> None:
-        machine.token = max(machine.token, orders.token)
+        machine.fencing_token = max(machine.fencing_token, orders.fencing_token)
         for order in orders.commands:
             known = machine.tasks.get(order.task)
             if order.op == "launch":
                 if known is None:
                     self.launched += 1
-                    machine.tasks[order.task] = m.TaskReport(order.task, order.attempt, m.PULLING)
+                    machine.tasks[order.task] = m.TaskStatus(order.task, order.attempt, m.PULLING)
                     self.after(SECOND, partial(self._start, machine, order.task, order.attempt))
             elif known is not None and known.attempt == order.attempt:
                 if order.op == "halt" and known.state != m.EXITED:
@@ -227,7 +227,7 @@
         known = machine.tasks.get(task)
         if known is None or known.attempt != attempt or known.state != m.PULLING:
             return
-        machine.tasks[task] = m.TaskReport(task, attempt, m.RUNNING)
+        machine.tasks[task] = m.TaskStatus(task, attempt, m.RUNNING)
         self._soon(machine)
         spec = self.specs[task.rpartition("/")[0]]
         if not spec.service:
@@ -237,30 +237,30 @@
     def _exit(self, machine: Machine, task: str, attempt: int, why: str) -> None:
         known = machine.tasks.get(task)
         if known is not None and known.attempt == attempt and known.state != m.EXITED:
-            machine.tasks[task] = m.TaskReport(task, attempt, m.EXITED, why)
+            machine.tasks[task] = m.TaskStatus(task, attempt, m.EXITED, why)
             self.ended += 1
             self._soon(machine)
 
     # Users.
 
-    def submit(self, service: bool, tasks: int, rank: str, run_s: float) -> None:
+    def submit(self, service: bool, tasks: int, priority_class: str, run_s: float) -> None:
         self.jobs += 1
-        uid = f"req-{self.jobs:06d}"
-        spec = self.specs[uid] = m.JobSpec(
-            uid=uid, job_class=rank, team="team", kind="standing" if service else "array",
-            rank=rank,  # type: ignore[arg-type]
+        job_id = f"req-{self.jobs:06d}"
+        spec = self.specs[job_id] = m.JobSpec(
+            job_id=job_id, job_class=priority_class, team="team", kind="standing" if service else "array",
+            priority_class=priority_class,  # type: ignore[arg-type]
             tasks=tasks, cpus=1.0 if service else 2.0, gpus=0.0, memory_gb=3.0, image=f"img-{self.jobs % 10}",
             image_gb=1.5, one_zone=False, spread=service, spot=not service, estimate_s=run_s,
-            checkpoint_s=15.0 if rank == "low" else 0.0, save_s=0.0)
-        self.message("submit", fx.UserRequest(self._request(lambda s, b: self._poll_later(uid)), "submit", uid, spec))
+            checkpoint_s=15.0 if priority_class == "low" else 0.0, save_s=0.0)
+        self.message("submit", fx.UserRequest(self._request(lambda s, b: self._poll_later(job_id)), "submit", job_id, spec))
 
-    def _poll_later(self, uid: str) -> None:
+    def _poll_later(self, job_id: str) -> None:
         def heard(status: int, body: Any) -> None:
-            if status != 200 or body["status"] not in (m.DONE, m.WITHDRAWN):
-                self._poll_later(uid)
+            if status != 200 or body["status"] not in (m.DONE, m.CANCELLED):
+                self._poll_later(job_id)
 
         self.after(POLL_S * SECOND * self.random.uniform(0.8, 1.2), lambda: self.message(
-            "poll", fx.UserRequest(self._request(heard), "poll", uid)))
+            "poll", fx.UserRequest(self._request(heard), "poll", job_id)))
 
     def arrive(self, mean_s: float, make: Callable[[], None]) -> None:
         make()
@@ -268,21 +268,21 @@
 
     # The run.
 
-    def _beat(self) -> None:
+    def _heartbeat(self) -> None:
         self.give("tick", fx.Tick())
-        self.give("settle", fx.Settle())
-        self.after(BEAT_US, self._beat)
+        self.give("settle", fx.BatchEnd())
+        self.after(BEAT_US, self._heartbeat)
 
     def _watch(self) -> None:
         events, self.fresh = self.fresh, []
-        self.message("watch", fx.ViewChanges(events, self.ledger, self.now_us))
+        self.message("watch", fx.StoreChanges(events, self.revision, self.now_us))
         self.after(WATCH_US, self._watch)
 
     def play(self, length_us: int) -> None:
         count, draw = len(self.machines), self.random
-        self.message("watch", fx.ViewReset([], 0, 0))
+        self.message("watch", fx.StoreListing([], 0, 0))
         self._watch()
-        self._beat()
+        self._heartbeat()
         for machine in self.machines:
             self.after(START_US + draw.uniform(0, REPORT_S) * SECOND, partial(self.regular, machine))
         for _ in range(int(count * SERVICES_PER_MACHINE)):
--- a/quinceslip/cli.py
+++ b/quinceslip/cli.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from quinceslip import __version__
-from quinceslip.coordination.actor.subsystem import Maker
+from quinceslip.coordination.actor.subsystem import SubsystemFactory
 from quinceslip.protocol.settings import (
     Settings,
     SettingsError,
@@ -16,7 +16,7 @@
     load_tuning,
     read_operator_file,
 )
-from quinceslip.subsystems import makers
+from quinceslip.subsystems import subsystem_factories
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
@@ -216,7 +216,7 @@
     return 0
 
 
-def _load(arguments: argparse.Namespace) -> tuple[Settings, Tuning, str, list[Maker]]:
+def _load(arguments: argparse.Namespace) -> tuple[Settings, Tuning, str, list[SubsystemFactory]]:
     from quinceslip.coordination.actor.context import Timing
 
     settings = load_settings(arguments.config)
@@ -226,7 +226,7 @@
         Timing(settings)
     except SettingsError as error:
         raise SettingsError(f"{arguments.config}: {error}") from error
-    made = makers(settings, operators, str(arguments.operator_config or arguments.config),
+    made = subsystem_factories(settings, operators, str(arguments.operator_config or arguments.config),
                   tuning.fair_teams)
     level = os.environ.get("LOG_LEVEL") or tuning.log_level or "error"
     if level not in LEVELS:
--- a/quinceslip/coordination/actor/context.py
+++ b/quinceslip/coordination/actor/context.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-from quinceslip.coordination.actor.effects import UNKNOWN, Answer, Call, Effect, Reply, Urgency
+from quinceslip.coordination.actor.effects import UNKNOWN, Call, CallResult, Effect, Reply, Urgency
 from quinceslip.dependencies.graph import Graph
 from quinceslip.dependencies.graph import Urgency as JobUrgency
 from quinceslip.liveness import stall_records
 from quinceslip.protocol import messages
 from quinceslip.protocol.settings import Settings, SettingsError, Team, Tuning
-from quinceslip.storage.records import View
+from quinceslip.storage.records import StoreCache
 
 log = logging.getLogger(__name__)
 
@@ -21,18 +21,18 @@
 #: the steady clocks of two machines drift apart by at most this (PROTOCOL)
 DRIFT = 0.0005
 #: the state service takes leases of up to ten minutes (PROTOCOL); a shorter one than a second is lost by any hiccup
-LEAST_LEASE_US, MOST_LEASE_US = SECOND, 600 * SECOND
+MIN_LEASE_US, MAX_LEASE_US = SECOND, 600 * SECOND
 #: longer periods than a day are no such settings, and would not fit what is derived from them
-LONGEST_S = 86_400
+MAX_PERIOD_S = 86_400
 #: workers drop the answer to a report after this long (PROTOCOL)
 REPORT_WAIT_US = 4 * SECOND
 #: a way is planned as the estimates say: longer ones make whatever comes before an urgent job as urgent at once
 WAY_PART = 1.0
 #: so many transactions that the state service refused are remembered, to be sent no second time
-MOST_REFUSED = 1000
+MAX_REJECTED_CHANGES = 1000
 
 Done = Callable[[int, bytes], None]
-TxnDone = Callable[[int, list[str]], None]
+CompareAndSwapDone = Callable[[int, list[str]], None]
 
 
 def micros(seconds: float) -> int:
@@ -49,8 +49,8 @@
         workers = settings.facts.workers
         for name, given_s in (("report_s", workers.report_s), ("lease_s", workers.lease_s),
                               ("cancel_s", workers.cancel_s)):
-            if given_s > LONGEST_S:
-                raise SettingsError(f"facts.workers.{name} = {given_s:g}: more than {LONGEST_S} s")
+            if given_s > MAX_PERIOD_S:
+                raise SettingsError(f"facts.workers.{name} = {given_s:g}: more than {MAX_PERIOD_S} s")
         if workers.report_s * 1.25 >= workers.lease_s:
             raise SettingsError(f"facts.workers.report_s = {workers.report_s:g}: a worker's lease (lease_s = "
                                 f"{workers.lease_s:g}) runs out between two reports")
@@ -60,16 +60,16 @@
         margin_us = SECOND + int(2 * DRIFT * cancel_us)
         # What a cancellation leaves to an owner that cannot hear of it (docs/design.md, "The gap").
         left_us = cancel_us - self.worker_lease_us - 2 * margin_us
-        if left_us < LEAST_LEASE_US:
+        if left_us < MIN_LEASE_US:
             raise SettingsError(
                 f"facts.workers.cancel_s = {workers.cancel_s:g}: lease_s = {workers.lease_s:g} and margins of "
-                f"{2 * margin_us / SECOND:g} s leave no owner's lease of {LEAST_LEASE_US // SECOND} s")
+                f"{2 * margin_us / SECOND:g} s leave no owner's lease of {MIN_LEASE_US // SECOND} s")
         # A third of the workers': a successor is up well before the workers of a dead owner give up.
-        self.owner_lease_us = min(max(self.worker_lease_us // 3, 2 * SECOND), max(cancel_us // 6, LEAST_LEASE_US),
-                                  left_us, MOST_LEASE_US)
+        self.leader_lease_us = min(max(self.worker_lease_us // 3, 2 * SECOND), max(cancel_us // 6, MIN_LEASE_US),
+                                  left_us, MAX_LEASE_US)
         # An owner that lost the state service answers its workers for this long past its own lease:
         # owner's lease + grace + worker's lease must end before a cancellation it cannot hear of falls due.
-        self.grace_us = left_us - self.owner_lease_us
+        self.grace_us = left_us - self.leader_lease_us
         self.margin_us = margin_us
         self.lease_expiry_us = int(self.worker_lease_us * (1 + 2 * DRIFT)) + margin_us
         # Reports come every report_s, a quarter more at most; later than this, a worker is asked.
@@ -85,8 +85,8 @@
         self.tuning = tuning
         self.timing = Timing(settings)
         self.limits = settings.facts.state.lasting()
-        self.view = View()
-        self.graph = Graph(self.view.job, self._urgency, self.expected_duration_us)
+        self.cache = StoreCache()
+        self.graph = Graph(self.cache.job, self._urgency, self.expected_duration_us)
         self.effects: list[Effect] = []
         self.now_us = now_us
         self.wall_offset_us = wall_us - now_us
@@ -103,9 +103,9 @@
         self.quick_types: set[str] = set()
         self.teams = {t.name: t for t in settings.facts.teams}
         self.active_part = ""  # of the tick, while it runs: where the actor is, for whoever sees it stand still
-        self.keys_synced = 0
+        self.records_applied = 0
         self.rejected_changes: dict[bytes, None] = {}  # digests of changes that the state service does not take
-        self.rejected_again: list[TxnDone] = []  # who sent such changes again, and is told so at the next tick
+        self.rejected_again: list[CompareAndSwapDone] = []  # who sent such changes again, and is told so at the next tick
 
     # What the graph of jobs asks: as it is before anything runs, by the estimates of the jobs' owners.
 
@@ -131,12 +131,12 @@
 
     def is_suspended(self, part: str) -> bool:
         """Whether this controller stood still in that part so lately that it is left out (`standstill.notes`)."""
-        note = self.view.by_kind["standstill"].get(self.settings.label)
+        note = self.cache.by_kind["standstill"].get(self.settings.label)
         return stall_records.rests(note, part, self.wall_us, self.timing.worker_lease_us)
 
     def progress(self) -> int:
         """Grows while a long message is taken: a listing of all records is no standstill."""
-        return self.view.records_taken + self.keys_synced
+        return self.cache.records_taken + self.records_applied
 
     def team(self, name: str) -> Team | None:
         return self.teams.get(name)
@@ -147,7 +147,7 @@
         self.calls[self.next_id] = done
         self.effects.append(Call(target, self.next_id, method, path, body, timeout_us or self.timeout_us, writes, urgency))
 
-    def handle_result(self, answer: Answer) -> None:
+    def handle_result(self, answer: CallResult) -> None:
         done = self.calls.pop(answer.id, None)
         if done is not None:
             done(answer.status, answer.body)
@@ -157,7 +157,7 @@
 
     def store_available(self) -> bool:
         """Whether the state service answered this node lately."""
-        return self.now_us - self.store_ok_us < 3 * SECOND and self.view.synced
+        return self.now_us - self.store_ok_us < 3 * SECOND and self.cache.synced
 
     def note_store_status(self, status: int) -> None:
         if status in (200, 404, 409):
@@ -165,14 +165,14 @@
         elif status != 429:
             self.state_bad_us = self.now_us
 
-    def txn(self, conditions: dict[str, int], puts: Mapping[str, tuple[Any, int | None]],
-            drops: list[str], done: TxnDone, urgency: Urgency = Urgency.REST) -> None:
+    def compare_and_swap(self, conditions: dict[str, int], puts: Mapping[str, tuple[Any, int | None]],
+            drops: list[str], done: CompareAndSwapDone, urgency: Urgency = Urgency.REST) -> None:
         """One conditional write. On success the view has it before `done` runs.
 
         What the state service does not take for its size is answered 400, and logged as an error; the same changes
         are not sent again. An expired lease is answered 400 too, and says nothing of the changes.
         """
-        request = messages.txn_request(conditions, puts, drops)
+        request = messages.compare_and_swap_request(conditions, puts, drops)
         if self.rejected_changes and _digest(request) in self.rejected_changes:
             self.rejected_again.append(done)  # later, as every answer: callers set their marks after the call as well
             return
@@ -186,15 +186,15 @@
             keys: list[str] = []
             if status in (200, 409):
                 try:
-                    answer = msgspec.json.decode(body, type=messages.TxnAnswer)
+                    answer = msgspec.json.decode(body, type=messages.CompareAndSwapAnswer)
                 except msgspec.DecodeError as error:
                     log.error("state service answered a transaction with nonsense: %s", error)
                     done(UNKNOWN, [])
                     return
                 failed = answer.failed
                 if status == 200:
-                    keys += [k for k, (v, _) in puts.items() if self.view.store(k, v, answer.ledger)]
-                    keys += [k for k in drops if self.view.delete(k, answer.ledger)]
+                    keys += [k for k, (v, _) in puts.items() if self.cache.store(k, v, answer.revision)]
+                    keys += [k for k in drops if self.cache.delete(k, answer.revision)]
             done(status, failed)
             self.on_records_changed(keys)
 
@@ -209,7 +209,7 @@
                   len(changes), len(request["if"]), max(sizes, default=0), ", ".join(keys),
                   why[:200].decode("utf-8", "replace"))
         self.rejected_changes[_digest(request)] = None
-        if len(self.rejected_changes) > MOST_REFUSED:
+        if len(self.rejected_changes) > MAX_REJECTED_CHANGES:
             del self.rejected_changes[next(iter(self.rejected_changes))]
 
     def answer_rejected_again(self) -> None:
@@ -228,7 +228,7 @@
         """
         for start in range(0, len(keys), self.limits.txn_ops):
             batch = keys[start: start + self.limits.txn_ops]
-            self.txn({k: self.view.stamp(k) for k in batch}, {}, batch, lambda s, f: None)
+            self.compare_and_swap({k: self.cache.mod_revision(k) for k in batch}, {}, batch, lambda s, f: None)
 
 
 def _digest(request: dict[str, Any]) -> bytes:
--- a/quinceslip/coordination/actor/effects.py
+++ b/quinceslip/coordination/actor/effects.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """A request to the state service, the cloud or a worker; answered by `Answer(id)`."""
+    """A request to the state service, the cloud or a worker; answered by `CallResult(id)`."""
 
     target: str  # "state", "lease", "cloud" or a worker's address
     id: int
@@ -62,12 +62,12 @@
 
 
 @dataclass(slots=True)
-class Settle:
+class BatchEnd:
     """The inbox is empty, or enough was taken from it: act on what has changed."""
 
 
 @dataclass(slots=True)
-class Answer:
+class CallResult:
     id: int
     status: int
     body: bytes = b""
@@ -77,12 +77,12 @@
 class UserRequest:
     request: int
     verb: str  # "submit", "malformed", "poll", "cancel", "ready"
-    uid: str = ""
+    job_id: str = ""
     spec: Any = None  # what is submitted, or why that can't be read
 
 
 @dataclass(slots=True)
-class Asked:
+class SubsystemQuery:
     """A question that a subsystem answers; `after` continues a page."""
 
     request: int
@@ -91,31 +91,31 @@
 
 
 @dataclass(slots=True)
-class Reported:
+class HeartbeatReceived:
     request: int
-    report: Any
+    heartbeat: Any
 
 
 @dataclass(slots=True)
-class ViewReset:
+class StoreListing:
     """A listing of all records, read page by page."""
 
     items: list[Any]
-    ledger: int  # of the first page: the watch goes on from there
+    revision: int  # of the first page: the watch goes on from there
     asked_us: int  # when the first page was asked for
     until: int = 0  # ledger of the last page: before the watch has brought that much, pages do not fit together
 
 
 @dataclass(slots=True)
-class ViewChanges:
+class StoreChanges:
     events: list[Any]
-    ledger: int
+    revision: int
     asked_us: int
 
 
 @dataclass(slots=True)
-class PeerSaid:
+class PeerFrameReceived:
     said: Any  # a heartbeat, or sightings of the cloud's room
 
 
-Message = Tick | Settle | Answer | UserRequest | Asked | Reported | ViewReset | ViewChanges | PeerSaid
+Message = Tick | BatchEnd | CallResult | UserRequest | SubsystemQuery | HeartbeatReceived | StoreListing | StoreChanges | PeerFrameReceived
--- a/quinceslip/coordination/actor/subsystem.py
+++ b/quinceslip/coordination/actor/subsystem.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any
 
 from quinceslip.coordination.actor.context import Context
-from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.protocol import messages as m
 
 if TYPE_CHECKING:
@@ -49,4 +49,4 @@
 
 
 #: makes a subsystem out of what a node shares with it: context, rights, and the shards that are its own
-Maker = Callable[[Context, Ownership, "dict[int, Shard]"], Subsystem]
+SubsystemFactory = Callable[[Context, LeaderElection, "dict[int, Shard]"], Subsystem]
--- a/quinceslip/coordination/autoscaling/autoscaler.py
+++ b/quinceslip/coordination/autoscaling/autoscaler.py
@@ -9,52 +9,52 @@
 
 from quinceslip.coordination.actor.context import SECOND, Context, micros
 from quinceslip.coordination.actor.effects import Urgency
-from quinceslip.coordination.autoscaling.consolidation import Packer
-from quinceslip.coordination.autoscaling.inventory import Inventory
-from quinceslip.coordination.autoscaling.scale_out import Hiring
-from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.autoscaling.consolidation import Consolidator
+from quinceslip.coordination.autoscaling.inventory import MachineInventory
+from quinceslip.coordination.autoscaling.scale_out import ScaleOut
+from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.load_balancing.queueing_model import Station, credible, credible_rate
-from quinceslip.coordination.reconciliation.delivery import PROBES
+from quinceslip.coordination.reconciliation.delivery import MAX_UNANSWERED_PROBES
 from quinceslip.coordination.shard.shard import Shard
-from quinceslip.coordination.shard.state import Chunk, Worker, fits
+from quinceslip.coordination.shard.state import JobPartition, Worker, fits
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 
 log = logging.getLogger(__name__)
 
-DELETE_MOST = 100
+MAX_MACHINES_PER_DELETION = 100
 #: a deleted machine costs at least this long (PROTOCOL)
-LEAST_PAID_US = 60 * SECOND
+MIN_PAID_US = 60 * SECOND
 #: part of the work that would be served during a boot which no machine is rented for
 ABSORBED = 0.4
 #: the same where arrivals alone keep the present machines busy
-LEAST_ABSORBED = 0.05
+MIN_ABSORBED = 0.05
 #: a boot that takes so many times as long as usual is not counted on
 LATE_BOOT = 1.6
 #: a silent machine is asked so much later than it may be at the most: looks are half a second apart
 ASKED_US = SECOND
 #: so many silent machines at least make a zone that is cut off
-DARK_LEAST = 3
+MIN_UNREACHABLE_MACHINES = 3
 #: questions that fail take so long at the most: what is heard later was not cut off together with the silent ones
-DARK_US = 3 * SECOND
+UNREACHABLE_PROBE_US = 3 * SECOND
 #: headroom on quick machines may cost so many times as much as on the cheapest ones
 HEADROOM_PRICE = 4.0
 #: services that came in this window tell how many to expect
 HEADROOM_WINDOW_US = 120 * SECOND
 
 
-class Provisioner:
-    def __init__(self, ctx: Context, ownership: Ownership, shards: dict[int, Shard]) -> None:
+class Autoscaler:
+    def __init__(self, ctx: Context, election: LeaderElection, shards: dict[int, Shard]) -> None:
         self.ctx = ctx
-        self.ownership = ownership
+        self.election = election
         self.shards = shards
         self.next_types_us = 0
         self.next_plan_us = 0
-        self.scale_out = Hiring(ctx, ownership, shards, self._plan_soon)
+        self.scale_out = ScaleOut(ctx, election, shards, self._plan_soon)
         self.capacity = self.scale_out.capacity
-        self.inventory = Inventory(ctx, ownership, shards, self._delete)
+        self.inventory = MachineInventory(ctx, election, shards, self._delete)
         self.next_delete_us = 0
-        self.consolidator = Packer(ctx, ownership)
+        self.consolidator = Consolidator(ctx, election)
         self.quick_service_cpus: Callable[[], list[int]] = list
 
     def _plan_soon(self) -> None:
@@ -63,7 +63,7 @@
     # Machine types.
 
     def types_changed(self) -> None:
-        found = self.ctx.view.by_kind["types"].get("")
+        found = self.ctx.cache.by_kind["types"].get("")
         if found:
             self._set_types(found)
 
@@ -72,7 +72,7 @@
         self.ctx.types.update({t.label: t for t in types})
         for shard in self.shards.values():
             for worker in shard.workers.values():
-                record = self.ctx.view.by_kind["roster"].get(worker.name)
+                record = self.ctx.cache.by_kind["roster"].get(worker.name)
                 if record is not None:
                     worker.type = self.ctx.types.get(record.type, worker.type)
             shard.needs_placement = True
@@ -91,12 +91,12 @@
             first = not self.ctx.types
             self._set_types(types)
             self.next_types_us = self.ctx.now_us + 60 * SECOND
-            stamp = self.ctx.view.stamp(records.TYPES)
+            mod_revision = self.ctx.cache.mod_revision(records.TYPES)
             # More types than fit a record are not kept, for a part of them would tell users that jobs never run.
-            if (first or stamp == 0) and self.ctx.fits_record(types):
-                self.ctx.txn({records.TYPES: stamp}, {records.TYPES: (types, None)}, [], lambda s, f: None)
+            if (first or mod_revision == 0) and self.ctx.fits_record(types):
+                self.ctx.compare_and_swap({records.TYPES: mod_revision}, {records.TYPES: (types, None)}, [], lambda s, f: None)
 
-        self.ctx.call("cloud", "GET", m.PATH_FLAVORS, None, done, timeout_us=3 * SECOND, urgency=Urgency.REST)
+        self.ctx.call("cloud", "GET", m.PATH_MACHINE_TYPES, None, done, timeout_us=3 * SECOND, urgency=Urgency.REST)
 
     # Rentals.
 
@@ -105,7 +105,7 @@
         if now_us >= self.next_types_us:
             self._ask_types()
         self.inventory.list_if_due()
-        if not self.ownership.entitled() or not self.ctx.view.synced or not self.ctx.types:
+        if not self.election.may_launch() or not self.ctx.cache.synced or not self.ctx.types:
             return
         self.inventory.reconcile()
         self.scale_out.carry_through()
@@ -133,22 +133,22 @@
                     self.ctx.now_us - worker.registered_us < LATE_BOOT * micros(worker.type.boot_s):
                 room = [worker.type.cpus, worker.type.gpus, worker.type.memory_gb]
                 coming.append((worker.zone, worker.spot, worker.type, room))
-        for hire in self.scale_out.requests.values():
-            kind = self.ctx.types.get(hire.record.type)
-            if hire.shard == shard.index and kind:
-                for _ in range(hire.expected_machines()):
-                    coming.append((hire.record.zone, hire.record.spot, kind,
+        for request in self.scale_out.requests.values():
+            kind = self.ctx.types.get(request.record.type)
+            if request.shard == shard.index and kind:
+                for _ in range(request.expected_machines()):
+                    coming.append((request.record.zone, request.record.spot, kind,
                                    [kind.cpus, kind.gpus, kind.memory_gb]))
-        lacking: dict[tuple[str, bool, bool], tuple[Chunk, float, int]] = {}
+        lacking: dict[tuple[str, bool, bool], tuple[JobPartition, float, int]] = {}
         spoken_for: dict[int, tuple[int, int, int, int]] = {}
-        for chunk in shard.waiting_in_order():
+        for partition in shard.waiting_in_order():
             # Tasks that pause after a failure need no machine: a mistaken job would rent many.
-            waiting, spec = chunk.startable(), chunk.spec
+            waiting, spec = partition.startable(), partition.spec
             if shard.quota is not None:
                 waiting = shard.quota.startable(spec, waiting, spoken_for)
             if waiting <= 0:
                 continue
-            zones = shard.placement.eligible_zones(chunk)
+            zones = shard.placement.eligible_zones(partition)
             if zones is not None and not zones:
                 continue
             for zone, spot, kind, room in coming:
@@ -165,13 +165,13 @@
             if waiting:
                 key = (spec.zone or "", spec.spot, spec.service or spec.gang)
                 known = lacking.get(key)
-                lacking[key] = (known[0] if known else chunk, (known[1] if known else 0.0) + waiting * max(
+                lacking[key] = (known[0] if known else partition, (known[1] if known else 0.0) + waiting * max(
                     spec.cpus, 0.01), (known[2] if known else 0) + waiting)
-        for (_, spot, service), (chunk, cpus, count) in lacking.items():
+        for (_, spot, service), (partition, cpus, count) in lacking.items():
             if not service:
                 cpus = cpus * self.ctx.tuning.hire_fraction - self._absorbed(shard, self._spare_part())
             if cpus > 0:
-                self._scale_out_for(shard, chunk, spot, cpus, count)
+                self._scale_out_for(shard, partition, spot, cpus, count)
         if not any(service for _, _, service in lacking):
             self._keep_headroom(shard, [room[0] for _, spot, _, room in coming if not spot])
 
@@ -180,22 +180,22 @@
 
         The lowest shard that has services rents for all: what one shard lacks, another may have.
         """
-        services = [c for c in shard.chunks.values() if c.spec.service]
-        homes = [job.shard for job in self.ctx.view.open_services.values()]
+        services = [c for c in shard.partitions.values() if c.spec.service]
+        homes = [job.shard for job in self.ctx.cache.open_services.values()]
         if not services or min(homes, default=-1) != shard.index:
             return
-        chunk = max(services, key=lambda c: c.spec.cpus)
+        partition = max(services, key=lambda c: c.spec.cpus)
         need, size = self._expected_services()
         slots = self._service_slots(size)
         slots += sum(int(room // size) for room in coming)
         if slots < need:
             log.debug("room for %d services of %d to expect", slots, need)
             # Any zone will do: the zones of this running service say nothing of those to come.
-            self._scale_out_for(shard, chunk, False, (need - slots) * size, need - slots, anywhere=True)
+            self._scale_out_for(shard, partition, False, (need - slots) * size, need - slots, anywhere=True)
 
     def _expected_services(self) -> tuple[int, float]:
         """Service tasks to expect while a machine boots, one job's at least, and the CPUs of one."""
-        jobs = self.ctx.view.open_services.values()
+        jobs = self.ctx.cache.open_services.values()
         if not jobs:
             return (0, 0.0)
         since_us = self.ctx.wall_us - HEADROOM_WINDOW_US
@@ -209,18 +209,18 @@
     def _update_quick_types(self) -> None:
         """Which types fetch a usual image of the services at hand within the wait that users accept."""
         placement = next(iter(self.shards.values())).placement
-        specs = [j.spec for j in self.ctx.view.open_services.values() if j.spec is not None]
+        specs = [j.spec for j in self.ctx.cache.open_services.values() if j.spec is not None]
         self.ctx.quick_types = {t.label for t in self.ctx.types.values()
                                 if 2 * sum(placement.quick_type(t, s) for s in specs) > len(specs)}
 
     def _spare_part(self) -> float:
         """The part of what slots set free that new arrivals will not take themselves: 1 - rate / total m u."""
-        loads = self.ctx.view.by_kind["load"].values()
+        loads = self.ctx.cache.by_kind["load"].values()
         capacity = sum(s.capacity for r in loads if credible(s := Station(r.slots, r.rate)))
         if capacity <= 0:
             return ABSORBED
         arrivals: float = sum(r.arrivals for r in loads if credible_rate(r.arrivals))
-        return min(ABSORBED, max(LEAST_ABSORBED, 1.0 - arrivals / capacity))
+        return min(ABSORBED, max(MIN_ABSORBED, 1.0 - arrivals / capacity))
 
     def _absorbed(self, shard: Shard, part: float) -> float:
         """CPUs of waiting work that machines already here get to before a new one could boot."""
@@ -229,10 +229,10 @@
         cpus, _ = shard.mean_task()
         return part * slots * cpus * rate * min(kinds) if kinds else 0.0
 
-    def _scale_out_for(self, shard: Shard, chunk: Chunk, spot: bool, cpus: float, count: int,
+    def _scale_out_for(self, shard: Shard, partition: JobPartition, spot: bool, cpus: float, count: int,
                   anywhere: bool = False) -> None:
-        spec = chunk.spec
-        zones = None if anywhere else shard.placement.eligible_zones(chunk)
+        spec = partition.spec
+        zones = None if anywhere else shard.placement.eligible_zones(partition)
         in_zone: dict[str, int] = defaultdict(int)
         for worker in shard.workers.values():
             in_zone[worker.zone] += 1
@@ -247,7 +247,7 @@
                                          kind.memory_gb / max(spec.memory_gb, 0.001), count)))
             machines = max(1, math.ceil(cpus / max(per_machine * spec.cpus, 0.01) - 0.2))
             dear = machines
-            if spot and kind.spot_price > 0 and not chunk.spec.whole:
+            if spot and kind.spot_price > 0 and not partition.spec.whole:
                 # A dearer machine must have as much more waiting for it.
                 left = cpus - (kind.price / kind.spot_price - 1.0) * self._absorbed(shard, ABSORBED)
                 dear = math.ceil(left / max(per_machine * spec.cpus, 0.01) - 0.5)
@@ -280,7 +280,7 @@
         # Where most are silent, it is this node's network or a takeover, not the machines.
         known = [w for w in shard.workers.values() if (w.last_contact_us or w.delivery.unanswered_probes) and not w.lease_expired]
         heard = sum(bool(w.last_contact_us) and not w.delivery.unanswered_probes for w in known)
-        mostly_heard = 2 * heard >= len(known) or (len(known) <= 2 and self.ownership.entitled())
+        mostly_heard = 2 * heard >= len(known) or (len(known) <= 2 and self.election.may_launch())
         # At the moment of a cut the first machines count as silent while the others were heard just before it: one is
         # only known to be silent by itself if another was heard since it was first asked in vain.
         newest_us = max((w.last_contact_us for w in known if not w.delivery.unanswered_probes), default=0)
@@ -292,17 +292,17 @@
                 continue
             boot_us = micros(worker.type.boot_s)
             host = self.inventory.listed.get(worker.name)
-            deaf = worker.delivery.unanswered_probes >= PROBES and mostly_heard and worker.zone not in dark and (
+            deaf = worker.delivery.unanswered_probes >= MAX_UNANSWERED_PROBES and mostly_heard and worker.zone not in dark and (
                 len(known) <= 2
                 or newest_us > max(worker.delivery.first_missed_us, shard.led_since_us) + ASKED_US)
-            if worker.name in shard.unresolved and deaf:
+            if worker.name in shard.unreconciled and deaf:
                 # Deleted, it is certain to be gone, and what it may have held can start elsewhere.
                 if not worker.draining:  # else it was asked for before, and the cloud did not answer
                     log.info("inherited worker %s does not answer: replaced", worker.name)
                 names.append(worker.name)
                 continue
             if not worker.last_contact_us:
-                if now_us - worker.registered_us > 4 * boot_us + 20 * SECOND and worker.name not in shard.unresolved:
+                if now_us - worker.registered_us > 4 * boot_us + 20 * SECOND and worker.name not in shard.unreconciled:
                     log.info("machine %s never came up", worker.name)
                     names.append(worker.name)
                 continue
@@ -316,7 +316,7 @@
                 log.info("worker %s is silent for %.1f s: replaced", worker.name, silent_us / SECOND)
                 names.append(worker.name)
                 continue
-            if worker.delivery.unanswered_probes >= PROBES and not worker.attempts and \
+            if worker.delivery.unanswered_probes >= MAX_UNANSWERED_PROBES and not worker.attempts and \
                     now_us - worker.delivery.first_missed_us > self.ctx.timing.lease_expiry_us:
                 # Its reports arrive, so it would neither be used nor ever be found idle. Like one that is silent for
                 # so long it holds nothing, so a cut zone loses nothing by it.
@@ -329,17 +329,17 @@
                 continue
             spare = False
             # Until the roster is resolved what it may have to run is not known.
-            if not worker.attempts and not shard.unresolved and shard.placement.usable(worker):
+            if not worker.attempts and not shard.unreconciled and shard.placement.usable(worker):
                 # One idle machine is kept in hand for long; the more there are, the shorter.
                 idle_rank[worker.spot] += 1
-                patience_us = self._idle_limit_us(boot_us) // idle_rank[worker.spot]
-                if idle_us > patience_us and not self._awaited_by_gang(shard, worker):
+                starvation_bound_us = self._idle_limit_us(boot_us) // idle_rank[worker.spot]
+                if idle_us > starvation_bound_us and not self._awaited_by_gang(shard, worker):
                     headroom = self._spare_slots(shard) if headroom is None else headroom
                     spare = not self._needed_as_headroom(worker, *headroom)
             if worker.draining or worker.task_failures > 2 or spare:
                 names.append(worker.name)
         if names:
-            self._delete(shard, names[:DELETE_MOST])
+            self._delete(shard, names[:MAX_MACHINES_PER_DELETION])
 
     @staticmethod
     def _awaited_by_gang(shard: Shard, worker: Worker) -> bool:
@@ -366,11 +366,11 @@
                 last_us[worker.zone] = max(last_us[worker.zone], worker.delivery.first_missed_us, shard.led_since_us)
             else:
                 alive_us[worker.zone] = max(alive_us[worker.zone], worker.last_contact_us)
-            if worker.service_tasks or worker.name in shard.unresolved:
+            if worker.service_tasks or worker.name in shard.unreconciled:
                 asked[worker.zone] += 1
                 silent[worker.zone] += worker.delivery.unanswered_probes > 0
-        return {zone for zone, count in silent.items() if count >= DARK_LEAST and 2 * count >= asked[zone]
-                and alive_us[zone] <= last_us[zone] + DARK_US}
+        return {zone for zone, count in silent.items() if count >= MIN_UNREACHABLE_MACHINES and 2 * count >= asked[zone]
+                and alive_us[zone] <= last_us[zone] + UNREACHABLE_PROBE_US}
 
     def _idle_limit_us(self, boot_us: int) -> int:
         return max(10 * SECOND, int(self.ctx.tuning.idle_return_factor * boot_us))
@@ -380,7 +380,7 @@
 
         The same measure as for renting: what one returns and the other rents again costs a minute each.
         """
-        if not any(c.spec.service for c in shard.chunks.values()):
+        if not any(c.spec.service for c in shard.partitions.values()):
             return (None, 0.0)
         need, size = self._expected_services()
         return (self._service_slots(size) - need, size) if size else (None, 0.0)
--- a/quinceslip/coordination/autoscaling/capacity.py
+++ b/quinceslip/coordination/autoscaling/capacity.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from quinceslip.protocol.frames import Sighting
+from quinceslip.protocol.frames import Observation
 
 SECOND = 1_000_000
 #: machine type, zone, spot
@@ -20,24 +20,24 @@
 #: part of the cloud's calls that may go to kinds that were short when they were last asked for
 ASK_PART = 0.125
 #: a kind that was short rests for no less and no more than this
-LEAST_REST_US = 12 * SECOND
-MOST_REST_US = 48 * SECOND
+MIN_BACKOFF_US = 12 * SECOND
+MAX_BACKOFF_US = 48 * SECOND
 #: kinds that are kept of one peer: more than a frame carries, so that nonsense takes no memory
-MOST_KINDS = 64
+MAX_POOLS_PER_PEER = 64
 #: between the turns of two controllers: time for the first one's answer, and for the others to hear of it
 TURN_US = SECOND
 
 
 @dataclass(slots=True, frozen=True)
-class Known:
+class DatedObservation:
     """A sighting as one controller knows it, at its own clock."""
 
-    observation: Sighting
+    observation: Observation
     at_us: int
 
 
 @dataclass(slots=True, frozen=True)
-class Rest:
+class Backoff:
     """Why a kind is not asked for: whose sighting, and until when for this controller."""
 
     origin: str
@@ -45,7 +45,7 @@
     until_us: int
 
 
-class Supply:
+class CapacityObservations:
     """Owns what is known of the cloud's room; `rests` says whether to ask."""
 
     def __init__(self, label: str, labels: list[str], asks_per_s: float, born: int, told: bool = True) -> None:
@@ -56,8 +56,8 @@
         self.sharing = told  # whether the controllers tell each other at all
         self.count = 0
         #: by controller, by kind: the newest sighting of each
-        self.by_origin: dict[str, dict[Kind, Known]] = {}
-        self.backoffs: dict[Kind, Rest] = {}
+        self.by_origin: dict[str, dict[Kind, DatedObservation]] = {}
+        self.backoffs: dict[Kind, Backoff] = {}
         self.has_news = False  # something was seen that peers have not been told
 
     # First hand.
@@ -76,39 +76,39 @@
         if not short and kind not in self.backoffs and not (kind in mine and _short(mine[kind])):
             return  # nobody was told otherwise: no news
         self.count += 1
-        mine[kind] = Known(Sighting(kind, self.process_started_ms, self.count, 0, asked, granted), now_us)
+        mine[kind] = DatedObservation(Observation(kind, self.process_started_ms, self.count, 0, asked, granted), now_us)
         self.has_news = True
         self._update_backoff(kind, now_us)
 
     # Hearsay.
 
-    def own_observations(self, now_us: int) -> list[Sighting]:
+    def own_observations(self, now_us: int) -> list[Observation]:
         """What this controller saw itself, each with its age; newest first."""
         self.has_news = False
         if not self.sharing:
             return []
         mine = self.by_origin.get(self.label, {})
-        for kind in [k for k, known in mine.items() if now_us - known.at_us > MOST_REST_US]:
+        for kind in [k for k, known in mine.items() if now_us - known.at_us > MAX_BACKOFF_US]:
             del mine[kind]
         newest = sorted(mine.values(), key=lambda k: -k.at_us)
         return [replace(k.observation, age_us=now_us - k.at_us) for k in newest]
 
-    def observations_received(self, origin: str, sightings: Iterable[Sighting], now_us: int) -> None:
+    def observations_received(self, origin: str, observations: Iterable[Observation], now_us: int) -> None:
         """What a peer says that it saw itself. Costs by what is new of it."""
         if not self.sharing or origin == self.label or origin not in self.labels:
             return
         theirs = self.by_origin.setdefault(origin, {})
-        for sighting in sightings:
-            at_us, before = now_us - sighting.age_us, theirs.get(sighting.kind)
+        for observation in observations:
+            at_us, before = now_us - observation.age_us, theirs.get(observation.kind)
             if before is not None:
-                version, known = (sighting.born, sighting.number), (before.observation.born, before.observation.number)
+                version, known = (observation.born, observation.number), (before.observation.born, before.observation.number)
                 # Guard: the same sighting heard again, or an older one that was late, moves nothing later.
                 if version < known or (version == known and at_us >= before.at_us):
                     continue
-            theirs[sighting.kind] = Known(sighting, at_us)
-            if len(theirs) > MOST_KINDS:
+            theirs[observation.kind] = DatedObservation(observation, at_us)
+            if len(theirs) > MAX_POOLS_PER_PEER:
                 del theirs[min(theirs, key=lambda k: theirs[k].at_us)]
-            self._update_backoff(sighting.kind, now_us)
+            self._update_backoff(observation.kind, now_us)
 
     # Judgement.
 
@@ -124,7 +124,7 @@
 
     def _update_backoff(self, kind: Kind, now_us: int) -> None:
         """One rest for each kind, counted from the latest moment at which it was short, unless room was seen since."""
-        shortage: tuple[Known, str] | None = None
+        shortage: tuple[DatedObservation, str] | None = None
         room_us: int | None = None
         for origin, theirs in self.by_origin.items():
             known = theirs.get(kind)
@@ -143,23 +143,23 @@
         if before is not None and (before.origin, before.version) == (origin, version):
             until_us = min(until_us, before.until_us)  # guard: the end of a rest is not moved later by what is heard
         if until_us > now_us:
-            self.backoffs[kind] = Rest(origin, version, until_us)
+            self.backoffs[kind] = Backoff(origin, version, until_us)
 
     def backoff_us(self, now_us: int) -> int:
         """How long a kind rests: all that rest are asked for in turn, with a part of the cloud's calls together."""
         resting = 1 + sum(rest.until_us > now_us for rest in self.backoffs.values())
-        return min(max(int(SECOND * resting / (self.asks_per_s * ASK_PART)), LEAST_REST_US), MOST_REST_US)
+        return min(max(int(SECOND * resting / (self.asks_per_s * ASK_PART)), MIN_BACKOFF_US), MAX_BACKOFF_US)
 
     def turn_delay_us(self, origin: str) -> int:
         """The controllers ask one after the other, so that one answer serves all; whoever was short last comes last."""
         size = len(self.labels)
         place = (self.labels.index(self.label) - self.labels.index(origin) - 1) % size
-        return place * min(TURN_US, MOST_REST_US // 4 // size)
+        return place * min(TURN_US, MAX_BACKOFF_US // 4 // size)
 
-    def all_observations(self) -> Mapping[str, Mapping[Kind, Known]]:
+    def all_observations(self) -> Mapping[str, Mapping[Kind, DatedObservation]]:
         """What is known, by controller: for tests, logs and whoever asks."""
         return self.by_origin
 
 
-def _short(known: Known) -> bool:
+def _short(known: DatedObservation) -> bool:
     return known.observation.granted < known.observation.asked
--- a/quinceslip/coordination/autoscaling/consolidation.py
+++ b/quinceslip/coordination/autoscaling/consolidation.py
@@ -8,7 +8,7 @@
 import logging
 
 from quinceslip.coordination.actor.context import SECOND, Context, micros
-from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.shard.shard import Shard
 from quinceslip.coordination.shard.state import Attempt, Worker, fits
 
@@ -27,17 +27,17 @@
 AT_ONCE = 0.1
 
 
-class Packer:
-    def __init__(self, ctx: Context, ownership: Ownership) -> None:
+class Consolidator:
+    def __init__(self, ctx: Context, election: LeaderElection) -> None:
         self.ctx = ctx
-        self.ownership = ownership
+        self.election = election
         self.spare_since_us: dict[int, int] = {}
         self.allowance: dict[int, float] = {}
 
     def consolidate(self, shard: Shard, reserve_cpus: float) -> None:
         """Called each second; `reserve_cpus` must stay free for services that are expected."""
         emptying = [w for w in shard.workers.values() if w.draining == PACKING]
-        if shard.unresolved or shard.waiting_tasks() or not self.ownership.entitled(shard.index):
+        if shard.unreconciled or shard.waiting_tasks() or not self.election.may_launch(shard.index):
             for worker in emptying:
                 worker.draining = ""
                 shard.needs_placement = True
@@ -92,7 +92,7 @@
             if target is not None:
                 free, spec = room[target.name], attempt.spec
                 room[target.name] = (free[0] - spec.cpus, free[1] - spec.gpus, free[2] - spec.memory_gb)
-                shard.halt(attempt, 0.0)
+                shard.stop(attempt, 0.0)
                 moved += 1
         return moved
 
--- a/quinceslip/coordination/autoscaling/inventory.py
+++ b/quinceslip/coordination/autoscaling/inventory.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from quinceslip.coordination.actor.context import SECOND, Context, TxnDone, micros
+from quinceslip.coordination.actor.context import SECOND, CompareAndSwapDone, Context, micros
 from quinceslip.coordination.actor.effects import NOT_SENT, Urgency
-from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.shard.shard import Shard
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
@@ -18,17 +18,17 @@
 DEAD_LISTED_US = 30 * SECOND
 
 
-class Inventory:
+class MachineInventory:
     """Owns the list and the way off the roster; `delete` asks the cloud to delete machines of a shard."""
 
-    def __init__(self, ctx: Context, ownership: Ownership, shards: dict[int, Shard],
+    def __init__(self, ctx: Context, election: LeaderElection, shards: dict[int, Shard],
                  delete: Callable[[Shard, list[str]], None]) -> None:
         self.ctx = ctx
-        self.ownership = ownership
+        self.election = election
         self.shards = shards
         self.delete = delete
         self.deleting: set[str] = set()  # machines whose deletion is on its way
-        self.listed: dict[str, m.Host] = {}
+        self.listed: dict[str, m.CloudMachine] = {}
         self.listed_us = 0  # when the last complete list was asked for
         self.first_listed: dict[str, int] = {}
         self.listing = False
@@ -56,8 +56,8 @@
             self._adopt_listed()
         self._deregister()
 
-    def roster_changed(self, name: str) -> None:
-        if name in self.ctx.view.by_kind["roster"]:
+    def machine_record_changed(self, name: str) -> None:
+        if name in self.ctx.cache.by_kind["roster"]:
             self.deregistered_us.pop(name, None)
         else:
             self.deregistered_us[name] = self.ctx.now_us
@@ -67,15 +67,15 @@
     def _ask_list(self) -> None:
         self.listing = True
         asked_us = self.ctx.now_us
-        found: dict[str, m.Host] = {}
+        found: dict[str, m.CloudMachine] = {}
 
         def page(after: str) -> None:
-            self.ctx.call("cloud", "GET", m.hosts_path(after), None, done, timeout_us=3 * SECOND,
+            self.ctx.call("cloud", "GET", m.machines_path(after), None, done, timeout_us=3 * SECOND,
                           urgency=Urgency.REST)
 
         def done(status: int, body: bytes) -> None:
             try:
-                answer = msgspec.json.decode(body, type=m.HostList) if status == 200 else None
+                answer = msgspec.json.decode(body, type=m.MachineListing) if status == 200 else None
             except msgspec.DecodeError as error:
                 log.error("cloud answered nonsense: %s", error)
                 answer = None
@@ -83,9 +83,9 @@
                 self.listing = False
                 self.next_list_us = self.ctx.now_us + self.list_period_us
                 return
-            found.update({h.machine: h for h in answer.hosts})
-            if answer.more and answer.hosts:
-                page(answer.hosts[-1].machine)
+            found.update({h.machine: h for h in answer.machines})
+            if answer.more and answer.machines:
+                page(answer.machines[-1].machine)
                 return
             self.listing = False
             self.next_list_us = self.ctx.now_us + self.list_period_us
@@ -93,7 +93,7 @@
 
         page("")
 
-    def _listed(self, found: dict[str, m.Host], asked_us: int) -> None:
+    def _listed(self, found: dict[str, m.CloudMachine], asked_us: int) -> None:
         self.listed, self.listed_us = found, asked_us
         for name in found:
             self.first_listed.setdefault(name, asked_us)
@@ -122,8 +122,8 @@
         One write for each was more than the budget takes when a third of the machines falls at once. What stayed on
         the roster held up the next takeover, which waits for every machine on it.
         """
-        roster = self.ctx.view.by_kind["roster"]
-        for name in [n for n, index in self.to_deregister.items() if n not in roster or not self.ownership.leads(index)]:
+        machine_records = self.ctx.cache.by_kind["roster"]
+        for name in [n for n, index in self.to_deregister.items() if n not in machine_records or not self.election.leads(index)]:
             del self.to_deregister[name]
         if not self.to_deregister or self.deregistering or self.ctx.now_us < self.next_deregister_us:
             return
@@ -137,29 +137,29 @@
                 self.next_deregister_us = self.ctx.now_us + SECOND // 2
 
         # Guard: carried out late it strikes nothing that has been written since.
-        keys = [records.roster_key(n) for n in names]
-        stamps = {k: self.ctx.view.stamp(k) for k in keys}
-        self.ctx.txn({**self.ownership.fencing_condition(index), **stamps}, {}, keys, done)
+        keys = [records.machine_key(n) for n in names]
+        mod_revisions = {k: self.ctx.cache.mod_revision(k) for k in keys}
+        self.ctx.compare_and_swap({**self.election.fencing_condition(index), **mod_revisions}, {}, keys, done)
 
     # Adoption.
 
-    def adopt(self, name: str, record: records.RosterRecord, done: TxnDone | None = None) -> None:
+    def adopt(self, name: str, record: records.MachineRecord, done: CompareAndSwapDone | None = None) -> None:
         """Put an unexpected machine on the roster of one of our shards."""
-        if not self.ownership.leads(record.shard):
+        if not self.election.leads(record.shard):
             if done:
                 done(503, [])
             return
-        key = records.roster_key(name)
-        self.ctx.txn({**self.ownership.fencing_condition(record.shard), key: 0}, {key: (record, None)}, [],
+        key = records.machine_key(name)
+        self.ctx.compare_and_swap({**self.election.fencing_condition(record.shard), key: 0}, {key: (record, None)}, [],
                      done or (lambda s, f: None), Urgency.LAUNCH)
 
-    def adopt_from_heartbeat(self, report: m.WorkerReport, index: int, done: TxnDone) -> None:
+    def adopt_from_heartbeat(self, heartbeat: m.WorkerHeartbeat, index: int, done: CompareAndSwapDone) -> None:
         """Put a machine that reports, and that nobody expected, on the roster of a shard.
 
         Guard: only one that answers for itself now. A report may come long after its machine is gone, and a machine
         on the roster holds up the next takeover until it is proven gone. What left the roster was proven gone.
         """
-        name, now_us = report.worker, self.ctx.now_us
+        name, now_us = heartbeat.worker, self.ctx.now_us
         if name in self.deregistered_us or now_us < self.adoption_probed_until_us.get(name, 0):
             done(NOT_SENT, [])
             return
@@ -167,7 +167,7 @@
             del self.adoption_probed_until_us[known]
         # Copies of one that is gone come by the hundred: it is not asked again for a while.
         self.adoption_probed_until_us[name] = now_us + self.ctx.timing.worker_lease_us // 2
-        record = records.RosterRecord(index, report.type, report.zone, report.spot, report.endpoint, used=True)
+        record = records.MachineRecord(index, heartbeat.type, heartbeat.zone, heartbeat.spot, heartbeat.endpoint, used=True)
 
         def asked(status: int, body: bytes) -> None:
             if status == 200 and m.names(body, name):
@@ -177,17 +177,17 @@
                 log.info("worker %s is unexpected and does not answer: not adopted", name)
                 done(status, [])
 
-        self.ctx.call(report.endpoint, "GET", m.PATH_INSPECT, None, asked, timeout_us=SECOND)
+        self.ctx.call(heartbeat.endpoint, "GET", m.PATH_INSPECT, None, asked, timeout_us=SECOND)
 
     def _adopt_listed(self) -> None:
         """Machines in the list that nobody answers for, for instance of a late rental."""
-        shard = self.shards.get(self.ownership.home)
+        shard = self.shards.get(self.election.home)
         if shard is None:
             return
-        roster = self.ctx.view.by_kind["roster"]
+        machine_records = self.ctx.cache.by_kind["roster"]
         names = sorted(self.listed)
         for place, name in enumerate(names):
-            if name in roster or name in self.deleting or place % self.ctx.settings.facts.size != shard.index:
+            if name in machine_records or name in self.deleting or place % self.ctx.settings.facts.size != shard.index:
                 continue
             # The list shows what is gone for a while longer; a machine that was just returned
             # must not be taken for one that nobody expected.
@@ -198,6 +198,6 @@
                 continue
             self.next_adopt_us = self.ctx.now_us + 2 * SECOND
             log.info("machine %s is unexpected: adopted by shard %d", name, shard.index)
-            self.adopt(name, records.RosterRecord(shard.index, host.type, host.zone, host.spot,
+            self.adopt(name, records.MachineRecord(shard.index, host.type, host.zone, host.spot,
                                                   host.endpoint, used=True))
             return
--- a/quinceslip/coordination/controller/user_requests.py
+++ b/quinceslip/coordination/controller/user_requests.py
@@ -9,7 +9,7 @@
 from quinceslip.coordination.actor.context import SECOND, Context
 from quinceslip.coordination.actor.effects import Urgency, UserRequest
 from quinceslip.coordination.actor.subsystem import Subsystem
-from quinceslip.coordination.load_balancing.load_balancer import Balancer
+from quinceslip.coordination.load_balancing.load_balancer import LoadBalancer
 from quinceslip.coordination.shard.shard import Shard
 from quinceslip.feature_gate import PIPELINES
 from quinceslip.protocol import messages as m
@@ -27,26 +27,26 @@
 
 
 @dataclass(slots=True)
-class Waiting:
+class PendingRequest:
     """A user's request that needs a read barrier."""
 
     request: int
-    uid: str
+    job_id: str
     asked_us: int
     action: str = "status"
     answer_if_absent: tuple[int, object] = (404, {"error": "no such job"})
     spec: m.JobSpec | None = None  # what to submit once the read is known
 
 
-class Users:
-    def __init__(self, ctx: Context, shards: dict[int, Shard], balancer: Balancer,
+class UserRequests:
+    def __init__(self, ctx: Context, shards: dict[int, Shard], load_balancer: LoadBalancer,
                  subsystems: Sequence[Subsystem]) -> None:
         self.ctx = ctx
         self.shards = shards
-        self.balancer = balancer
+        self.load_balancer = load_balancer
         self.subsystems = subsystems
-        self.waiting_for_barrier: list[Waiting] = []  # for the next barrier
-        self.awaiting_cache: list[tuple[int, list[Waiting]]] = []  # for the view to catch up
+        self.waiting_for_barrier: list[PendingRequest] = []  # for the next barrier
+        self.awaiting_cache: list[tuple[int, list[PendingRequest]]] = []  # for the view to catch up
         self.cancel_retries: list[tuple[int, str, int, int]] = []  # to be tried again
         self.barrier_open = False
         facts = ctx.settings.facts
@@ -58,8 +58,8 @@
         now_us = self.ctx.now_us
         due = [c for c in self.cancel_retries if c[3] <= now_us]
         self.cancel_retries = [c for c in self.cancel_retries if c[3] > now_us]
-        for request, uid, tries, _ in due:
-            self._cancel(request, uid, tries)
+        for request, job_id, tries, _ in due:
+            self._cancel(request, job_id, tries)
         self.cache_advanced()
         # Guard: a read that hangs holds up nobody past the time that users wait, however many ask meanwhile.
         self.waiting_for_barrier = self._still_in_time(self.waiting_for_barrier)
@@ -70,25 +70,25 @@
             self._submit(request.request, request.spec)
         elif request.verb == "malformed":
             # Not before it is sure that the job is not known: an accepted job never gets 400.
-            self._poll(request.request, request.uid, absent=(400, {"error": request.spec.why}))
+            self._poll(request.request, request.job_id, absent=(400, {"error": request.spec.why}))
         elif request.verb == "poll":
-            self._poll(request.request, request.uid)
+            self._poll(request.request, request.job_id)
         else:
-            self._cancel(request.request, request.uid, 3)
+            self._cancel(request.request, request.job_id, 3)
 
     def _unavailable(self, request: int) -> None:
         self.ctx.reply(request, 503, {"error": "cannot decide yet"}, **{"Retry-After": "1"})
 
-    def _status(self, uid: str, job: records.JobRecord) -> dict[str, object]:
+    def _status(self, job_id: str, job: records.JobRecord) -> dict[str, object]:
         if records.is_final(job):
-            return m.job_answer(uid, job.state, job.done, 0)
-        if self.ctx.graph.is_cancelled(uid):
-            return m.job_answer(uid, m.WITHDRAWN, 0, 0)
-        chunks = [s.chunks[uid] for s in self.shards.values() if uid in s.chunks]
-        running = sum(a.state == m.RUNNING for c in chunks for a in c.attempts.values())
-        done = records.done_count(self.ctx.view, uid)
-        why = next((c.crash_loop.reason() for c in chunks if c.crash_loop.suspected), None)
-        return m.job_answer(uid, m.RUNNING if running else m.QUEUED, done, running, why)
+            return m.job_answer(job_id, job.state, job.done, 0)
+        if self.ctx.graph.is_cancelled(job_id):
+            return m.job_answer(job_id, m.CANCELLED, 0, 0)
+        partitions = [s.partitions[job_id] for s in self.shards.values() if job_id in s.partitions]
+        running = sum(a.state == m.RUNNING for c in partitions for a in c.attempts.values())
+        done = records.done_count(self.ctx.cache, job_id)
+        why = next((c.crash_loop.reason() for c in partitions if c.crash_loop.suspected), None)
+        return m.job_answer(job_id, m.RUNNING if running else m.QUEUED, done, running, why)
 
     def _never_runs_reason(self, spec: m.JobSpec) -> str | None:
         """Why a job can never run; None if it can."""
@@ -102,46 +102,46 @@
                     f"machine type{where}: {', '.join(sorted(t.label for t in kinds)) or 'there is none'}")
         return next((why for s in self.subsystems if (why := s.never_runs_reason(spec)) is not None), None)
 
-    def _is_final(self, uid: str, job: records.JobRecord | None) -> bool:
+    def _is_final(self, job_id: str, job: records.JobRecord | None) -> bool:
         """Whether its state is final: by its own record, or by that of a job that it needs."""
-        return job is not None and (records.is_final(job) or self.ctx.graph.is_cancelled(uid))
+        return job is not None and (records.is_final(job) or self.ctx.graph.is_cancelled(job_id))
 
     def _dependency_error(self, spec: m.JobSpec) -> str | None:
         """Why a job can never start for what it names; None if it can, as far as this node knows."""
-        if spec.uid in spec.waits_on:
-            return f"{spec.uid} waits on itself"
-        for uid in spec.waits_on:
-            job = self.ctx.view.job(uid)
+        if spec.job_id in spec.waits_on:
+            return f"{spec.job_id} waits on itself"
+        for job_id in spec.waits_on:
+            job = self.ctx.cache.job(job_id)
             if job is None:
-                return f"waits on {uid}, which was never accepted"
+                return f"waits on {job_id}, which was never accepted"
             if job.spec is not None and job.spec.service:
-                return f"waits on {uid}, which is a service and never done"
+                return f"waits on {job_id}, which is a service and never done"
         return None
 
     def _depends_on_cancelled(self, spec: m.JobSpec) -> bool:
         """Whether a job that it names is withdrawn already."""
-        jobs = [(uid, self.ctx.view.job(uid)) for uid in spec.waits_on]
-        return any(job is not None and self._is_final(uid, job) and job.state != m.DONE for uid, job in jobs)
+        jobs = [(job_id, self.ctx.cache.job(job_id)) for job_id in spec.waits_on]
+        return any(job is not None and self._is_final(job_id, job) and job.state != m.DONE for job_id, job in jobs)
 
     def _submit(self, request: int, spec: m.JobSpec, read: bool = False) -> None:
         """`read`: the ledger was read since it was asked, and the view has it all."""
         ctx = self.ctx
-        uid = spec.uid
-        known = ctx.view.job(uid)
+        job_id = spec.job_id
+        known = ctx.cache.job(job_id)
         if known is not None:
-            self._poll(request, uid)
+            self._poll(request, job_id)
             return
-        if not ctx.view.synced or not ctx.types or not self.ctx.store_available():
+        if not ctx.cache.synced or not ctx.types or not self.ctx.store_available():
             self._unavailable(request)
             return
         spec = m.waiting_on(spec, list(dict.fromkeys(spec.waits_on)))
         everything = task_sets.encode(set(range(spec.tasks)))
         last = ctx.settings.facts.size - 1  # of the shards, the longest to write
-        job = records.JobRecord(m.QUEUED, spec.tasks, spec, last, records.Chunk(everything), ctx.wall_us)
+        job = records.JobRecord(m.QUEUED, spec.tasks, spec, last, records.PartitionRecord(everything), ctx.wall_us)
         why = self._never_runs_reason(spec) if ctx.fits_record(job) else "its description is larger than a record may be"
         if why is not None:
             # Not before it is sure that the job is not known: an accepted job never gets 422.
-            self._poll(request, uid, absent=(422, {"error": why}))
+            self._poll(request, job_id, absent=(422, {"error": why}))
             return
         if spec.waits_on:
             if not ctx.feature_active(PIPELINES):
@@ -153,12 +153,12 @@
                 if read:
                     ctx.reply(request, 422, {"error": why})
                 else:
-                    self._poll(request, uid, spec=spec)
+                    self._poll(request, job_id, spec=spec)
                 return
             # What is done for ever needs no place in the record; a withdrawn one does.
-            over = {u for u in spec.waits_on if (other := ctx.view.job(u)) is not None and other.state == m.DONE}
+            over = {u for u in spec.waits_on if (other := ctx.cache.job(u)) is not None and other.state == m.DONE}
             spec = m.waiting_on(spec, [u for u in spec.waits_on if u not in over])
-        shard = self.balancer.shard_for()
+        shard = self.load_balancer.shard_for()
         if shard is None:
             self._unavailable(request)
             return
@@ -167,26 +167,26 @@
         def done(status: int, failed: list[str]) -> None:
             if status == 200:
                 if not spec.waits_on:
-                    self.balancer.tasks_arrived(spec)
-                log.debug("accepted %s: %d tasks of %s for shard %d", uid, spec.tasks, spec.job_class, shard)
-                ctx.reply(request, 201, m.job_answer(uid, m.WITHDRAWN if self._depends_on_cancelled(spec) else m.QUEUED))
+                    self.load_balancer.tasks_arrived(spec)
+                log.debug("accepted %s: %d tasks of %s for shard %d", job_id, spec.tasks, spec.job_class, shard)
+                ctx.reply(request, 201, m.job_answer(job_id, m.CANCELLED if self._depends_on_cancelled(spec) else m.QUEUED))
             elif status == 409:
-                self._poll(request, uid)
+                self._poll(request, job_id)
             else:
                 self._unavailable(request)
 
-        ctx.txn({records.job_key(uid): 0}, {records.job_key(uid): (job, None)}, [], done, Urgency.USER)
+        ctx.compare_and_swap({records.job_key(job_id): 0}, {records.job_key(job_id): (job, None)}, [], done, Urgency.USER)
 
-    def _poll(self, request: int, uid: str, then: str = "status",
+    def _poll(self, request: int, job_id: str, then: str = "status",
               absent: tuple[int, object] = (404, {"error": "no such job"}), spec: m.JobSpec | None = None) -> None:
-        job = self.ctx.view.job(uid)
-        if job is not None and self._is_final(uid, job):
-            self.ctx.reply(request, 200, self._status(uid, job))
+        job = self.ctx.cache.job(job_id)
+        if job is not None and self._is_final(job_id, job):
+            self.ctx.reply(request, 200, self._status(job_id, job))
             return
         if len(self.waiting_for_barrier) >= MAX_WAITING_POLLS:
             self._unavailable(request)
             return
-        self.waiting_for_barrier.append(Waiting(request, uid, self.ctx.now_us, then, absent, spec))
+        self.waiting_for_barrier.append(PendingRequest(request, job_id, self.ctx.now_us, then, absent, spec))
         self._start_read_barrier()
 
     def _start_read_barrier(self) -> None:
@@ -206,17 +206,17 @@
         def done(status: int, body: bytes) -> None:
             self.barrier_open = False
             self.ctx.note_store_status(status)
-            ledger = None
+            revision = None
             if status == 404:
                 try:
-                    ledger = msgspec.json.decode(body, type=m.TxnAnswer).ledger
+                    revision = msgspec.json.decode(body, type=m.CompareAndSwapAnswer).revision
                 except msgspec.DecodeError as error:
                     log.error("state service answered nonsense: %s", error)
-            if ledger is None:
+            if revision is None:
                 for entry in waiting:
                     self._unavailable(entry.request)
             else:
-                self.awaiting_cache.append((ledger, waiting))
+                self.awaiting_cache.append((revision, waiting))
                 self.cache_advanced()
             # Bound: each is called by an answer of the state service, so none is within another.
             self._start_read_barrier()
@@ -226,14 +226,14 @@
 
     def cache_advanced(self) -> None:
         behind, self.awaiting_cache = self.awaiting_cache, []
-        for ledger, waiting in behind:
-            if self.ctx.view.synced and self.ctx.view.ledger >= ledger:
+        for revision, waiting in behind:
+            if self.ctx.cache.synced and self.ctx.cache.revision >= revision:
                 for entry in waiting:
                     self._after_barrier(entry)
             elif left := self._still_in_time(waiting):
-                self.awaiting_cache.append((ledger, left))
+                self.awaiting_cache.append((revision, left))
 
-    def _still_in_time(self, waiting: list[Waiting]) -> list[Waiting]:
+    def _still_in_time(self, waiting: list[PendingRequest]) -> list[PendingRequest]:
         """Those whose users still wait; the others are told that it cannot be decided yet."""
         left = []
         for entry in waiting:
@@ -243,43 +243,43 @@
                 self._unavailable(entry.request)
         return left
 
-    def _after_barrier(self, entry: Waiting) -> None:
-        job = self.ctx.view.job(entry.uid)
+    def _after_barrier(self, entry: PendingRequest) -> None:
+        job = self.ctx.cache.job(entry.job_id)
         if job is None and entry.spec is not None:
             self._submit(entry.request, entry.spec, read=True)
         elif job is None:
             self.ctx.reply(entry.request, *entry.answer_if_absent)
         elif entry.action == "cancel":
-            self._cancel(entry.request, entry.uid, 3)
+            self._cancel(entry.request, entry.job_id, 3)
         else:
-            self.ctx.reply(entry.request, 200, self._status(entry.uid, job))
+            self.ctx.reply(entry.request, 200, self._status(entry.job_id, job))
 
-    def _cancel(self, request: int, uid: str, tries: int) -> None:
+    def _cancel(self, request: int, job_id: str, tries: int) -> None:
         ctx = self.ctx
-        job = ctx.view.job(uid)
-        if job is not None and self._is_final(uid, job):
-            ctx.reply(request, 200, m.job_answer(uid, job.state if records.is_final(job) else m.WITHDRAWN))
+        job = ctx.cache.job(job_id)
+        if job is not None and self._is_final(job_id, job):
+            ctx.reply(request, 200, m.job_answer(job_id, job.state if records.is_final(job) else m.CANCELLED))
             return
         if job is None or not self.ctx.store_available():
             # A job this node has not heard of yet may exist all the same.
             if job is None:
-                self._poll(request, uid, then="cancel")
+                self._poll(request, job_id, then="cancel")
             else:
                 self._unavailable(request)
             return
-        parts = [records.part_key(s, uid) for s in job.parts if ctx.view.stamp(records.part_key(s, uid))]
+        parts = [records.partition_key(s, job_id) for s in job.parts if ctx.cache.mod_revision(records.partition_key(s, job_id))]
         most = ctx.limits.txn_ops - 1  # nobody reads the parts of a job that is over
-        key = records.job_key(uid)
-        final = records.final_record(job, m.WITHDRAWN, records.done_count(ctx.view, uid))
+        key = records.job_key(job_id)
+        final = records.final_record(job, m.CANCELLED, records.done_count(ctx.cache, job_id))
 
         def done(status: int, failed: list[str]) -> None:
             if status == 200:
-                log.info("job %s is withdrawn", uid)
+                log.info("job %s is withdrawn", job_id)
                 ctx.delete_unneeded(parts[most:])
-                ctx.reply(request, 200, m.job_answer(uid, m.WITHDRAWN))
+                ctx.reply(request, 200, m.job_answer(job_id, m.CANCELLED))
             elif status == 409 and tries > 1:
-                self.cancel_retries.append((request, uid, tries - 1, ctx.now_us + 200_000))
+                self.cancel_retries.append((request, job_id, tries - 1, ctx.now_us + 200_000))
             else:
                 self._unavailable(request)
 
-        ctx.txn({key: ctx.view.stamp(key)}, {key: (final, None)}, parts[:most], done, Urgency.USER)
+        ctx.compare_and_swap({key: ctx.cache.mod_revision(key)}, {key: (final, None)}, parts[:most], done, Urgency.USER)
--- a/quinceslip/coordination/leadership/connectivity.py
+++ b/quinceslip/coordination/leadership/connectivity.py
@@ -24,14 +24,14 @@
 log = logging.getLogger(__name__)
 
 #: fewer silent machines than this may as well be at fault themselves
-LEAST = 3
+MIN_SILENT_WORKERS = 3
 #: while it stands aside, a controller asks one worker so often
 ASK_US = 2 * SECOND
 #: strays are written down so often while it is needed; what was written counts for twice as long
 WRITE_US = REPORT_WAIT_US
 
 
-class Reach:
+class WorkerConnectivity:
     """Owned by the node's actor; asks workers through the context."""
 
     def __init__(self, ctx: Context, home: int) -> None:
@@ -52,16 +52,16 @@
         self.last_contact_us = self.ctx.now_us
         self._contact_restored()
 
-    def worker_misrouted(self, shard: int, report: m.WorkerReport) -> None:
+    def worker_misrouted(self, shard: int, heartbeat: m.WorkerHeartbeat) -> None:
         """A worker came here that a peer owns; a copy of what it said before is no coming."""
-        number = (report.session, report.seq)
-        if number <= self._latest.get(report.worker, (0, 0)):
+        number = (heartbeat.epoch, heartbeat.seq)
+        if number <= self._latest.get(heartbeat.worker, (0, 0)):
             return
-        roster = self.ctx.view.by_kind["roster"]
-        if len(self._latest) > 2 * len(roster):
-            self._latest = {n: latest for n, latest in self._latest.items() if n in roster}
-        self._latest[report.worker] = number
-        self._misrouted.setdefault(shard, {})[report.worker] = self.ctx.now_us
+        machine_records = self.ctx.cache.by_kind["roster"]
+        if len(self._latest) > 2 * len(machine_records):
+            self._latest = {n: latest for n, latest in self._latest.items() if n in machine_records}
+        self._latest[heartbeat.worker] = number
+        self._misrouted.setdefault(shard, {})[heartbeat.worker] = self.ctx.now_us
         self._contact_restored()
 
     def misrouted_counts(self) -> list[tuple[int, int]]:
@@ -83,10 +83,10 @@
         """Write down whose workers come here in vain; take it back once there are none."""
         if self._writing or self.ctx.now_us < self._next_write_us:
             return
-        label, view = self.ctx.settings.label, self.ctx.view
-        key = records.stray_key(label)
-        strays = [(shard, count) for shard, count in self.misrouted_counts() if count >= LEAST]
-        if not strays and label not in view.by_kind["stray"]:
+        label, cache = self.ctx.settings.label, self.ctx.cache
+        key = records.misrouted_key(label)
+        misrouted = [(shard, count) for shard, count in self.misrouted_counts() if count >= MIN_SILENT_WORKERS]
+        if not misrouted and label not in cache.by_kind["stray"]:
             return
         self._writing, self._next_write_us = True, self.ctx.now_us + WRITE_US
 
@@ -94,8 +94,8 @@
             self._writing = False
 
         # Conditional, so that one that is late does not come back after it was taken back.
-        puts = {key: (records.StrayRecord(strays), None)} if strays else {}
-        self.ctx.txn({key: view.stamp(key)}, puts, [] if strays else [key], done, Urgency.LAUNCH)
+        puts = {key: (records.MisroutedRecord(misrouted), None)} if misrouted else {}
+        self.ctx.compare_and_swap({key: cache.mod_revision(key)}, puts, [] if misrouted else [key], done, Urgency.LAUNCH)
 
     def peer_record_changed(self, label: str) -> None:
         """The record of a peer has changed."""
@@ -104,17 +104,17 @@
     def recorded_misrouted(self, shard: int) -> int:
         """How many workers of a shard came to peers in vain, by their records; the clock is that of the reader."""
         since_us = self.ctx.now_us - 2 * WRITE_US
-        return sum(count for label, record in self.ctx.view.by_kind["stray"].items()
+        return sum(count for label, record in self.ctx.cache.by_kind["stray"].items()
                    if label != self.ctx.settings.label and self._read_us.get(label, 0) > since_us
-                   for s, count in record.strays if s == shard)
+                   for s, count in record.misrouted if s == shard)
 
-    def lost_contact(self, workers: Iterable[Worker], strays: int) -> bool:
+    def lost_contact(self, workers: Iterable[Worker], misrouted: int) -> bool:
         """Whether peers hear of most of these workers while this controller hears of none."""
         if self.ctx.now_us - self.last_contact_us <= self.ctx.timing.probe_after_us:
             return False
         asked = [w for w in workers if w.attempts and not w.lease_expired and not w.deleting]
         silent = sum(w.delivery.unanswered_probes > 0 for w in asked)
-        return len(asked) >= LEAST and 2 * silent >= len(asked) and 2 * strays >= len(asked)
+        return len(asked) >= MIN_SILENT_WORKERS and 2 * silent >= len(asked) and 2 * misrouted >= len(asked)
 
     def start_yielding(self, shard: int) -> None:
         self.yielding = True
@@ -126,8 +126,8 @@
         if not self.yielding or self.ctx.now_us < self.next_probe_us:
             return
         self.next_probe_us = self.ctx.now_us + ASK_US
-        roster = self.ctx.view.by_kind["roster"].values()
-        endpoints = [r.endpoint for r in roster if r.endpoint and r.shard == self.home]
+        machine_records = self.ctx.cache.by_kind["roster"].values()
+        endpoints = [r.endpoint for r in machine_records if r.endpoint and r.shard == self.home]
         if not endpoints:
             self._contact_restored()
             return
--- a/quinceslip/coordination/load_balancing/queueing_model.py
+++ b/quinceslip/coordination/load_balancing/queueing_model.py
@@ -25,12 +25,12 @@
 HALVINGS = 128
 NARROWINGS = 64
 #: terms of sums that one solution may take (about half a second): what is found by then is used
-MOST_TERMS = 2_000_000
+MAX_SERIES_TERMS = 2_000_000
 #: a task takes a microsecond, the unit of our times, or thirty years; other rates are no measurement
-MOST_RATE = 1e6
-LEAST_RATE = 1e-9
+MAX_RATE = 1e6
+MIN_RATE = 1e-9
 #: beyond the sockets of any controller a thousandfold: not a number of task slots
-MOST_SLOTS = 1_000_000
+MAX_SLOTS = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,12 +51,12 @@
 
 def credible_rate(arrivals: float) -> bool:
     """Whether so many tasks a second can come; False of what is no number."""
-    return 0.0 <= arrivals <= MOST_RATE
+    return 0.0 <= arrivals <= MAX_RATE
 
 
 def credible(station: Station) -> bool:
     """Whether a shard's load can have been measured, and it has anything to serve tasks with."""
-    return 0 < station.slots <= MOST_SLOTS and LEAST_RATE <= station.rate <= MOST_RATE
+    return 0 < station.slots <= MAX_SLOTS and MIN_RATE <= station.rate <= MAX_RATE
 
 
 def blocking(slots: int, offered: float) -> float:
@@ -165,7 +165,7 @@
         """Log-odds of each shard."""
         for _ in range(HALVINGS):
             v = math.sqrt(self.low_v) * math.sqrt(self.high_v)
-            if not self.low_v < v < self.high_v or self.terms >= MOST_TERMS or (
+            if not self.low_v < v < self.high_v or self.terms >= MAX_SERIES_TERMS or (
                     max(b - a for a, b in zip(self.low, self.high, strict=True)) <= CLOSE):
                 break
             low, high = self.low.copy(), self.high.copy()
@@ -190,7 +190,7 @@
         """
         narrowed = False
         for i, station in enumerate(self.stations):
-            if high[i] - low[i] <= CLOSE / 4 or self.terms >= MOST_TERMS:
+            if high[i] - low[i] <= CLOSE / 4 or self.terms >= MAX_SERIES_TERMS:
                 continue
             narrowed = True
             if 1.0 / station.rate > v or (not most and 1.0 / station.rate == v):
--- a/quinceslip/coordination/reconciliation/commands.py
+++ b/quinceslip/coordination/reconciliation/commands.py
@@ -11,8 +11,8 @@
 
 from quinceslip.coordination.actor.context import SECOND
 from quinceslip.coordination.actor.effects import NOT_SENT
-from quinceslip.coordination.jobs.persistence import Recorder
-from quinceslip.coordination.reconciliation.delivery import PROBES
+from quinceslip.coordination.jobs.persistence import JobPersistence
+from quinceslip.coordination.reconciliation.delivery import MAX_UNANSWERED_PROBES
 from quinceslip.coordination.shard.state import Attempt, ShardState, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
@@ -20,15 +20,15 @@
 log = logging.getLogger(__name__)
 
 
-class Commander:
-    def __init__(self, state: ShardState, recorder: Recorder,
-                 reported: Callable[[m.WorkerReport, bool], object]) -> None:
+class CommandSender:
+    def __init__(self, state: ShardState, persistence: JobPersistence,
+                 reported: Callable[[m.WorkerHeartbeat, bool], object]) -> None:
         self.state = state
         self.ctx = state.ctx
-        self.recorder = recorder
+        self.persistence = persistence
         self.receive_heartbeat = reported
 
-    def commands_for(self, worker: Worker, entitled: bool = True) -> list[m.Command]:
+    def commands_for(self, worker: Worker, may_launch: bool = True) -> list[m.Command]:
         """What the answer to a report says; repeated until a report shows it happened.
 
         Guard: whoever is not entitled still tells what is over to end. An owner may have heard of a cancellation long
@@ -36,11 +36,11 @@
         lease of cancelled work until after `cancel_s`. A final record stays final, so this needs no right.
         """
         state = self.state
-        halts: list[m.Command] = []
+        stops: list[m.Command] = []
         launches: list[m.Command] = []
-        reaps: list[m.Command] = []
+        acknowledgements: list[m.Command] = []
         for name, attempt in list(worker.attempts.items()):
-            if not entitled and not (attempt.stopping and not attempt.end_cause and self._job_finished(attempt.uid)):
+            if not may_launch and not (attempt.stopping and not attempt.end_cause and self._job_finished(attempt.job_id)):
                 continue
             if not attempt.observed:
                 if attempt.stopping:
@@ -50,19 +50,19 @@
                         state.detach(worker, name)
                         continue
                     # A direct launch may still arrive: let the attempt exist, ended.
-                    launches += [m.launch(name, attempt.number), m.halt(name, attempt.number, 0.0)]
-                    if entitled:
+                    launches += [m.launch(name, attempt.number), m.stop(name, attempt.number, 0.0)]
+                    if may_launch:
                         state.raise_term()
                 else:
                     launches.append(m.launch(name, attempt.number))
                     attempt.sent = True
             elif not attempt.end_cause:
                 if attempt.stopping and (attempt.state != m.FLUSHING or attempt.grace_s == 0):
-                    halts.append(m.halt(name, attempt.number, attempt.grace_s))
+                    stops.append(m.stop(name, attempt.number, attempt.grace_s))
                     attempt.sent = True
-            elif self.recorder.is_recorded(attempt) or "recorded" not in state.guards:
+            elif self.persistence.is_recorded(attempt) or "recorded" not in state.guards:
                 if state.settled(worker, attempt):
-                    reaps.append(m.reap(name, attempt.number))
+                    acknowledgements.append(m.acknowledge_result(name, attempt.number))
                 else:
                     state.raise_term()
         for name, task in worker.reported_tasks.items():
@@ -70,39 +70,39 @@
             if known is not None and known.number == task.attempt:
                 continue
             if task.state == m.EXITED:
-                if entitled and worker.fenced and not self._holds_unrecorded_result(name, task):
-                    reaps.append(m.reap(name, task.attempt))
-            elif self._job_finished(name.rpartition("/")[0]) or (entitled and self._unwanted(worker, name, task.attempt)):
-                halts.append(m.halt(name, task.attempt, 0.0))
-        return halts + launches + reaps
+                if may_launch and worker.fenced and not self._holds_unrecorded_result(name, task):
+                    acknowledgements.append(m.acknowledge_result(name, task.attempt))
+            elif self._job_finished(name.rpartition("/")[0]) or (may_launch and self._unwanted(worker, name, task.attempt)):
+                stops.append(m.stop(name, task.attempt, 0.0))
+        return stops + launches + acknowledgements
 
-    def _holds_unrecorded_result(self, name: str, task: m.TaskReport) -> bool:
+    def _holds_unrecorded_result(self, name: str, task: m.TaskStatus) -> bool:
         """Whether it is the only place of a result that is not recorded yet."""
-        uid, _, number = name.rpartition("/")
-        chunk = self.state.chunks.get(uid)
-        return chunk is not None and number.isdigit() and task.why == m.CAUSE_DONE \
-            and int(number) in chunk.assigned and int(number) not in chunk.done
+        job_id, _, number = name.rpartition("/")
+        partition = self.state.partitions.get(job_id)
+        return partition is not None and number.isdigit() and task.why == m.CAUSE_DONE \
+            and int(number) in partition.assigned and int(number) not in partition.done
 
-    def _job_finished(self, uid: str) -> bool:
+    def _job_finished(self, job_id: str) -> bool:
         """Whether its job is done or withdrawn, for ever."""
-        job = self.ctx.view.job(uid)
+        job = self.ctx.cache.job(job_id)
         return job is not None and records.is_final(job)
 
     def _unwanted(self, worker: Worker, name: str, attempt: int) -> bool:
-        uid, _, number = name.rpartition("/")
-        chunk = self.state.chunks.get(uid)
-        if chunk is None or not number.isdigit():
+        job_id, _, number = name.rpartition("/")
+        partition = self.state.partitions.get(job_id)
+        if partition is None or not number.isdigit():
             return False
-        other = chunk.attempts.get(int(number))
+        other = partition.attempts.get(int(number))
         # Of two attempts the lower number goes: the task was launched again only after that was over.
-        return int(number) in chunk.done or (
+        return int(number) in partition.done or (
             other is not None and other.worker != worker.name
             and (other.number > attempt or "higher" not in self.state.guards))
 
     def send_direct(self) -> None:
         """Tell workers at once what cannot wait for their next report."""
         state = self.state
-        if not state.workers_to_command or not state.ownership.entitled(state.index):
+        if not state.workers_to_command or not state.election.may_launch(state.index):
             return
         for name in sorted(state.workers_to_command):
             worker = state.workers.get(name)
@@ -115,20 +115,20 @@
                 continue
             state.workers_to_command.discard(name)
             fresh = [a for a in worker.attempts.values() if not a.sent and not a.end_cause]
-            halts = [a for a in fresh if a.stopping and a.observed and a.state != m.FLUSHING]
+            stops = [a for a in fresh if a.stopping and a.observed and a.state != m.FLUSHING]
             launches = [a for a in fresh if not a.stopping and not a.observed]
-            if halts or launches:
-                self._send_now(worker, halts, launches)
+            if stops or launches:
+                self._send_now(worker, stops, launches)
 
-    def _send_now(self, worker: Worker, halts: list[Attempt], launches: list[Attempt]) -> None:
-        commands = [m.halt(a.name, a.number, a.grace_s) for a in halts]
+    def _send_now(self, worker: Worker, stops: list[Attempt], launches: list[Attempt]) -> None:
+        commands = [m.stop(a.name, a.number, a.grace_s) for a in stops]
         commands += [m.launch(a.name, a.number) for a in launches]
-        for attempt in halts + launches:
+        for attempt in stops + launches:
             attempt.sent = True
         for attempt in launches:
             attempt.direct_call_open = True
         worker.command_open = True
-        term, session = self.state.term, worker.session
+        term, epoch = self.state.term, worker.epoch
 
         def done(status: int, body: bytes) -> None:
             worker.command_open = False
@@ -136,25 +136,25 @@
                 attempt.direct_call_open = False
                 if status not in (NOT_SENT, 200, 409, 400):
                     attempt.unanswered_term = term
-            report = self._decode_heartbeat(worker, body) if status in (200, 409) else None
-            if report is None:
+            heartbeat = self._decode_heartbeat(worker, body) if status in (200, 409) else None
+            if heartbeat is None:
                 return
-            if status == 200 and launches and report.worker != worker.name:
-                self._revoke_launch(worker.endpoint, launches, report)
+            if status == 200 and launches and heartbeat.worker != worker.name:
+                self._revoke_launch(worker.endpoint, launches, heartbeat)
             if self.state.workers.get(worker.name) is worker:
-                self._receive_direct_heartbeat(worker, report)
+                self._receive_direct_heartbeat(worker, heartbeat)
 
-        self.ctx.call(worker.endpoint, "POST", m.PATH_DO, m.DirectCommands(term, session, commands), done)
+        self.ctx.call(worker.endpoint, "POST", m.PATH_DO, m.DirectCommands(term, epoch, commands), done)
 
-    def _revoke_launch(self, endpoint: str, launches: list[Attempt], report: m.WorkerReport) -> None:
+    def _revoke_launch(self, endpoint: str, launches: list[Attempt], heartbeat: m.WorkerHeartbeat) -> None:
         """Another machine at that address has executed them: they end there at once, before they begin.
 
         Guard: a machine may be back as another one at its address, in the same session as the one before. What was
         sent to the old one stays pinned to it and starts elsewhere once that is gone.
         """
-        log.info("%s executed what was meant for another machine at its address: called back", report.worker)
-        halts = [m.halt(a.name, a.number, 0.0) for a in launches]
-        self.ctx.call(endpoint, "POST", m.PATH_DO, m.DirectCommands(self.state.term, report.session, halts),
+        log.info("%s executed what was meant for another machine at its address: called back", heartbeat.worker)
+        stops = [m.stop(a.name, a.number, 0.0) for a in launches]
+        self.ctx.call(endpoint, "POST", m.PATH_DO, m.DirectCommands(self.state.term, heartbeat.epoch, stops),
                       lambda status, answer: None)
 
     def probe(self, worker: Worker) -> None:
@@ -169,37 +169,37 @@
             worker.probing = False
             if self.state.workers.get(worker.name) is not worker:
                 return
-            report = self._decode_heartbeat(worker, body) if status == 200 else None
-            if report is None or not self._receive_direct_heartbeat(worker, report):
+            heartbeat = self._decode_heartbeat(worker, body) if status == 200 else None
+            if heartbeat is None or not self._receive_direct_heartbeat(worker, heartbeat):
                 if asked_us >= worker.last_contact_us:
                     worker.delivery.probe_missed(asked_us)  # one that was asked during a cut may report before this fails
                 if worker.service_tasks:
                     worker.next_probe_us = self.ctx.now_us
-                self.state.worker_failed = self.state.worker_failed or worker.delivery.unanswered_probes >= PROBES
+                self.state.worker_failed = self.state.worker_failed or worker.delivery.unanswered_probes >= MAX_UNANSWERED_PROBES
             else:
                 state = self.state
-                if worker.token < state.term and not worker.command_open and state.ownership.entitled(state.index):
+                if worker.fencing_token < state.term and not worker.command_open and state.election.may_launch(state.index):
                     # An empty command shows it our term now; its report would take seconds.
                     self._send_now(worker, [], [])
 
         self.ctx.call(worker.endpoint, "GET", m.PATH_INSPECT, None, done, timeout_us=SECOND)
 
-    def _decode_heartbeat(self, worker: Worker, body: bytes) -> m.WorkerReport | None:
+    def _decode_heartbeat(self, worker: Worker, body: bytes) -> m.WorkerHeartbeat | None:
         """The report in a reply; None for nonsense."""
         try:
-            return msgspec.json.decode(body, type=m.WorkerReport)
+            return msgspec.json.decode(body, type=m.WorkerHeartbeat)
         except msgspec.DecodeError as error:
             log.error("worker %s answered nonsense: %s", worker.name, error)
             return None
 
-    def _receive_direct_heartbeat(self, worker: Worker, report: m.WorkerReport) -> bool:
+    def _receive_direct_heartbeat(self, worker: Worker, heartbeat: m.WorkerHeartbeat) -> bool:
         """Take the report in a reply; False where it is none of this worker's."""
-        if report.worker != worker.name:
+        if heartbeat.worker != worker.name:
             # Another machine has its address now, and may have executed what was meant for it.
-            log.info("%s answers at the address of %s", report.worker, worker.name)
-            if report.worker in self.state.workers:
-                self.receive_heartbeat(report, True)
+            log.info("%s answers at the address of %s", heartbeat.worker, worker.name)
+            if heartbeat.worker in self.state.workers:
+                self.receive_heartbeat(heartbeat, True)
             return False
         worker.delivery.acknowledged()
-        self.receive_heartbeat(report, True)
+        self.receive_heartbeat(heartbeat, True)
         return True
--- a/quinceslip/coordination/reconciliation/delivery.py
+++ b/quinceslip/coordination/reconciliation/delivery.py
@@ -13,21 +13,21 @@
 from quinceslip.protocol import messages as m
 
 #: so many questions in a row without a reply make a silent machine a dead one
-PROBES = 2
+MAX_UNANSWERED_PROBES = 2
 #: so many answers in a row that showed no effect are no accident: single ones are lost or come too late
-IN_VAIN = 2
+MAX_UNACKNOWLEDGED = 2
 
 
 @dataclass(slots=True)
-class Hearing:
+class DeliveryTracker:
     """Owned by a worker of a shard."""
 
     unanswered_probes: int = 0  # questions in a row that were not replied to
     unacknowledged: int = 0  # answers to its reports in a row of which its next report showed nothing
     first_missed_us: int = 0  # when the first question in vain was asked
     # What the answer to its last report must have brought about, if it came: a session, a token, launches.
-    session: int = 0
-    token: int = 0
+    epoch: int = 0
+    fencing_token: int = 0
     launches: frozenset[tuple[str, int]] = frozenset()
 
     @property
@@ -38,28 +38,28 @@
     @property
     def unreachable(self) -> bool:
         """Neither answers nor questions reach it: it is certain that its lease is not renewed by us."""
-        return self.unanswered_probes >= PROBES and self.unacknowledged >= IN_VAIN
+        return self.unanswered_probes >= MAX_UNANSWERED_PROBES and self.unacknowledged >= MAX_UNACKNOWLEDGED
 
-    def answer_sent(self, report: m.WorkerReport, token: int, commands: Iterable[m.Command]) -> None:
+    def answer_sent(self, heartbeat: m.WorkerHeartbeat, fencing_token: int, commands: Iterable[m.Command]) -> None:
         """Its report is answered."""
-        self.session, self.token = report.session, token if token > report.token else 0
+        self.epoch, self.fencing_token = heartbeat.epoch, fencing_token if fencing_token > heartbeat.fencing_token else 0
         self.launches = frozenset((c.task, c.attempt) for c in commands if c.op == "launch")
 
-    def heartbeat_received(self, report: m.WorkerReport) -> bool:
+    def heartbeat_received(self, heartbeat: m.WorkerHeartbeat) -> bool:
         """A newer report of its own accord, made after the last answer came or was given up; True where it proves.
 
         A launch that was executed shows in whatever state, a refused one too; only the end of the session drops it.
         """
         # It is asked anew before it counts as dead: after a cut its report is the first to arrive.
         self.unanswered_probes = min(self.unanswered_probes, 1)
-        token, launches, session = self.token, self.launches, self.session
-        self.token, self.launches = 0, frozenset()
-        if not token and not launches:
+        fencing_token, launches, epoch = self.fencing_token, self.launches, self.epoch
+        self.fencing_token, self.launches = 0, frozenset()
+        if not fencing_token and not launches:
             return False
-        if (token and report.token >= token) or any((t.task, t.attempt) in launches for t in report.tasks):
+        if (fencing_token and heartbeat.fencing_token >= fencing_token) or any((t.task, t.attempt) in launches for t in heartbeat.tasks):
             self.acknowledged()
             return True
-        if token or report.session == session:
+        if fencing_token or heartbeat.epoch == epoch:
             self.unacknowledged += 1
         return False
 
--- a/quinceslip/coordination/scheduling/ageing.py
+++ b/quinceslip/coordination/scheduling/ageing.py
@@ -15,120 +15,120 @@
 from collections.abc import Iterable
 
 from quinceslip.coordination.actor.context import SECOND, Context, micros
-from quinceslip.coordination.shard.state import NOT, OLD, ONE, WHOLE, Chunk, Worker, fits
+from quinceslip.coordination.shard.state import NOT, OLD, ONE, WHOLE, JobPartition, Worker, fits
 
 log = logging.getLogger(__name__)
 
 #: users: the largest jobs of a class too begin within this long of their submission
-BEGIN_US = 240 * SECOND
+START_BOUND_US = 240 * SECOND
 #: beginnings that are owed whatever a team has take this part of what a shard starts
-CALLED_PART = 0.1
+GRANTED_PART = 0.1
 
 
-def patience_us(boot_us: int, run_us: int) -> int:
+def starvation_bound_us(boot_us: int, run_us: int) -> int:
     """How long a job that has not begun may be passed over.
 
     What is left of BEGIN_US is for room to come free once it goes first: a boot or the work in its way, and as
     much again. At least a quarter of BEGIN_US, so that deadlines keep their order in an ordinary queue.
     """
-    return min(max(BEGIN_US - 2 * (boot_us + run_us), BEGIN_US // 4), BEGIN_US // 2)
+    return min(max(START_BOUND_US - 2 * (boot_us + run_us), START_BOUND_US // 4), START_BOUND_US // 2)
 
 
-class Patience:
+class Ageing:
     """What has waited too long in a shard, and the machines kept for the first of it. Owned by its placement."""
 
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
-        self.reserved_for: Chunk | None = None  # room is kept for this one
+        self.reserved_for: JobPartition | None = None  # room is kept for this one
         self.reserved_machines: frozenset[str] = frozenset()  # on these machines
         self.typical_run_us = 0  # of a usual task
         self.grants_available, self.grants_updated_us = 1.0, ctx.now_us  # beginnings that may be called now, and as of when
 
-    def update(self, queue: list[Chunk], run_s: float, slots: int) -> None:
+    def update(self, queue: list[JobPartition], run_s: float, slots: int) -> None:
         """Set `first` of every waiting chunk. Asked for with each new foresight."""
         boots_us = [micros(t.boot_s) for t in self.ctx.types.values()]
-        patient_us = patience_us(max(boots_us, default=0), micros(run_s))
-        for chunk in queue:
-            first = self._precedence(chunk, patient_us) if self.ctx.tuning.bound_waits else NOT
-            if not chunk.precedence:
-                chunk.precedence_since_us = self.ctx.now_us
-            chunk.precedence = first
+        patient_us = starvation_bound_us(max(boots_us, default=0), micros(run_s))
+        for partition in queue:
+            first = self._precedence(partition, patient_us) if self.ctx.tuning.bound_waits else NOT
+            if not partition.precedence:
+                partition.precedence_since_us = self.ctx.now_us
+            partition.precedence = first
         self.typical_run_us = micros(run_s)
         self._grant_starts(queue, slots / max(run_s, 0.1))
 
-    def _grant_starts(self, queue: list[Chunk], starts_per_s: float) -> None:
+    def _grant_starts(self, queue: list[JobPartition], starts_per_s: float) -> None:
         """Whose turn it is to begin whatever their teams have: the largest first.
 
         Guard: a flood of single tasks is as many beginnings as jobs. Were all owed before the teams' parts, they would
         go before all that others have; so beginnings get a part of what the shard starts.
         """
         passed_us, self.grants_updated_us = self.ctx.now_us - self.grants_updated_us, self.ctx.now_us
-        self.grants_available = min(self.grants_available + CALLED_PART * starts_per_s * passed_us / SECOND, max(1.0, starts_per_s))
+        self.grants_available = min(self.grants_available + GRANTED_PART * starts_per_s * passed_us / SECOND, max(1.0, starts_per_s))
         waiting = []
-        for chunk in queue:
-            chunk.start_granted = chunk.start_granted and chunk.awaits_start
-            if chunk.awaits_start and not chunk.start_granted:
-                waiting.append(chunk)
-        waiting.sort(key=lambda c: (c.priority, -c.spec.tasks * c.spec.cpus, c.submitted_us, c.uid))
-        for chunk in waiting[: int(self.grants_available)]:
-            chunk.start_granted = True
+        for partition in queue:
+            partition.start_granted = partition.start_granted and partition.awaits_start
+            if partition.awaits_start and not partition.start_granted:
+                waiting.append(partition)
+        waiting.sort(key=lambda c: (c.priority, -c.spec.tasks * c.spec.cpus, c.submitted_us, c.job_id))
+        for partition in waiting[: int(self.grants_available)]:
+            partition.start_granted = True
             self.grants_available -= 1.0
 
-    def _precedence(self, chunk: Chunk, patient_us: int) -> int:
-        waited_us = self.ctx.wall_us - chunk.submitted_us
+    def _precedence(self, partition: JobPartition, patient_us: int) -> int:
+        waited_us = self.ctx.wall_us - partition.submitted_us
         # What failed has begun, and a suspected job is tried one task at a time: neither is passed over.
-        if waited_us < patient_us or not chunk.startable() or chunk.crash_loop.suspected:
+        if waited_us < patient_us or not partition.startable() or partition.crash_loop.suspected:
             return NOT
-        if chunk.spec.service or chunk.spec.gang:
+        if partition.spec.service or partition.spec.gang:
             return WHOLE
-        if not (chunk.attempts or chunk.done or chunk.unrecorded_done or chunk.failures):
+        if not (partition.attempts or partition.done or partition.unrecorded_done or partition.failures):
             return ONE
-        return OLD if waited_us >= BEGIN_US else NOT
+        return OLD if waited_us >= START_BOUND_US else NOT
 
     # Room that is kept.
 
-    def is_reserved_from(self, worker: Worker, chunk: Chunk) -> bool:
+    def is_reserved_from(self, worker: Worker, partition: JobPartition) -> bool:
         """Whether that machine is kept from this chunk."""
-        return worker.name in self.reserved_machines and self.reserved_for is not None and chunk is not self.reserved_for \
-            and bool(self.reserved_for.pending) and chunk.priority >= self.reserved_for.priority
+        return worker.name in self.reserved_machines and self.reserved_for is not None and partition is not self.reserved_for \
+            and bool(self.reserved_for.pending) and partition.priority >= self.reserved_for.priority
 
-    def release_stale(self, chunks: dict[str, Chunk]) -> None:
+    def release_stale(self, partitions: dict[str, JobPartition]) -> None:
         """Let go of what is kept for a chunk that waits no more, or not first."""
         known = self.reserved_for
         if known is not None and (not known.precedence or not known.startable() or known.on_hold
-                                  or chunks.get(known.uid) is not known):
+                                  or partitions.get(known.job_id) is not known):
             self.reserved_for, self.reserved_machines = None, frozenset()
 
-    def reserve(self, chunk: Chunk, machines: Iterable[Worker]) -> None:
+    def reserve(self, partition: JobPartition, machines: Iterable[Worker]) -> None:
         """No machine has room for it; `machines` are those that it may use.
 
         Room is kept for one chunk at a time, so what it costs is bounded: the first of the highest priority.
         """
         known = self.reserved_for
         # Guard: kept only for what is called or old, or a flood of single tasks would keep machines from other teams.
-        if not chunk.start_due and chunk.precedence != OLD:
+        if not partition.start_due and partition.precedence != OLD:
             return
         # What goes first takes the next place that is large enough; within a usual run each place comes free once.
-        if self.ctx.now_us < chunk.precedence_since_us + self.typical_run_us or (
-                known is not None and known is not chunk and known.sort_key() <= chunk.sort_key()):
+        if self.ctx.now_us < partition.precedence_since_us + self.typical_run_us or (
+                known is not None and known is not partition and known.sort_key() <= partition.sort_key()):
             return
-        found = self._soonest_machines(chunk, list(machines))
-        if self.reserved_for is not chunk and found:
-            log.info("%s has waited for %.0f s: %s kept for it", chunk.uid,
-                     (self.ctx.wall_us - chunk.submitted_us) / SECOND, ", ".join(sorted(found)))
-        self.reserved_for, self.reserved_machines = (chunk, found) if found else (None, frozenset())
+        found = self._soonest_machines(partition, list(machines))
+        if self.reserved_for is not partition and found:
+            log.info("%s has waited for %.0f s: %s kept for it", partition.job_id,
+                     (self.ctx.wall_us - partition.submitted_us) / SECOND, ", ".join(sorted(found)))
+        self.reserved_for, self.reserved_machines = (partition, found) if found else (None, frozenset())
 
-    def _soonest_machines(self, chunk: Chunk, machines: list[Worker]) -> frozenset[str]:
+    def _soonest_machines(self, partition: JobPartition, machines: list[Worker]) -> frozenset[str]:
         """The machines that will have the room soonest; none where all of them together never have it."""
-        spec = chunk.spec
-        need = chunk.startable() if spec.gang or spec.service else 1
+        spec = partition.spec
+        need = partition.startable() if spec.gang or spec.service else 1
         ways = [[w for w in machines if w.zone == zone] for zone in sorted({w.zone for w in machines})] \
             if spec.one_zone else [machines]
         best: tuple[int, frozenset[str]] | None = None
         for way in ways:
             # What is kept already stays so while it serves: work there was let run out for it.
-            ranked = sorted((not (self.reserved_for is chunk and w.name in self.reserved_machines), free_us, w.name, places, w.zone)
-                            for w in way for free_us, places in [_free_in(w, chunk, self.ctx.now_us)] if places)
+            ranked = sorted((not (self.reserved_for is partition and w.name in self.reserved_machines), free_us, w.name, places, w.zone)
+                            for w in way for free_us, places in [_free_in(w, partition, self.ctx.now_us)] if places)
             names, left, last_us = set(), need, 0
             most = (spec.tasks + 1) // 2 if spec.spread else need
             zones: dict[str, int] = {}
@@ -144,17 +144,17 @@
         return best[1] if best is not None else frozenset()
 
 
-def _free_in(worker: Worker, chunk: Chunk, now_us: int) -> tuple[int, int]:
+def _free_in(worker: Worker, partition: JobPartition, now_us: int) -> tuple[int, int]:
     """In how many microseconds a task of it may fit there, and how many will once all that ends has ended."""
-    room, soonest_us = worker.free(), 0 if fits(worker.free(), chunk.spec) else -1
+    room, soonest_us = worker.free(), 0 if fits(worker.free(), partition.spec) else -1
     ends = sorted((max(0, (a.running_us or now_us) + micros(a.spec.estimate_s) - now_us), a.name, a.spec)
                   for a in worker.live_attempts() if not a.spec.service)
     for ends_us, _, spec in ends:
         room = (room[0] + spec.cpus, room[1] + spec.gpus, room[2] + spec.memory_gb)
-        if soonest_us < 0 and fits(room, chunk.spec):
+        if soonest_us < 0 and fits(room, partition.spec):
             soonest_us = ends_us
     if soonest_us < 0:
         return 0, 0
-    needs = (chunk.spec.cpus, chunk.spec.gpus, chunk.spec.memory_gb)
+    needs = (partition.spec.cpus, partition.spec.gpus, partition.spec.memory_gb)
     parts = [have / need for have, need in zip(room, needs, strict=True) if need > 0]
     return soonest_us, int(min(parts, default=1.0) + 1e-6)
--- a/quinceslip/coordination/scheduling/candidates.py
+++ b/quinceslip/coordination/scheduling/candidates.py
@@ -6,7 +6,7 @@
 from quinceslip.coordination.shard.state import Worker
 
 
-class Looks(Protocol):
+class UsabilityCheck(Protocol):
     """Who decides which machines can be used, and counts how many were looked at."""
 
     workers_examined: int
@@ -14,13 +14,13 @@
     def usable(self, worker: Worker) -> bool: ...
 
 
-class Usable:
+class CandidateMachines:
     """The machines of one pass that can be used: those with room, and all of them only where they are asked for.
 
     Most passes find a full fleet, and need to know no more than that.
     """
 
-    def __init__(self, placement: Looks, workers: Iterable[Worker]) -> None:
+    def __init__(self, placement: UsabilityCheck, workers: Iterable[Worker]) -> None:
         self.placement = placement
         self.workers = workers
         self._all: list[Worker] | None = None
--- a/quinceslip/coordination/scheduling/deadline_order.py
+++ b/quinceslip/coordination/scheduling/deadline_order.py
@@ -9,54 +9,54 @@
 import heapq
 
 from quinceslip.coordination.actor.context import SECOND, micros
-from quinceslip.coordination.shard.state import Chunk
+from quinceslip.coordination.shard.state import JobPartition
 
 #: estimates are often wrong by half: a job is only given up on when this part of its run time is too long
 LATE_PART = 0.5
 
 
-def foresee(chunks: list[Chunk], cpus_per_s: float, wall_us: int) -> None:
+def order_by_deadline(partitions: list[JobPartition], cpus_per_s: float, wall_us: int) -> None:
     """Set `late` of every waiting chunk, given the CPUs that tasks set free in a second."""
     ahead = 0.0  # CPUs that waiting tasks of higher priority will take first
-    for priority in sorted({c.priority for c in chunks}):
-        rest = [c for c in chunks if c.priority == priority]
+    for priority in sorted({c.priority for c in partitions}):
+        rest = [c for c in partitions if c.priority == priority]
         level = 0
         # Bound: the most due times of a job; beyond the last of them nothing is put back any more.
         while rest:
             kept, rest, ahead = _on_time(rest, level, cpus_per_s, wall_us, ahead)
-            for chunk in kept:
-                chunk.missed_due_times = level
+            for partition in kept:
+                partition.missed_due_times = level
             level += 1
 
 
-def _due(chunk: Chunk, level: int) -> int | None:
-    return chunk.due_us[level] if level < len(chunk.due_us) else None
+def _due(partition: JobPartition, level: int) -> int | None:
+    return partition.due_us[level] if level < len(partition.due_us) else None
 
 
-def _on_time(chunks: list[Chunk], level: int, cpus_per_s: float, wall_us: int,
-             ahead: float) -> tuple[list[Chunk], list[Chunk], float]:
+def _on_time(partitions: list[JobPartition], level: int, cpus_per_s: float, wall_us: int,
+             ahead: float) -> tuple[list[JobPartition], list[JobPartition], float]:
     """Those that can make their due time of this level, those put back, and the CPUs ahead after."""
-    last = all(level >= len(c.due_us) for c in chunks)
-    chunks = sorted(chunks, key=lambda c: (_due(c, level) is None, _due(c, level) or c.submitted_us, c.uid))
-    kept: list[tuple[float, str, Chunk]] = []
-    back: list[Chunk] = []
-    for chunk in chunks:
-        size = max(chunk.startable() * chunk.spec.cpus, 0.01)
-        heapq.heappush(kept, (-size, chunk.uid, chunk))
+    last = all(level >= len(c.due_us) for c in partitions)
+    partitions = sorted(partitions, key=lambda c: (_due(c, level) is None, _due(c, level) or c.submitted_us, c.job_id))
+    kept: list[tuple[float, str, JobPartition]] = []
+    back: list[JobPartition] = []
+    for partition in partitions:
+        size = max(partition.startable() * partition.spec.cpus, 0.01)
+        heapq.heappush(kept, (-size, partition.job_id, partition))
         ahead += size
-        due_us = _due(chunk, level)
+        due_us = _due(partition, level)
         if due_us is None or last:
             continue
-        run_us = micros(LATE_PART * chunk.spec.estimate_s)
+        run_us = micros(LATE_PART * partition.spec.estimate_s)
         if wall_us + run_us > due_us:
             # Late whatever goes before it.
-            kept.remove((-size, chunk.uid, chunk))
+            kept.remove((-size, partition.job_id, partition))
             heapq.heapify(kept)
         elif wall_us + int(ahead / cpus_per_s * SECOND) + run_us > due_us:
-            negative, _, chunk = heapq.heappop(kept)
+            negative, _, partition = heapq.heappop(kept)
             size = -negative
         else:
             continue
         ahead -= size
-        back.append(chunk)
+        back.append(partition)
     return [c for _, _, c in kept], back, ahead
--- a/quinceslip/coordination/scheduling/placement.py
+++ b/quinceslip/coordination/scheduling/placement.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterable
 
 from quinceslip.coordination.actor.context import SECOND
-from quinceslip.coordination.scheduling.ageing import Patience
-from quinceslip.coordination.scheduling.candidates import Usable
-from quinceslip.coordination.shard.state import EPSILON, NOT, ONE, Attempt, Chunk, ShardState, Worker, fits
+from quinceslip.coordination.scheduling.ageing import Ageing
+from quinceslip.coordination.scheduling.candidates import CandidateMachines
+from quinceslip.coordination.shard.state import EPSILON, NOT, ONE, Attempt, JobPartition, ShardState, Worker, fits
 from quinceslip.protocol import messages as m
 from quinceslip.storage import task_sets
 
@@ -38,7 +38,7 @@
         self.wait_s = {o.job_class: o.within_s for o in state.ctx.settings.facts.objectives if o.kind == "wait"}
         self.all_zones = set(state.ctx.settings.facts.zones)
         self.preferred_machines: dict[tuple[object, ...], deque[Worker]] = {}  # machines for a shape of tasks, in this pass
-        self.ageing = Patience(state.ctx)
+        self.ageing = Ageing(state.ctx)
         self.launched = 0
         self.workers_examined = 0  # workers looked at so far: the work of placement, for tests and profiles
 
@@ -58,27 +58,27 @@
                 and (spec.zone is None or worker.zone == spec.zone) and (spec.spot or not worker.spot)
                 and (zones is None or worker.zone in zones))
 
-    def eligible_zones(self, chunk: Chunk) -> set[str] | None:
+    def eligible_zones(self, partition: JobPartition) -> set[str] | None:
         """Zones that `together` and `spread` leave for one more task; None: any.
 
         Every task that may still be somewhere counts, wherever its chunk is kept.
         """
-        spec = chunk.spec
+        spec = partition.spec
         if not (spec.one_zone or spec.spread):
             return None
         state = self.state
-        job = self.ctx.view.job(chunk.uid)
+        job = self.ctx.cache.job(partition.job_id)
         others = [] if job is None or (not job.parts and job.shard == state.index) else [
-            c for s, c in self.ctx.view.chunks(chunk.uid).items()
+            c for s, c in self.ctx.cache.partitions(partition.job_id).items()
             if s != state.index and task_sets.decode(c.assigned) - task_sets.decode(c.done)]
         # Where others hold a part of it, only disjoint zones keep both from meeting.
-        apart = not spec.one_zone and chunk.zones and all(c.zones and not chunk.zones & set(c.zones) for c in others)
-        if chunk.unreconciled or chunk.in_doubt or (others and not apart):
+        apart = not spec.one_zone and partition.zones and all(c.zones and not partition.zones & set(c.zones) for c in others)
+        if partition.unreconciled or partition.indeterminate or (others and not apart):
             return set()  # some may be anywhere: wait until it is known
         counts: dict[str, int] = {}
-        for worker, _ in state.possibly_running(chunk.uid):
+        for worker, _ in state.possibly_running(partition.job_id):
             counts[worker.zone] = counts.get(worker.zone, 0) + 1
-        zones = set(chunk.zones or self.ctx.settings.facts.zones)
+        zones = set(partition.zones or self.ctx.settings.facts.zones)
         if spec.one_zone:
             zones &= set(counts) or zones
             if len(counts) > 1:
@@ -92,7 +92,7 @@
 
     def place_waiting(self) -> None:
         """Place waiting tasks: priority first, then first come, first served."""
-        if not self.state.needs_placement or not self.state.ownership.entitled(self.state.index):
+        if not self.state.needs_placement or not self.state.election.may_launch(self.state.index):
             return
         self.state.needs_placement = False
         queue = self.state.waiting_in_order()
@@ -101,14 +101,14 @@
             if quota is not None:
                 quota.queue_empty()
             return
-        self.ageing.release_stale(self.state.chunks)
-        machines = Usable(self, self.state.workers.values())
+        self.ageing.release_stale(self.state.partitions)
+        machines = CandidateMachines(self, self.state.workers.values())
         for part in [queue] if quota is None else quota.rounds(queue, machines.all()):
             self._run_pass(part, machines, True)
 
     def place_on(self, worker: Worker) -> None:
         """Place waiting tasks on one worker that has room again."""
-        if self.state.needs_placement or not self.state.ownership.entitled(self.state.index) or not self.usable(worker):
+        if self.state.needs_placement or not self.state.election.may_launch(self.state.index) or not self.usable(worker):
             return
         if worker.name in self.ageing.reserved_machines:
             self.state.needs_placement = True  # whom it is kept for may need more than this machine
@@ -118,9 +118,9 @@
             if quota is not None:
                 queue = quota.order_for_one_place(queue)
             if queue:
-                self._run_pass(queue, Usable(self, [worker]), False)
+                self._run_pass(queue, CandidateMachines(self, [worker]), False)
 
-    def _run_pass(self, queue: list[Chunk], machines: Usable, whole: bool) -> None:
+    def _run_pass(self, queue: list[JobPartition], machines: CandidateMachines, whole: bool) -> None:
         if not queue:
             return
         self.preferred_machines.clear()
@@ -129,196 +129,196 @@
         roomy = machines.with_free_cpus(least)
         launched = self.launched
         nowhere: set[tuple[object, ...]] = set()  # shapes of tasks that found no place at all
-        for chunk in queue:
-            if chunk.shape in nowhere and self.state.quota is None:
+        for partition in queue:
+            if partition.shape in nowhere and self.state.quota is None:
                 continue
             if not whole and not roomy:
                 return
-            if not self._quota_admits_whole(chunk, whole, machines):
+            if not self._quota_admits_whole(partition, whole, machines):
                 continue
             before = self.launched
-            offered = [w for w in roomy if not self.ageing.is_reserved_from(w, chunk)] if self.ageing.reserved_machines else roomy
-            if chunk.spec.gang:
+            offered = [w for w in roomy if not self.ageing.is_reserved_from(w, partition)] if self.ageing.reserved_machines else roomy
+            if partition.spec.gang:
                 if whole:
-                    self._place_gang(chunk, offered)
-            elif chunk.spec.one_zone or chunk.spec.spread:
-                self._place_bound(chunk, offered, machines, failed, whole)
+                    self._place_gang(partition, offered)
+            elif partition.spec.one_zone or partition.spec.spread:
+                self._place_bound(partition, offered, machines, failed, whole)
             else:
-                self._place_free(chunk, offered, machines, failed, whole)
-            if whole and chunk.pending and self.state.quota is not None:
-                self.state.quota.not_placed(chunk)
-            if chunk.precedence and whole:
-                self._after_precedence(chunk, machines, before == self.launched)
-            if chunk.pending and not chunk.spec.gang and self._known_to_fail(chunk, self.all_zones, failed, False):
-                nowhere.add(chunk.shape)
-            if chunk.priority > 0 and roomy and self.launched != launched:
+                self._place_free(partition, offered, machines, failed, whole)
+            if whole and partition.pending and self.state.quota is not None:
+                self.state.quota.not_placed(partition)
+            if partition.precedence and whole:
+                self._after_precedence(partition, machines, before == self.launched)
+            if partition.pending and not partition.spec.gang and self._known_to_fail(partition, self.all_zones, failed, False):
+                nowhere.add(partition.shape)
+            if partition.priority > 0 and roomy and self.launched != launched:
                 launched = self.launched
                 roomy = [w for w in roomy if w.type is not None and w.type.cpus - w.used_cpus >= least]
 
-    def _after_precedence(self, chunk: Chunk, machines: Usable, nowhere: bool) -> None:
+    def _after_precedence(self, partition: JobPartition, machines: CandidateMachines, nowhere: bool) -> None:
         """What went first has begun, or room is kept for it."""
-        if chunk.precedence == ONE and not nowhere:
+        if partition.precedence == ONE and not nowhere:
             # The others of its tasks wait their turn again, in the next pass.
-            chunk.precedence = NOT
+            partition.precedence = NOT
             self.state.reorder()
             self.state.needs_placement = True
-        elif nowhere and chunk.startable() and not chunk.on_hold and self._quota_allows(chunk, False):
-            zones = self.eligible_zones(chunk)
+        elif nowhere and partition.startable() and not partition.on_hold and self._quota_allows(partition, False):
+            zones = self.eligible_zones(partition)
             if zones is None or zones:
-                self.ageing.reserve(chunk, (w for w in machines.all() if self.satisfies_constraints(w, chunk.spec, zones)))
+                self.ageing.reserve(partition, (w for w in machines.all() if self.satisfies_constraints(w, partition.spec, zones)))
 
-    def _known_to_fail(self, chunk: Chunk, zones: set[str] | None, failed: Failed, note: bool) -> bool:
+    def _known_to_fail(self, partition: JobPartition, zones: set[str] | None, failed: Failed, note: bool) -> bool:
         """Whether a task no larger, bound alike and to no fewer zones, has found no place in this pass."""
-        spec = chunk.spec
+        spec = partition.spec
         if note:
-            failed.setdefault(chunk.constraints, []).append(
+            failed.setdefault(partition.constraints, []).append(
                 (None if zones is None else frozenset(zones), spec.cpus, spec.gpus, spec.memory_gb))
             return True
         return any((there is None or (zones is not None and zones <= there))
                    and spec.cpus >= c and spec.gpus >= g and spec.memory_gb >= b
-                   for there, c, g, b in failed.get(chunk.constraints, ()))
+                   for there, c, g, b in failed.get(partition.constraints, ()))
 
-    def _paused(self, chunk: Chunk) -> list[int]:
+    def _paused(self, partition: JobPartition) -> list[int]:
         """Tasks that pause after a failure, taken out of the queue for this pass."""
-        if not chunk.not_before:
+        if not partition.not_before:
             return []
         now_us = self.ctx.now_us
-        paused = [i for i, t in chunk.not_before.items() if t > now_us and i in chunk.pending]
+        paused = [i for i, t in partition.not_before.items() if t > now_us and i in partition.pending]
         for index in paused:
-            chunk.pending.discard(index)
+            partition.pending.discard(index)
         return paused
 
-    def _place_free(self, chunk: Chunk, roomy: list[Worker], machines: Usable, failed: Failed,
+    def _place_free(self, partition: JobPartition, roomy: list[Worker], machines: CandidateMachines, failed: Failed,
                     whole: bool) -> None:
         """Tasks that nothing binds together: the machines in order of preference, each filled in turn.
 
         Of two machines best fit takes the fuller one, and it stays the best as it fills up.
         """
-        if self._known_to_fail(chunk, None, failed, False) or not self._quota_allows(chunk, whole, machines, not roomy):
+        if self._known_to_fail(partition, None, failed, False) or not self._quota_allows(partition, whole, machines, not roomy):
             return
-        spec = chunk.spec
-        aside = self._paused(chunk)
+        spec = partition.spec
+        paused = self._paused(partition)
         stuck = False
         before = self.launched
         try:
-            for worker in self._preferred(chunk, roomy):
+            for worker in self._preferred(partition, roomy):
                 # Bound: the tasks that wait; each turn takes one out of them, and those put aside come back after it.
-                while chunk.pending and fits(worker.free(), spec):
-                    if not self._quota_allows(chunk, whole) or (chunk.precedence == ONE and self.launched > before):
+                while partition.pending and fits(worker.free(), spec):
+                    if not self._quota_allows(partition, whole) or (partition.precedence == ONE and self.launched > before):
                         return
-                    index = chunk.pending.peek()
-                    chunk.pending.discard(index)
-                    name = f"{chunk.uid}/{index}"
+                    index = partition.pending.peek()
+                    partition.pending.discard(index)
+                    name = f"{partition.job_id}/{index}"
                     if name in worker.attempts or name in worker.reported_tasks:
-                        aside.append(index)  # an ended attempt of it is still on that worker
+                        paused.append(index)  # an ended attempt of it is still on that worker
                         continue
-                    self._launch(chunk, index, worker)
-                if not chunk.pending:
+                    self._launch(partition, index, worker)
+                if not partition.pending:
                     return
             # Bound: the same.
-            while whole and chunk.pending and self._quota_allows(chunk, whole, machines, True) and not (
-                    chunk.precedence == ONE and self.launched > before):
-                spare = self._preempt_for(chunk, machines, None, False)
+            while whole and partition.pending and self._quota_allows(partition, whole, machines, True) and not (
+                    partition.precedence == ONE and self.launched > before):
+                spare = self._preempt_for(partition, machines, None, False)
                 if spare is None:
                     stuck = True
                     break
-                index = chunk.pending.peek()
-                chunk.pending.discard(index)
-                self._launch(chunk, index, spare)
+                index = partition.pending.peek()
+                partition.pending.discard(index)
+                self._launch(partition, index, spare)
             stuck = stuck or not whole
         finally:
-            for index in aside:
-                chunk.pending.push(index)
+            for index in paused:
+                partition.pending.push(index)
             if stuck:
-                self._known_to_fail(chunk, None, failed, True)
+                self._known_to_fail(partition, None, failed, True)
 
-    def _place_bound(self, chunk: Chunk, roomy: list[Worker], machines: Usable, failed: Failed,
+    def _place_bound(self, partition: JobPartition, roomy: list[Worker], machines: CandidateMachines, failed: Failed,
                      whole: bool) -> None:
         """Tasks bound by zones: each is placed by what those before it left."""
-        spec = chunk.spec
-        if self._known_to_fail(chunk, self.all_zones, failed, False):
+        spec = partition.spec
+        if self._known_to_fail(partition, self.all_zones, failed, False):
             return  # nowhere at all, so it need not be known which zones are left
-        aside = self._paused(chunk)
+        paused = self._paused(partition)
         # Bound: the tasks that wait; each turn launches one.
-        while chunk.pending and self._quota_allows(chunk, whole):
-            zones = self.eligible_zones(chunk)
-            if (zones is not None and not zones) or self._known_to_fail(chunk, zones, failed, False):
+        while partition.pending and self._quota_allows(partition, whole):
+            zones = self.eligible_zones(partition)
+            if (zones is not None and not zones) or self._known_to_fail(partition, zones, failed, False):
                 break
-            index = chunk.pending.peek()
-            name = f"{chunk.uid}/{index}"
-            worker = self._best(chunk, roomy, zones, name)
+            index = partition.pending.peek()
+            name = f"{partition.job_id}/{index}"
+            worker = self._best(partition, roomy, zones, name)
             if whole and (worker is None or (spec.service and self.slow_fetch(worker, spec))):
                 # Room that is free but slow to fetch is only second to room that can be made.
-                worker = self._preempt_for(chunk, machines, zones, worker is not None) or worker
+                worker = self._preempt_for(partition, machines, zones, worker is not None) or worker
             if worker is None:
-                self._known_to_fail(chunk, zones, failed, True)
+                self._known_to_fail(partition, zones, failed, True)
                 break
-            chunk.pending.discard(index)
-            self._launch(chunk, index, worker)
-        for index in aside:
-            chunk.pending.push(index)
+            partition.pending.discard(index)
+            self._launch(partition, index, worker)
+        for index in paused:
+            partition.pending.push(index)
 
-    def _place_gang(self, chunk: Chunk, roomy: list[Worker]) -> None:
+    def _place_gang(self, partition: JobPartition, roomy: list[Worker]) -> None:
         """Place all tasks of a gang or none; nothing is sent before all have a place."""
         now_us = self.ctx.now_us
-        if len(chunk.pending) != len(chunk.assigned) - len(chunk.done) - len(chunk.unrecorded_done) or any(
-                t > now_us for t in chunk.not_before.values()):
+        if len(partition.pending) != len(partition.assigned) - len(partition.done) - len(partition.unrecorded_done) or any(
+                t > now_us for t in partition.not_before.values()):
             return  # some of an earlier try are still there
         placed: list[Attempt] = []
-        for index in list(chunk.pending):
-            name = f"{chunk.uid}/{index}"
-            worker = self._best(chunk, roomy, self.eligible_zones(chunk), name)
+        for index in list(partition.pending):
+            name = f"{partition.job_id}/{index}"
+            worker = self._best(partition, roomy, self.eligible_zones(partition), name)
             if worker is None:
                 for attempt in placed:
                     self.state.detach(self.state.workers[attempt.worker], attempt.name)
-                    del chunk.attempts[attempt.index]
+                    del partition.attempts[attempt.index]
                 self.launched -= len(placed)
                 return
             # Tasks of a gang know each other by their attempt, so they share its number.
-            self._launch(chunk, index, worker, placed[0].number if placed else 0)
-            placed.append(chunk.attempts[index])
+            self._launch(partition, index, worker, placed[0].number if placed else 0)
+            placed.append(partition.attempts[index])
         for attempt in placed:
-            chunk.pending.discard(attempt.index)
+            partition.pending.discard(attempt.index)
 
-    def _launch(self, chunk: Chunk, index: int, worker: Worker, number: int = 0) -> None:
+    def _launch(self, partition: JobPartition, index: int, worker: Worker, number: int = 0) -> None:
         self.launched += 1
-        attempt = self.state.launch(chunk, index, worker, number)
+        attempt = self.state.launch(partition, index, worker, number)
         log.debug("launch %s on %s", attempt.name, worker.name)
 
     # The choice of the machine.
 
-    def _by_preference(self, chunk: Chunk, workers: Iterable[Worker], zones: set[str] | None) -> list[Worker]:
+    def _by_preference(self, partition: JobPartition, workers: Iterable[Worker], zones: set[str] | None) -> list[Worker]:
         """Best fit among the machines that reported room, those with the image first."""
-        found = [(self._machine_sort_key(chunk, w), w) for w in workers
-                 if fits(w.free(), chunk.spec) and self.satisfies_constraints(w, chunk.spec, zones)]
+        found = [(self._machine_sort_key(partition, w), w) for w in workers
+                 if fits(w.free(), partition.spec) and self.satisfies_constraints(w, partition.spec, zones)]
         found.sort(key=lambda f: f[0])
         return [worker for _, worker in found]
 
-    def _best(self, chunk: Chunk, workers: Iterable[Worker], zones: set[str] | None, name: str) -> Worker | None:
+    def _best(self, partition: JobPartition, workers: Iterable[Worker], zones: set[str] | None, name: str) -> Worker | None:
         """The first of them on which nothing of that task is left."""
-        spec = chunk.spec
+        spec = partition.spec
         return min((w for w in workers if fits(w.free(), spec) and self.satisfies_constraints(w, spec, zones)
                     and name not in w.attempts and name not in w.reported_tasks),
-                   key=lambda w: self._machine_sort_key(chunk, w), default=None)
+                   key=lambda w: self._machine_sort_key(partition, w), default=None)
 
-    def _machine_sort_key(self, chunk: Chunk, worker: Worker) -> tuple[object, ...]:
-        room, spec = worker.free(), chunk.spec
-        return (worker.task_failures > 1, worker.name in chunk.crash_loop.blamed_machines, *self._preference(worker, spec),
+    def _machine_sort_key(self, partition: JobPartition, worker: Worker) -> tuple[object, ...]:
+        room, spec = worker.free(), partition.spec
+        return (worker.task_failures > 1, worker.name in partition.crash_loop.blamed_machines, *self._preference(worker, spec),
                 room[0] - spec.cpus, room[2] - spec.memory_gb, worker.name)
 
-    def _preferred(self, chunk: Chunk, workers: Iterable[Worker]) -> Iterable[Worker]:
+    def _preferred(self, partition: JobPartition, workers: Iterable[Worker]) -> Iterable[Worker]:
         """The same, found once a pass for all chunks of one shape where quotas give few tasks to many teams.
 
         The machine that was best stays so as it fills up; the order of the others is that of the first look.
         """
-        spec = chunk.spec
-        if self.state.quota is None or chunk.crash_loop.blamed_machines:
-            return self._by_preference(chunk, workers, None)
+        spec = partition.spec
+        if self.state.quota is None or partition.crash_loop.blamed_machines:
+            return self._by_preference(partition, workers, None)
         shape = (spec.image, spec.cpus, spec.gpus, spec.memory_gb, tuple(spec.types or ()), spec.zone, spec.spot,
                  spec.service, spec.job_class)
         order = self.preferred_machines.get(shape)
         if order is None:
-            order = self.preferred_machines[shape] = deque(self._by_preference(chunk, workers, None))
+            order = self.preferred_machines[shape] = deque(self._by_preference(partition, workers, None))
         # Bound: the machines in order; each turn drops one.
         while order and not fits(order[0].free(), spec):
             order.popleft()
@@ -351,11 +351,11 @@
         within_s = self.wait_s.get(spec.job_class)
         return within_s is None or spec.image_gb <= FETCH_PART * within_s * kind.fetch_gb_per_s
 
-    def _preempt_for(self, chunk: Chunk, machines: Usable, zones: set[str] | None, quick: bool) -> Worker | None:
+    def _preempt_for(self, partition: JobPartition, machines: CandidateMachines, zones: set[str] | None, quick: bool) -> Worker | None:
         """Preempt lower priorities, `quick`: not where the fetch is slow. Production takes the place at once."""
-        spec, quota = chunk.spec, self.state.quota
+        spec, quota = partition.spec, self.state.quota
         guaranteed = quota is not None and bool(quota.guarantees_covering(spec))
-        if chunk.priority > 1 and not guaranteed:
+        if partition.priority > 1 and not guaranteed:
             return None
         best: tuple[float, Worker, list[Attempt]] | None = None
         for worker in machines.workers:
@@ -374,7 +374,7 @@
                     room[2] += attempt.spec.memory_gb
             search = quota.preemption_policy(spec) if quota is not None else None
             victims = [a for a in worker.live_attempts() if a.observed and not a.stopping and (
-                search.may_preempt(a) if search is not None else chunk.priority <= 1 and a.priority > chunk.priority)]
+                search.may_preempt(a) if search is not None else partition.priority <= 1 and a.priority > partition.priority)]
             victims.sort(key=lambda a: (-a.priority, a.spec.checkpoint_s == 0, -a.running_us))
             chosen: list[Attempt] = []
             lost = 0.0
@@ -400,33 +400,33 @@
             return None
         _, worker, chosen = best
         for victim in chosen:
-            log.info("%s makes room for %s", victim.name, chunk.uid)
-            self.state.halt(victim, 0.0)
+            log.info("%s makes room for %s", victim.name, partition.job_id)
+            self.state.stop(victim, 0.0)
         return worker
 
     # Quotas.
 
-    def _quota_allows(self, chunk: Chunk, whole: bool, machines: Usable | None = None, full: bool = False) -> bool:
+    def _quota_allows(self, partition: JobPartition, whole: bool, machines: CandidateMachines | None = None, full: bool = False) -> bool:
         """Whether one more task may start by its quotas; if not, they are told so in a whole pass.
 
         `full`: none of the machines has room.
         """
         quota = self.state.quota
-        if quota is None or quota.allows(chunk.spec):
+        if quota is None or quota.allows(partition.spec):
             return True
         if whole and not quota.deferred_to_next_round():
             there = machines.all() if machines is not None else []
-            quota.blocked_by_quota(chunk, 1, not (full and there), (w for w in there if self.satisfies_constraints(w, chunk.spec, None)))
+            quota.blocked_by_quota(partition, 1, not (full and there), (w for w in there if self.satisfies_constraints(w, partition.spec, None)))
         return False
 
-    def _quota_admits_whole(self, chunk: Chunk, whole: bool, machines: Usable) -> bool:
+    def _quota_admits_whole(self, partition: JobPartition, whole: bool, machines: CandidateMachines) -> bool:
         """A gang, and a service of which nothing runs yet, starts within its quotas as a whole or not at all."""
-        quota, spec = self.state.quota, chunk.spec
-        if quota is None or not (spec.gang or (spec.service and not chunk.attempts)) or not chunk.pending:
+        quota, spec = self.state.quota, partition.spec
+        if quota is None or not (spec.gang or (spec.service and not partition.attempts)) or not partition.pending:
             return True
-        count = len(chunk.pending)
+        count = len(partition.pending)
         if quota.allows(spec, count):
             return True
         if whole and not quota.deferred_to_next_round():
-            quota.blocked_by_quota(chunk, count, True, (w for w in machines.all() if self.satisfies_constraints(w, spec, None)))
+            quota.blocked_by_quota(partition, count, True, (w for w in machines.all() if self.satisfies_constraints(w, spec, None)))
         return False
--- a/quinceslip/coordination/shard/shard.py
+++ b/quinceslip/coordination/shard/shard.py
@@ -7,13 +7,13 @@
 
 from quinceslip.coordination.actor.context import SECOND, Context
 from quinceslip.coordination.actor.effects import Urgency
-from quinceslip.coordination.jobs.persistence import Recorder
-from quinceslip.coordination.leadership.election import Ownership
-from quinceslip.coordination.reconciliation.commands import Commander
-from quinceslip.coordination.reconciliation.reconciler import Custody
-from quinceslip.coordination.scheduling.deadline_order import foresee
+from quinceslip.coordination.jobs.persistence import JobPersistence
+from quinceslip.coordination.leadership.election import LeaderElection
+from quinceslip.coordination.reconciliation.commands import CommandSender
+from quinceslip.coordination.reconciliation.reconciler import Reconciler
+from quinceslip.coordination.scheduling.deadline_order import order_by_deadline
 from quinceslip.coordination.scheduling.placement import Placement
-from quinceslip.coordination.shard.state import Attempt, Chunk, Worker
+from quinceslip.coordination.shard.state import Attempt, JobPartition, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 
@@ -21,14 +21,14 @@
 
 #: workers are looked at for silence so often
 SWEEP_US = SECOND // 2
-FORESIGHT_US = SECOND
+DEADLINE_ORDER_US = SECOND
 FIGURES_US = SECOND // 4
 #: a machine with services that has not been heard of for so long is asked
 SERVICE_PROBE_US = 3 * SECOND // 2
 
 
 @dataclass(slots=True)
-class Figures:
+class CapacitySummary:
     """Sums over the usable machines of a shard, as of one moment."""
 
     at_us: int
@@ -38,36 +38,36 @@
     free_cpus: list[float] = field(default_factory=list)  # of each machine
 
 
-class Shard(Custody):
-    def __init__(self, ctx: Context, ownership: Ownership, index: int, term: int, own_before: int) -> None:
-        super().__init__(ctx, ownership, index, term)
-        self.own_before = own_before
-        self.recorder = Recorder(self)
+class Shard(Reconciler):
+    def __init__(self, ctx: Context, election: LeaderElection, index: int, term: int, previous_own_term: int) -> None:
+        super().__init__(ctx, election, index, term)
+        self.previous_own_term = previous_own_term
+        self.persistence = JobPersistence(self)
         self.placement = Placement(self)
-        self.commander = Commander(self, self.recorder, self.receive_heartbeat)
+        self.command_sender = CommandSender(self, self.persistence, self.receive_heartbeat)
         self.run_times_s: list[float] = []  # run times of finished tasks, newest last
         self.moved_us: dict[str, int] = {}
         self.next_sweep_us = 0
         self.next_deadline_order_us = 0
         self.to_register: set[str] = set()
         self.mean_task_cache: tuple[int, float, float] = (-SECOND, 1.0, 60.0)
-        self.summary_cache = Figures(-SECOND, {})
+        self.summary_cache = CapacitySummary(-SECOND, {})
         # The last answer that an earlier owner can have given its workers: at the end of its grace. Guard: a record of
         # our own, from before a restart, says no less. Whoever had the shard before that may still be in its grace.
-        grace_us = ctx.timing.grace_us + ctx.timing.owner_lease_us
-        for name, record in ctx.view.by_kind["roster"].items():
+        grace_us = ctx.timing.grace_us + ctx.timing.leader_lease_us
+        for name, record in ctx.cache.by_kind["roster"].items():
             if record.shard == index:
                 worker = self._enroll(name, record)
                 worker.lease_renewed_us = worker.predecessor_renewed_us = self.led_since_us + grace_us
                 if record.used:
                     self.inherit_worker(worker)
-        for uid in list(ctx.view.open_jobs):
-            self.recorder.load(uid, inherited=True)
+        for job_id in list(ctx.cache.open_jobs):
+            self.persistence.load(job_id, inherited=True)
         self.release_unreconciled()
 
     # Records.
 
-    def _enroll(self, name: str, record: records.RosterRecord) -> Worker:
+    def _enroll(self, name: str, record: records.MachineRecord) -> Worker:
         worker = self.workers.get(name)
         if worker is None:
             worker = Worker(name, self.ctx.types.get(record.type), record.zone, record.spot, record.endpoint)
@@ -76,8 +76,8 @@
         worker.registered = record.used
         return worker
 
-    def roster_changed(self, name: str) -> None:
-        record = self.ctx.view.by_kind["roster"].get(name)
+    def machine_record_changed(self, name: str) -> None:
+        record = self.ctx.cache.by_kind["roster"].get(name)
         if record is not None and record.shard == self.index:
             # If it is new, it was written after our takeover: nothing inherited can be on it.
             self._enroll(name, record)
@@ -87,34 +87,34 @@
 
     # Reports.
 
-    def receive_heartbeat(self, report: m.WorkerReport, direct: bool = False) -> m.CommandReply | None:
+    def receive_heartbeat(self, heartbeat: m.WorkerHeartbeat, direct: bool = False) -> m.CommandReply | None:
         """Take a report; returns the answer, or None where none may be given yet."""
-        worker = self.workers[report.worker]
+        worker = self.workers[heartbeat.worker]
         now_us = self.ctx.now_us
-        if report.token > self.term:
-            self.raise_term(report.token)
+        if heartbeat.fencing_token > self.term:
+            self.raise_term(heartbeat.fencing_token)
             return None
-        if self.is_from_expired_epoch(worker, report):
-            log.info("worker %s reports of session %d, whose lease is over", worker.name, report.session)
+        if self.is_from_expired_epoch(worker, heartbeat):
+            log.info("worker %s reports of session %d, whose lease is over", worker.name, heartbeat.epoch)
             return None
-        if not direct and self.is_duplicate(worker, report):
-            log.info("worker %s: report %d.%d again, or after a later one", worker.name, report.session, report.seq)
+        if not direct and self.is_duplicate(worker, heartbeat):
+            log.info("worker %s: report %d.%d again, or after a later one", worker.name, heartbeat.epoch, heartbeat.seq)
             return None
         usable, used_cpus = self.placement.usable(worker), worker.used_cpus
-        if not self.apply_heartbeat(worker, report):
+        if not self.apply_heartbeat(worker, heartbeat):
             # A direct reply has overtaken it, and its sender may still wait for the answer.
             worker.last_heartbeat_us = now_us
             worker.lease_renewed_us = max(worker.lease_renewed_us, now_us)
-            return m.CommandReply(self.term, self.commander.commands_for(worker, entitled=False))
+            return m.CommandReply(self.term, self.command_sender.commands_for(worker, may_launch=False))
         if self.placement.usable(worker) != usable or (direct and (
                 worker.used_cpus < used_cpus or self.quota is not None or self._preemptors_waiting())):
             self.needs_placement = True
         if direct:
             return None
         worker.last_heartbeat_us = now_us
-        answered = self.should_answer(worker, report)
+        answered = self.should_answer(worker, heartbeat)
         if worker.delivery.suspect:
-            self.commander.probe(worker)
+            self.command_sender.probe(worker)
         if not answered:
             return None
         # Guard: an answer of ours that is lost takes nothing back of what an earlier owner may still renew.
@@ -122,8 +122,8 @@
         if not worker.registered:
             self.to_register.add(worker.name)
         self.placement.place_on(worker)
-        reply = m.CommandReply(self.term, self.commander.commands_for(worker, self.ownership.entitled(self.index)))
-        worker.delivery.answer_sent(report, self.term, reply.commands)
+        reply = m.CommandReply(self.term, self.command_sender.commands_for(worker, self.election.may_launch(self.index)))
+        worker.delivery.answer_sent(heartbeat, self.term, reply.commands)
         return reply
 
     def _preemptors_waiting(self) -> bool:
@@ -135,12 +135,12 @@
 
         Machines of one rental come up together, so as many as a transaction takes go at once.
         """
-        roster, view = self.ctx.view.by_kind["roster"], self.ctx.view
+        machine_records, cache = self.ctx.cache.by_kind["roster"], self.ctx.cache
         workers = [w for w in (self.workers.get(n) for n in sorted(self.to_register))
-                   if w is not None and not w.registered and w.name in roster]
+                   if w is not None and not w.registered and w.name in machine_records]
         self.to_register = {w.name for w in workers}
         fresh = [w for w in workers if not w.registering][: self.ctx.limits.txn_ops]
-        if not fresh or not self.ownership.entitled(self.index):
+        if not fresh or not self.election.may_launch(self.index):
             return
         for worker in fresh:
             worker.registering = True
@@ -149,9 +149,9 @@
             for worker in fresh:
                 worker.registering = False
 
-        keys = {records.roster_key(w.name): msgspec.structs.replace(roster[w.name], endpoint=w.endpoint, used=True)
+        keys = {records.machine_key(w.name): msgspec.structs.replace(machine_records[w.name], endpoint=w.endpoint, used=True)
                 for w in fresh}
-        self.ctx.txn({**self.ownership.fencing_condition(self.index), **{k: view.stamp(k) for k in keys}},
+        self.ctx.compare_and_swap({**self.election.fencing_condition(self.index), **{k: cache.mod_revision(k) for k in keys}},
                      {k: (entry, None) for k, entry in keys.items()}, [], done, Urgency.LAUNCH)
 
     def task_started(self, worker: Worker, attempt: Attempt) -> None:
@@ -164,14 +164,14 @@
         while worker.type and len(worker.images) > 1 and sum(worker.images.values()) > worker.type.cache_gb > 0:
             del worker.images[next(iter(worker.images))]  # the machine keeps the most recently used
 
-    def task_completed(self, worker: Worker, attempt: Attempt, chunk: Chunk) -> None:
-        self.recorder.task_completed(chunk)
+    def task_completed(self, worker: Worker, attempt: Attempt, partition: JobPartition) -> None:
+        self.persistence.task_completed(partition)
         # The job is sound, so the workers on which it failed are not.
-        self.release_from_hold(chunk)
-        for name in chunk.crash_loop.blamed_machines - {worker.name}:
+        self.release_from_hold(partition)
+        for name in partition.crash_loop.blamed_machines - {worker.name}:
             if name in self.workers:
                 self.workers[name].task_failures += 1
-        chunk.crash_loop.blamed_machines -= {worker.name}
+        partition.crash_loop.blamed_machines -= {worker.name}
         log.debug("%s is done on %s: sent %.1f s, running %.1f s ago", attempt.name, worker.name,
                   (self.ctx.now_us - attempt.sent_us) / SECOND, (self.ctx.now_us - attempt.running_us) / SECOND)
         if attempt.running_us:
@@ -192,16 +192,16 @@
             self.next_sweep_us = now_us + SWEEP_US
             self._check_silent_workers()
         if now_us >= self.next_deadline_order_us:
-            self.next_deadline_order_us = now_us + FORESIGHT_US
+            self.next_deadline_order_us = now_us + DEADLINE_ORDER_US
             self._update_deadline_order()
-        self.recorder.write_due()
-        for uid in sorted(self.retrying):
-            chunk = self.chunks.get(uid)
-            if chunk is None or not chunk.not_before:
-                self.retrying.discard(uid)
+        self.persistence.write_due()
+        for job_id in sorted(self.retrying):
+            partition = self.partitions.get(job_id)
+            if partition is None or not partition.not_before:
+                self.retrying.discard(job_id)
                 continue
-            for index in [i for i, t in chunk.not_before.items() if t <= now_us]:
-                del chunk.not_before[index]
+            for index in [i for i, t in partition.not_before.items() if t <= now_us]:
+                del partition.not_before[index]
                 self.needs_placement = True
 
     def _check_silent_workers(self) -> None:
@@ -209,7 +209,7 @@
         now_us = self.ctx.now_us
         for worker in list(self.workers.values()):
             if not worker.lease_expired and now_us > worker.lease_renewed_us + self.ctx.timing.lease_expiry_us:
-                if worker.attempts or worker.name in self.unresolved:
+                if worker.attempts or worker.name in self.unreconciled:
                     log.info("worker %s has been silent past its lease", worker.name)
                 self.expire_lease(worker)
             elif self.lease_expired_unheard(worker):
@@ -218,15 +218,15 @@
             if worker.attempts:
                 worker.idle_us = now_us
             silent_us = now_us - max(worker.last_contact_us, self.led_since_us)
-            inherited = worker.name in self.unresolved
-            patience_us = self.silence_limit_us(worker)
+            inherited = worker.name in self.unreconciled
+            starvation_bound_us = self.silence_limit_us(worker)
             if not worker.probing and worker.endpoint and now_us >= worker.next_probe_us and (inherited or (
-                    worker.attempts and worker.last_contact_us and (silent_us > patience_us or worker.delivery.suspect))):
-                self.commander.probe(worker)
+                    worker.attempts and worker.last_contact_us and (silent_us > starvation_bound_us or worker.delivery.suspect))):
+                self.command_sender.probe(worker)
 
     def silence_limit_us(self, worker: Worker) -> int:
         """How long a machine may be silent before it is asked; one that was inherited is asked at once."""
-        if worker.name in self.unresolved:
+        if worker.name in self.unreconciled:
             return 0
         # Replicas that stand still are noticed at once, so their machines are asked early.
         return min(self.ctx.timing.probe_after_us, SERVICE_PROBE_US) if worker.service_tasks else self.ctx.timing.probe_after_us
@@ -239,7 +239,7 @@
             booting = sum(w.type.cpus for w in self.workers.values()
                           if w.type is not None and not w.last_contact_us and not w.deleting)
             # Of what is still booting, half is there in time for the usual job.
-            foresee(queue, max((slots * cpus + booting / 2) * rate, 0.01), self.ctx.wall_us)
+            order_by_deadline(queue, max((slots * cpus + booting / 2) * rate, 0.01), self.ctx.wall_us)
             self.placement.ageing.update(queue, 1 / rate, slots)
             self.reorder()
 
@@ -248,7 +248,7 @@
         if self.to_register:
             self._register_workers()
         self.placement.place_waiting()
-        self.commander.send_direct()
+        self.command_sender.send_direct()
 
     # What balance and rentals ask.
 
@@ -258,11 +258,11 @@
             return self.mean_task_cache[1:]
         cpus = weight = 0.0
         run_s = 0.0
-        for chunk in self.chunks.values():
-            if not chunk.spec.service:
-                count = len(chunk.assigned) - len(chunk.done)
-                cpus += chunk.spec.cpus * count
-                run_s += chunk.spec.estimate_s * count
+        for partition in self.partitions.values():
+            if not partition.spec.service:
+                count = len(partition.assigned) - len(partition.done)
+                cpus += partition.spec.cpus * count
+                run_s += partition.spec.estimate_s * count
                 weight += count
         if weight:
             cpus, run_s = cpus / weight, run_s / weight
@@ -271,7 +271,7 @@
         self.mean_task_cache = (self.ctx.now_us, cpus or 1.0, run_s or 60.0)
         return self.mean_task_cache[1:]
 
-    def capacity_summary(self) -> Figures:
+    def capacity_summary(self) -> CapacitySummary:
         """Sums over the machines that can be used, made anew four times a second at the most.
 
         Each submission asks for them, and each part that balances, rents or returns machines.
@@ -279,7 +279,7 @@
         now_us = self.ctx.now_us
         if now_us < self.summary_cache.at_us + FIGURES_US:
             return self.summary_cache
-        found = self.summary_cache = Figures(now_us, {zone: 0.0 for zone in self.ctx.settings.facts.zones})
+        found = self.summary_cache = CapacitySummary(now_us, {zone: 0.0 for zone in self.ctx.settings.facts.zones})
         usable, quick = self.placement.usable, self.ctx.starts_quickly
         for worker in self.workers.values():
             if not usable(worker) or worker.type is None:
--- a/quinceslip/coordination/shard/state.py
+++ b/quinceslip/coordination/shard/state.py
@@ -11,9 +11,9 @@
 from typing import Protocol
 
 from quinceslip.coordination.actor.context import SECOND, Context
-from quinceslip.coordination.leadership.election import Ownership
-from quinceslip.coordination.reconciliation.delivery import Hearing
-from quinceslip.crash_loops.detector import Trial
+from quinceslip.coordination.leadership.election import LeaderElection
+from quinceslip.coordination.reconciliation.delivery import DeliveryTracker
+from quinceslip.crash_loops.detector import CrashLoopDetector
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    uid: str
+    job_id: str
     index: int
     number: int
     spec: m.JobSpec
@@ -48,7 +48,7 @@
     priority: int = 0
 
     def __post_init__(self) -> None:
-        self.name = f"{self.uid}/{self.index}"
+        self.name = f"{self.job_id}/{self.index}"
         self.priority = self.spec.priority
 
 
@@ -59,10 +59,10 @@
     zone: str
     spot: bool
     endpoint: str = ""
-    session: int = 0
+    epoch: int = 0
     seq: int = 0
     last_own_heartbeat: tuple[int, int] = (0, 0)  # session and number of the last report of its own accord
-    token: int = 0
+    fencing_token: int = 0
     notice_us: int = 0
     lease_renewed_us: int = 0
     predecessor_renewed_us: int = 0  # the last answer of an earlier owner came by then
@@ -76,13 +76,13 @@
     deleting: bool = False
     command_open: bool = False  # a /do is in flight
     idle_us: int = 0
-    reported_tasks: dict[str, m.TaskReport] = field(default_factory=dict)
+    reported_tasks: dict[str, m.TaskStatus] = field(default_factory=dict)
     attempts: dict[str, Attempt] = field(default_factory=dict)
     images: dict[str, float] = field(default_factory=dict)
     task_failures: int = 0
     registered: bool = False  # its roster record says that it may hold tasks
     registering: bool = False
-    delivery: Hearing = field(default_factory=Hearing)  # what it has proven to hear of us
+    delivery: DeliveryTracker = field(default_factory=DeliveryTracker)  # what it has proven to hear of us
     probing: bool = False
     next_probe_us: int = 0
     # Sums over the attempts that have not ended.
@@ -165,8 +165,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class Chunk:
-    uid: str
+class JobPartition:
+    job_id: str
     spec: m.JobSpec
     submitted_us: int
     assigned: set[int] = field(default_factory=set)
@@ -177,9 +177,9 @@
     attempts: dict[int, Attempt] = field(default_factory=dict)
     not_before: dict[int, int] = field(default_factory=dict)
     failures: dict[int, int] = field(default_factory=dict)
-    in_doubt: set[int] = field(default_factory=set)  # part of a move whose outcome is open
-    in_doubt_stamp: int = 0
-    crash_loop: Trial = field(default_factory=Trial)  # whether its failures are its own
+    indeterminate: set[int] = field(default_factory=set)  # part of a move whose outcome is open
+    indeterminate_revision: int = 0
+    crash_loop: CrashLoopDetector = field(default_factory=CrashLoopDetector)  # whether its failures are its own
     writing: bool = False
     moving: bool = False
     next_write_us: int = 0
@@ -222,22 +222,22 @@
         is passed over no more.
         """
         place = 0 if self.awaits_start else 1 if self.precedence else 2
-        return (self.priority, place, self.missed_due_times if place == 2 else 0, self.submitted_us, self.uid)
+        return (self.priority, place, self.missed_due_times if place == 2 else 0, self.submitted_us, self.job_id)
 
     def startable(self) -> int:
         """Waiting tasks that do not pause after a failure."""
         return len(self.pending) - (sum(i in self.pending for i in self.not_before) if self.not_before else 0)
 
 
-class GivesWay(Protocol):
+class PreemptionPolicy(Protocol):
     """Whose work may be stopped for a task, one victim after the other."""
 
     def may_preempt(self, victim: Attempt) -> bool: ...
     def choose(self, victim: Attempt) -> None: ...
 
 
-class Limits(Protocol):
-    """What a shard asks of the limits on teams, and tells them; quotas are such (`quinceslip/quota/gate.py`)."""
+class QuotaPolicy(Protocol):
+    """What a shard asks of the limits on teams, and tells them; quotas are such (`quinceslip/quota/admission.py`)."""
 
     # What is on machines.
     def attempt_added(self, attempt: Attempt) -> None: ...
@@ -248,17 +248,17 @@
 
     # The order of a pass.
     def queue_empty(self) -> None: ...
-    def rounds(self, queue: Sequence[Chunk], workers: Sequence[Worker]) -> Iterator[list[Chunk]]: ...
-    def order_for_one_place(self, queue: Sequence[Chunk]) -> list[Chunk]: ...
+    def rounds(self, queue: Sequence[JobPartition], workers: Sequence[Worker]) -> Iterator[list[JobPartition]]: ...
+    def order_for_one_place(self, queue: Sequence[JobPartition]) -> list[JobPartition]: ...
     def deferred_to_next_round(self) -> bool: ...
 
     # May it start, and what gives way to it.
     def allows(self, spec: m.JobSpec, count: int = 1) -> bool: ...
-    def blocked_by_quota(self, chunk: Chunk, count: int, placeable: bool, workers: Iterable[Worker] = ()) -> None: ...
-    def not_placed(self, chunk: Chunk) -> None: ...
+    def blocked_by_quota(self, partition: JobPartition, count: int, placeable: bool, workers: Iterable[Worker] = ()) -> None: ...
+    def not_placed(self, partition: JobPartition) -> None: ...
     def startable(self, spec: m.JobSpec, most: int, spoken_for: dict[int, tuple[int, int, int, int]]) -> int: ...
     def guarantees_covering(self, spec: m.JobSpec, count: int = 1) -> set[int]: ...
-    def preemption_policy(self, spec: m.JobSpec, count: int = 1, rests_on: set[int] | None = None) -> GivesWay: ...
+    def preemption_policy(self, spec: m.JobSpec, count: int = 1, rests_on: set[int] | None = None) -> PreemptionPolicy: ...
 
 
 #: what keeps a task from being in two places, each left out once by `quinceslip model takeover`
@@ -270,24 +270,24 @@
 
     guards = ALL_GUARDS
 
-    def __init__(self, ctx: Context, ownership: Ownership, index: int, term: int) -> None:
+    def __init__(self, ctx: Context, election: LeaderElection, index: int, term: int) -> None:
         self.ctx = ctx
-        self.ownership = ownership
+        self.election = election
         self.index = index
         self.term = term
         self.counter = 0
         self.led_since_us = ctx.now_us
         self.workers: dict[str, Worker] = {}
-        self.chunks: dict[str, Chunk] = {}
-        self.unresolved: set[str] = set()
+        self.partitions: dict[str, JobPartition] = {}
+        self.unreconciled: set[str] = set()
         self.next_raise_us = 0
         self.needs_placement = True
         self.worker_failed = False  # some worker has just been found dead
         self.workers_to_command: set[str] = set()  # workers with commands that have not gone out
-        self.queued: dict[str, Chunk] = {}  # chunks that have had waiting tasks lately
-        self.queue_order: list[Chunk] | None = None  # the same in order, where nothing has changed it since
+        self.queued: dict[str, JobPartition] = {}  # chunks that have had waiting tasks lately
+        self.queue_order: list[JobPartition] | None = None  # the same in order, where nothing has changed it since
         self.attempts_by_job: dict[str, set[Attempt]] = {}  # what of a job may still be on machines
-        self.quota: Limits | None = None  # where quotas are switched on
+        self.quota: QuotaPolicy | None = None  # where quotas are switched on
 
     # Attempts.
 
@@ -296,17 +296,17 @@
         worker.attempts[attempt.name] = attempt
         if not attempt.end_cause:
             worker.add_usage(attempt.spec, 1)
-        self.attempts_by_job.setdefault(attempt.uid, set()).add(attempt)
+        self.attempts_by_job.setdefault(attempt.job_id, set()).add(attempt)
         if self.quota is not None:
             self.quota.attempt_added(attempt)
 
-    def launch(self, chunk: Chunk, index: int, worker: Worker, number: int = 0) -> Attempt:
+    def launch(self, partition: JobPartition, index: int, worker: Worker, number: int = 0) -> Attempt:
         """Pin a task to a worker; it is told with what goes out next. Gangs share the number of their first task."""
         if not number:
             self.counter += 1
             number = self.term * ATTEMPTS_PER_TERM + self.counter
-        attempt = Attempt(chunk.uid, index, number, chunk.spec, worker.name, self.ctx.now_us)
-        chunk.attempts[index] = attempt
+        attempt = Attempt(partition.job_id, index, number, partition.spec, worker.name, self.ctx.now_us)
+        partition.attempts[index] = attempt
         self.attach(worker, attempt)
         self.workers_to_command.add(worker.name)
         return attempt
@@ -319,11 +319,11 @@
             worker.add_usage(attempt.spec, -1)
         if self.quota is not None:
             self.quota.attempt_removed(attempt)
-        places = self.attempts_by_job.get(attempt.uid)
+        places = self.attempts_by_job.get(attempt.job_id)
         if places is not None:
             places.discard(attempt)
             if not places:
-                del self.attempts_by_job[attempt.uid]
+                del self.attempts_by_job[attempt.job_id]
 
     def end_attempt(self, worker: Worker | None, attempt: Attempt, why: str) -> None:
         """It no longer takes room."""
@@ -339,15 +339,15 @@
             return True
         if attempt.direct_call_open:
             return False
-        return not attempt.unanswered_term or worker.token > attempt.unanswered_term
+        return not attempt.unanswered_term or worker.fencing_token > attempt.unanswered_term
 
-    def possibly_running(self, uid: str) -> Iterator[tuple[Worker, Attempt]]:
-        for attempt in self.attempts_by_job.get(uid, ()):
+    def possibly_running(self, job_id: str) -> Iterator[tuple[Worker, Attempt]]:
+        for attempt in self.attempts_by_job.get(job_id, ()):
             worker = self.workers.get(attempt.worker)
             if worker is not None and (not attempt.end_cause or not self.settled(worker, attempt)):
                 yield worker, attempt
 
-    def halt(self, attempt: Attempt, grace_s: float) -> None:
+    def stop(self, attempt: Attempt, grace_s: float) -> None:
         if not attempt.stopping or grace_s < attempt.grace_s:
             attempt.stopping, attempt.grace_s, attempt.sent = True, grace_s, False
             self.workers_to_command.add(attempt.worker)
@@ -356,70 +356,70 @@
 
     # Waiting tasks.
 
-    def add_pending(self, chunk: Chunk, indices: Iterable[int]) -> None:
+    def add_pending(self, partition: JobPartition, indices: Iterable[int]) -> None:
         """Let tasks wait for a machine, save those that may still be on one.
 
         What was inherited and is still unknown never waits, whichever way it gets here: it ended on one
         worker (exited, lost, refused), but a newer attempt may live on one that has not spoken yet.
         """
         for index in indices:
-            if index not in chunk.attempts and index not in chunk.done and index not in chunk.unrecorded_done \
-                    and index not in chunk.in_doubt and index in chunk.assigned \
-                    and (index not in chunk.unreconciled or "unknown" not in self.guards):
-                if chunk.crash_loop.suspected and not chunk.spec.gang and (chunk.attempts or chunk.pending):
+            if index not in partition.attempts and index not in partition.done and index not in partition.unrecorded_done \
+                    and index not in partition.indeterminate and index in partition.assigned \
+                    and (index not in partition.unreconciled or "unknown" not in self.guards):
+                if partition.crash_loop.suspected and not partition.spec.gang and (partition.attempts or partition.pending):
                     # Guard: of a job that is suspected of a mistake one task is tried at a time; gangs run whole or
                     # not at all.
-                    chunk.crash_loop.on_hold.add(index)
+                    partition.crash_loop.on_hold.add(index)
                     continue
-                chunk.crash_loop.on_hold.discard(index)
-                chunk.pending.push(index)
+                partition.crash_loop.on_hold.discard(index)
+                partition.pending.push(index)
                 self.needs_placement = True
-        if chunk.pending and self.chunks.get(chunk.uid) is chunk and self.queued.get(chunk.uid) is not chunk:
-            self.queued[chunk.uid] = chunk
+        if partition.pending and self.partitions.get(partition.job_id) is partition and self.queued.get(partition.job_id) is not partition:
+            self.queued[partition.job_id] = partition
             self.queue_order = None
 
-    def put_on_hold(self, chunk: Chunk) -> None:
+    def put_on_hold(self, partition: JobPartition) -> None:
         """Its job is suspected: none of its waiting tasks starts while one that was started is still there."""
-        waiting = list(chunk.pending)
+        waiting = list(partition.pending)
         for index in waiting:
-            chunk.pending.discard(index)
-        self.add_pending(chunk, waiting)
+            partition.pending.discard(index)
+        self.add_pending(partition, waiting)
 
-    def release_from_hold(self, chunk: Chunk) -> None:
+    def release_from_hold(self, partition: JobPartition) -> None:
         """The job is sound after all."""
-        parked = chunk.crash_loop.clear()
+        parked = partition.crash_loop.clear()
         if parked:
-            log.info("job %s is cleared: %d tasks of it wait again", chunk.uid, len(parked))
-        self.add_pending(chunk, parked)
+            log.info("job %s is cleared: %d tasks of it wait again", partition.job_id, len(parked))
+        self.add_pending(partition, parked)
 
-    def waiting_in_order(self) -> list[Chunk]:
+    def waiting_in_order(self) -> list[JobPartition]:
         """Chunks with waiting tasks, in the order in which they are served.
 
         Sorted anew only where a chunk came or `late` was set (`reorder`); asked for with nearly every report.
         """
         if self.queue_order is None:
-            for uid in [u for u, c in self.queued.items() if not c.pending or self.chunks.get(u) is not c]:
-                del self.queued[uid]
-            self.queue_order = sorted(self.queued.values(), key=Chunk.sort_key)
-        return [c for c in self.queue_order if c.pending.members and self.chunks.get(c.uid) is c]
+            for job_id in [u for u, c in self.queued.items() if not c.pending or self.partitions.get(u) is not c]:
+                del self.queued[job_id]
+            self.queue_order = sorted(self.queued.values(), key=JobPartition.sort_key)
+        return [c for c in self.queue_order if c.pending.members and self.partitions.get(c.job_id) is c]
 
     def reorder(self) -> None:
         self.queue_order = None
 
     def waiting_tasks(self) -> int:
         """Tasks that wait for a machine; what waits for its quota alone is no load."""
-        return sum(len(c.pending) for c in self.queued.values() if self.chunks.get(c.uid) is c and not c.on_hold)
+        return sum(len(c.pending) for c in self.queued.values() if self.partitions.get(c.job_id) is c and not c.on_hold)
 
     def requeue(self, worker: Worker | None, attempt: Attempt) -> None:
         self.end_attempt(worker, attempt, "lost")
-        chunk = self.chunks.get(attempt.uid)
-        if chunk is not None and chunk.attempts.get(attempt.index) is attempt:
-            del chunk.attempts[attempt.index]
-            self.add_pending(chunk, [attempt.index])
+        partition = self.partitions.get(attempt.job_id)
+        if partition is not None and partition.attempts.get(attempt.index) is attempt:
+            del partition.attempts[attempt.index]
+            self.add_pending(partition, [attempt.index])
 
     # Terms.
 
     def raise_term(self, above: int = 0) -> None:
         if self.ctx.now_us >= self.next_raise_us:
             self.next_raise_us = self.ctx.now_us + 3 * SECOND
-            self.ownership.claim(self.index, above)
+            self.election.claim(self.index, above)
--- a/quinceslip/crash_loops/detector.py
+++ b/quinceslip/crash_loops/detector.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Trial:
+class CrashLoopDetector:
     """Owned by a chunk: what its tasks did so far."""
 
     enabled: bool = True  # whether jobs are suspected at all
--- a/quinceslip/dependencies/cancellation.py
+++ b/quinceslip/dependencies/cancellation.py
@@ -11,14 +11,14 @@
 from quinceslip.coordination.actor.context import SECOND, Context
 from quinceslip.coordination.actor.effects import Urgency
 from quinceslip.dependencies.graph import Graph
-from quinceslip.protocol.messages import WITHDRAWN
+from quinceslip.protocol.messages import CANCELLED
 from quinceslip.storage import records
 
 #: part of this controller's write budget
 PART = 0.25
 
 
-class Spreader:
+class CancellationPropagator:
     def __init__(self, ctx: Context, graph: Graph, owns: Callable[[int], bool]) -> None:
         self.ctx = ctx
         self.graph = graph
@@ -32,21 +32,21 @@
         now_us = self.ctx.now_us
         if now_us < self.next_us or not self.graph.cancelled or not self.ctx.store_available():
             return
-        view = self.ctx.view
-        for uid in self.graph.cancelled:
-            job = view.job(uid)
-            if job is None or uid in self.writing or not self.owns(job.shard):
+        cache = self.ctx.cache
+        for job_id in self.graph.cancelled:
+            job = cache.job(job_id)
+            if job is None or job_id in self.writing or not self.owns(job.shard):
                 continue
             self.next_us = now_us + self.write_period_us
-            self._write(uid, job)
+            self._write(job_id, job)
             return
 
-    def _write(self, uid: str, job: records.JobRecord) -> None:
-        self.writing.add(uid)
+    def _write(self, job_id: str, job: records.JobRecord) -> None:
+        self.writing.add(job_id)
 
         def done(status: int, failed: list[str]) -> None:
-            self.writing.discard(uid)
+            self.writing.discard(job_id)
 
-        key = records.job_key(uid)
-        final = records.final_record(job, WITHDRAWN, 0)
-        self.ctx.txn({key: self.ctx.view.stamp(key)}, {key: (final, None)}, [], done, Urgency.RESULT)
+        key = records.job_key(job_id)
+        final = records.final_record(job, CANCELLED, 0)
+        self.ctx.compare_and_swap({key: self.ctx.cache.mod_revision(key)}, {key: (final, None)}, [], done, Urgency.RESULT)
--- a/quinceslip/feature_gate/gate.py
+++ b/quinceslip/feature_gate/gate.py
@@ -17,24 +17,24 @@
 
 import logging
 
-from quinceslip.coordination.actor.context import SECOND, Context, TxnDone
+from quinceslip.coordination.actor.context import SECOND, CompareAndSwapDone, Context
 from quinceslip.coordination.actor.effects import Urgency
-from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.feature_gate import CURRENT
 from quinceslip.storage import records
 
 log = logging.getLogger(__name__)
 
 #: what was not answered, or failed a condition, is tried again after this long
-AGAIN_US = SECOND
+RETRY_US = SECOND
 
 
-class Rollout:
+class FeatureGate:
     """Without I/O, clock or thread of its own. It raises nothing; what fails is tried once a second."""
 
-    def __init__(self, ctx: Context, ownership: Ownership, labels: list[str], level: int = CURRENT) -> None:
+    def __init__(self, ctx: Context, election: LeaderElection, labels: list[str], level: int = CURRENT) -> None:
         self.ctx = ctx
-        self.ownership = ownership
+        self.election = election
         self.labels = labels
         self.supported_level = level  # that it supports; 0 is none: it says nothing and opens nothing
         self.published: tuple[int, int] | None = None  # lease and stamp of its record, as it was answered last
@@ -45,25 +45,25 @@
 
     def is_open(self, level: int) -> bool:
         """Whether all may act by this level: by the view alone, so once seen it is the same for all and for ever."""
-        record = self.ctx.view.by_kind["rollout"].get("")
+        record = self.ctx.cache.by_kind["rollout"].get("")
         return record is not None and record.level >= level
 
     def tick(self) -> None:
         ctx = self.ctx
-        if not self.supported_level or not ctx.view.synced:
+        if not self.supported_level or not ctx.cache.synced:
             return
         self._log()
-        if self.writing or ctx.now_us < self.next_us or not ctx.store_available() or self.ownership.leader_lease is None:
+        if self.writing or ctx.now_us < self.next_us or not ctx.store_available() or self.election.leader_lease is None:
             return
         key = records.supports_key(ctx.settings.label)
-        if self.published != (self.ownership.leader_lease, ctx.view.stamp(key)):
-            self._publish_supported(key, self.ownership.leader_lease)
+        if self.published != (self.election.leader_lease, ctx.cache.mod_revision(key)):
+            self._publish_supported(key, self.election.leader_lease)
         elif not self.is_open(self.supported_level) and not self._controllers_without_support():
             self._activate()
 
     def _controllers_without_support(self) -> list[str]:
         """Controllers that do not say, as far as is known here, that they support our level."""
-        said = self.ctx.view.by_kind["supports"]
+        said = self.ctx.cache.by_kind["supports"]
         return [label for label in self.labels if label not in said or said[label].level < self.supported_level]
 
     def _log(self) -> None:
@@ -82,15 +82,15 @@
 
         def done(status: int, failed: list[str]) -> None:
             if status == 200:
-                self.published = (lease, self.ctx.view.stamp(key))
+                self.published = (lease, self.ctx.cache.mod_revision(key))
             self._answered(status)
 
-        self._write({key: self.ctx.view.stamp(key)}, key, records.SupportsRecord(self.supported_level), lease, done)
+        self._write({key: self.ctx.cache.mod_revision(key)}, key, records.SupportsRecord(self.supported_level), lease, done)
 
     def _activate(self) -> None:
         """Guard: each controller's word must stand as it was seen when this is carried out, however late."""
-        stamp = self.ctx.view.stamp
-        conditions = {key: stamp(key) for key in (records.ROLLOUT, *map(records.supports_key, self.labels))}
+        mod_revision = self.ctx.cache.mod_revision
+        conditions = {key: mod_revision(key) for key in (records.ROLLOUT, *map(records.supports_key, self.labels))}
         if len(conditions) > 4 * self.ctx.limits.txn_ops:
             log.error("level %d stays shut: %d controllers are more than a transaction of %d changes can check",
                       self.supported_level, len(self.labels), self.ctx.limits.txn_ops)
@@ -100,11 +100,11 @@
                     lambda status, failed: self._answered(status))
 
     def _write(self, conditions: dict[str, int], key: str, record: records.SupportsRecord | records.LevelRecord,
-               lease: int | None, done: TxnDone) -> None:
+               lease: int | None, done: CompareAndSwapDone) -> None:
         self.writing = True
-        self.ctx.txn(conditions, {key: (record, lease)}, [], done, Urgency.LAUNCH)  # submissions may wait for it
+        self.ctx.compare_and_swap(conditions, {key: (record, lease)}, [], done, Urgency.LAUNCH)  # submissions may wait for it
 
     def _answered(self, status: int) -> None:
         self.writing = False
         if status != 200:
-            self.next_us = self.ctx.now_us + AGAIN_US
+            self.next_us = self.ctx.now_us + RETRY_US
--- a/quinceslip/liveness/stall_detector.py
+++ b/quinceslip/liveness/stall_detector.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class Sample:
     """What is seen of the actor at one moment."""
 
     now_us: int
@@ -36,17 +36,17 @@
     place: tuple[int, int] | None  # its innermost frame and instruction
 
 
-class Judge:
+class StallDetector:
     def __init__(self, limit_us: int, now_us: int) -> None:
         self.limit_us = limit_us
         self.period_us = limit_us // LOOKS
         self.last_us = now_us
         self.counted_us = 0
-        self.first_without_turn: Look | None = None  # since the last turn
-        self.first_at_place: Look | None = None  # since it was elsewhere
+        self.first_without_turn: Sample | None = None  # since the last turn
+        self.first_at_place: Sample | None = None  # since it was elsewhere
         self.first_at_place_us = 0
 
-    def add(self, seen: Look) -> str:
+    def add(self, seen: Sample) -> str:
         """How the actor stands still, in words; empty while it turns, or may only be waiting."""
         passed_us, self.last_us = seen.now_us - self.last_us, seen.now_us
         if self.first_without_turn is None or seen.turns != self.first_without_turn.turns:
