--- a/quinceslip/models/gap.py
+++ b/quinceslip/models/gap.py
@@ -1,7 +1,7 @@
 """Explores every history of a cancellation that the owner of a task cannot hear of, or could and not pass on.
 
-What is real: the periods (`Timing`), what an owner may do (`Ownership.entitled`, `Ownership.answering`) and what its
-answers say (`Commander.orders`). What is modelled: one owner, one worker with a task that never ends (it runs, or its
+What is real: the periods (`Timing`), what an owner may do (`LeaderElection.may_launch`, `LeaderElection.answering`) and what its
+answers say (`CommandSender.orders`). What is modelled: one owner, one worker with a task that never ends (it runs, or its
 launch is on its way and arrives when it likes within the session), and a peer that confirms a cancellation at any
 moment. All of it in steps of one unit of time, in every order. Whoever plays against the service decides whether a
 renewal or a watch is answered: one that is not may have been refused to the owner alone, lost, or be part of an outage,
@@ -22,11 +22,11 @@
 import msgspec
 
 from quinceslip.coordination.actor.context import SECOND, Timing
-from quinceslip.coordination.leadership.election import Ownership
-from quinceslip.coordination.reconciliation.commands import Commander
-from quinceslip.coordination.reconciliation.reconciler import Custody
-from quinceslip.coordination.shard.state import Attempt, Chunk, Worker
-from quinceslip.models.takeover import SPEC, UID, Found
+from quinceslip.coordination.leadership.election import LeaderElection
+from quinceslip.coordination.reconciliation.commands import CommandSender
+from quinceslip.coordination.reconciliation.reconciler import Reconciler
+from quinceslip.coordination.shard.state import Attempt, JobPartition, Worker
+from quinceslip.models.takeover import JOB_ID, SPEC, Found
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import Settings
 from quinceslip.storage.records import JobRecord
@@ -72,38 +72,38 @@
         self.timing = Timing(self.settings)
         if "grace" not in guards:
             self.timing.grace_us += 2 * (self.timing.margin_us + unit_us)
-        self.oldest = (self.timing.owner_lease_us + self.timing.grace_us) // unit_us + 2
+        self.oldest = (self.timing.leader_lease_us + self.timing.grace_us) // unit_us + 2
         self.said: dict[tuple[bool, bool, bool], bool] = {}
 
-    def rights(self, state: State) -> Ownership:
+    def rights(self, state: State) -> LeaderElection:
         """What the owner may do, of contacts that are so old."""
         now_us = 2 * self.oldest * self.unit_us
-        job = JobRecord(m.WITHDRAWN if state.knows else m.QUEUED, 1)
+        job = JobRecord(m.CANCELLED if state.knows else m.QUEUED, 1)
         ctx: Any = SimpleNamespace(settings=self.settings, timing=self.timing, now_us=now_us, started_us=0, types={},
-                                   view=SimpleNamespace(job=lambda uid: job))
-        found = Ownership(ctx, 0, lambda *_: None, lambda _: None)
+                                   cache=SimpleNamespace(job=lambda job_id: job))
+        found = LeaderElection(ctx, 0, lambda *_: None, lambda _: None)
         found.leader_lease, found.claiming = 1, True
         found.lease_sent_us = now_us - state.owner * self.unit_us
         found.watch_sent_us = now_us - (state.watch if "watch" in self.guards else state.owner) * self.unit_us
         return found
 
-    def ends(self, rights: Ownership, state: State) -> bool:
+    def ends(self, rights: LeaderElection, state: State) -> bool:
         """Whether an answer to a report of now ends the task, or its launch that is on its way."""
-        entitled = rights.entitled()
-        key = (entitled, state.knows, state.runs)
+        may_launch = rights.may_launch()
+        key = (may_launch, state.knows, state.runs)
         if key not in self.said:
-            owner = Custody(rights.ctx, rights, 0, 1)
+            owner = Reconciler(rights.ctx, rights, 0, 1)
             worker = owner.workers["w"] = Worker("w", None, "z", False, endpoint="w")
-            worker.token = 1
-            attempt = Attempt(UID, 0, 1, SPEC, "w", 0, observed=state.runs)
+            worker.fencing_token = 1
+            attempt = Attempt(JOB_ID, 0, 1, SPEC, "w", 0, observed=state.runs)
             attempt.stopping, attempt.unanswered_term = state.knows, 1
-            owner.chunks[UID] = Chunk(UID, SPEC, 0, assigned={0})
+            owner.partitions[JOB_ID] = JobPartition(JOB_ID, SPEC, 0, assigned={0})
             owner.attach(worker, attempt)
             if state.runs:
-                worker.reported_tasks = {attempt.name: m.TaskReport(attempt.name, 1, m.RUNNING)}
-            recorder: Any = SimpleNamespace(recorded=lambda a: True)
-            commander = Commander(owner, recorder, lambda r, d: None)
-            said = commander.commands_for(worker, entitled) if entitled or "halts" in self.guards else []
+                worker.reported_tasks = {attempt.name: m.TaskStatus(attempt.name, 1, m.RUNNING)}
+            persistence: Any = SimpleNamespace(recorded=lambda a: True)
+            command_sender = CommandSender(owner, persistence, lambda r, d: None)
+            said = command_sender.commands_for(worker, may_launch) if may_launch or "halts" in self.guards else []
             self.said[key] = any(c.op == "halt" for c in said)
         return self.said[key]
 
@@ -130,7 +130,7 @@
         yield "back at once", replace(state, owner=self.oldest, watch=self.oldest, knows=False, owns=False, asked=0,
                                       shows=told)
         rights = self.rights(state)
-        if not state.owns and rights.entitled():
+        if not state.owns and rights.may_launch():
             yield "claimed", replace(state, owns=True)
         if state.flies:
             yield "launch arrives", replace(state, flies=False, runs=True)
--- a/quinceslip/models/takeover.py
+++ b/quinceslip/models/takeover.py
@@ -1,10 +1,10 @@
 """Explores exhaustively, to a stated depth, what one shard's owner and its workers can do to each other.
 
-What is real: `Custody` (reports, inheritance, ends) and `Commander` (answers to reports, direct commands).
+What is real: `Reconciler` (reports, inheritance, ends) and `CommandSender` (answers to reports, direct commands).
 What is modelled: workers that keep to the protocol's tokens, sessions and leases, a network that holds back
 reports and direct commands for as long as it likes, answers that are lost, owners that end and are followed
 by another under a higher term, and a state service that keeps what is done: it carries out writes that were never
-answered when it likes, if their conditions (`Recorder`: the shard's record and the job's) still hold. Placement is
+answered when it likes, if their conditions (`JobPersistence`: the shard's record and the job's) still hold. Placement is
 free: a waiting task may go to any worker that has shown the term.
 
 Checked in every state: no task lives on two workers, none is started after its result was recorded, no result
@@ -24,14 +24,14 @@
 import msgspec
 
 from quinceslip.coordination.actor.effects import UNKNOWN
-from quinceslip.coordination.reconciliation.commands import Commander
-from quinceslip.coordination.reconciliation.delivery import IN_VAIN, PROBES
-from quinceslip.coordination.reconciliation.reconciler import Custody
-from quinceslip.coordination.shard.state import ALL_GUARDS, Attempt, Chunk, Worker
+from quinceslip.coordination.reconciliation.commands import CommandSender
+from quinceslip.coordination.reconciliation.delivery import MAX_UNACKNOWLEDGED, MAX_UNANSWERED_PROBES
+from quinceslip.coordination.reconciliation.reconciler import Reconciler
+from quinceslip.coordination.shard.state import ALL_GUARDS, Attempt, JobPartition, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.storage.records import JobRecord
 
-UID = "req-1"
+JOB_ID = "req-1"
 Step = tuple[str, int, int]
 #: every kind of step; a number names a worker, a message on its way, or a task
 STEPS = ("launch", "halt", "raise", "record", "sweep", "gone", "crash", "report", "unheard", "unasked", "probe", "late",
@@ -40,13 +40,13 @@
 #: what can be left out: the guards of `custody` and `commands`, and that a write is conditional
 GUARDS = ALL_GUARDS | {"conditional"}
 #: writes on their way at the same time
-MOST_WRITES = 2
+MAX_OPEN_WRITES = 2
 #: direct commands on their way at the same time
-MOST_FLYING = 2
+MAX_OPEN_COMMANDS = 2
 #: rounds without trouble in which everything must be done
 CALM_ROUNDS = 14
 
-SPEC = m.JobSpec(uid=UID, job_class="c", team="t", kind="array", rank="normal", tasks=1, cpus=1.0, gpus=0.0,
+SPEC = m.JobSpec(job_id=JOB_ID, job_class="c", team="t", kind="array", priority_class="normal", tasks=1, cpus=1.0, gpus=0.0,
                  memory_gb=0.0, image="i", image_gb=0.0, one_zone=False, spread=False, spot=True, estimate_s=1.0,
                  checkpoint_s=0.0, save_s=0.0)
 
@@ -58,18 +58,18 @@
 @dataclass(slots=True)
 class Machine:
     name: str
-    session: int = 1
+    epoch: int = 1
     seq: int = 0
-    token: int = 0
-    tasks: dict[str, m.TaskReport] = field(default_factory=dict)
+    fencing_token: int = 0
+    tasks: dict[str, m.TaskStatus] = field(default_factory=dict)
     gone: bool = False
     known: int = 1  # its session when the present owner came
     lapsed: bool = False  # its lease has run out under the present owner, which has answered no report since
 
-    def report(self) -> m.WorkerReport:
+    def heartbeat(self) -> m.WorkerHeartbeat:
         self.seq += 1
-        return m.WorkerReport(worker=self.name, endpoint=self.name, type="t", zone="z", session=self.session,
-                              seq=self.seq, token=self.token, tasks=list(self.tasks.values()))
+        return m.WorkerHeartbeat(worker=self.name, endpoint=self.name, type="t", zone="z", epoch=self.epoch,
+                              seq=self.seq, fencing_token=self.fencing_token, tasks=list(self.tasks.values()))
 
 
 @dataclass(slots=True)
@@ -86,7 +86,7 @@
     """Of what is done, without an answer: whoever sent it waits no more."""
 
     term: int  # the shard's record, as its condition
-    stamp: int  # the job's
+    mod_revision: int  # the job's
     done: frozenset[int]
 
 
@@ -95,10 +95,10 @@
         self.tasks, self.guards = tasks, guards
         self.machines = [Machine(f"w{n}") for n in range(workers)]
         self.flights: list[Flight] = []
-        self.late: list[tuple[int, m.WorkerReport]] = []
+        self.late: list[tuple[int, m.WorkerHeartbeat]] = []
         self.term = 0
         self.recorded: set[int] = set()
-        self.stamp = self.seen_stamp = 0  # of the record of what is done, and as the owner knows it
+        self.mod_revision = self.seen_revision = 0  # of the record of what is done, and as the owner knows it
         self.writes: list[Write] = []
         self.wants_term = 0
         self._take_over()
@@ -114,26 +114,26 @@
             flight.done = None
         self.term += 1
         self.wants_term = 0
-        self.seen_stamp = self.stamp
+        self.seen_revision = self.mod_revision
         # Nothing is final in the view before the job is; a recorded task stands in its chunk.
         ctx: Any = SimpleNamespace(now_us=0, types={}, call=self._call,
-                                   view=SimpleNamespace(job=lambda uid: JobRecord(m.QUEUED, self.tasks)))
-        rights: Any = SimpleNamespace(entitled=lambda shard: True, claim=self._claim)
-        owner = self.owner = Custody(ctx, rights, 0, self.term)
+                                   cache=SimpleNamespace(job=lambda job_id: JobRecord(m.QUEUED, self.tasks)))
+        rights: Any = SimpleNamespace(may_launch=lambda shard: True, claim=self._claim)
+        owner = self.owner = Reconciler(ctx, rights, 0, self.term)
         owner.guards = self.guards
-        self.chunk = owner.chunks[UID] = Chunk(UID, SPEC, 0, assigned=set(range(self.tasks)), done=set(self.recorded))
-        self.chunk.unreconciled = self.chunk.assigned - self.chunk.done
+        self.partition = owner.partitions[JOB_ID] = JobPartition(JOB_ID, SPEC, 0, assigned=set(range(self.tasks)), done=set(self.recorded))
+        self.partition.unreconciled = self.partition.assigned - self.partition.done
         for machine in self.machines:
-            machine.lapsed, machine.known = False, machine.session
+            machine.lapsed, machine.known = False, machine.epoch
             if not machine.gone:
                 worker = owner.workers[machine.name] = Worker(machine.name, None, "z", False, endpoint=machine.name,
                                                               registered=True)
                 owner.inherit_worker(worker)
-        self.commander = Commander(owner, SimpleNamespace(recorded=self._is_recorded), self._hears)  # type: ignore[arg-type]
+        self.command_sender = CommandSender(owner, SimpleNamespace(recorded=self._is_recorded), self._hears)  # type: ignore[arg-type]
         owner.release_unreconciled()
 
     def _is_recorded(self, attempt: Attempt) -> bool:
-        return attempt.end_cause != m.CAUSE_DONE or attempt.index in self.chunk.done
+        return attempt.end_cause != m.CAUSE_DONE or attempt.index in self.partition.done
 
     def _claim(self, shard: int, above: int) -> None:
         self.wants_term = max(self.wants_term, above, 1)
@@ -145,33 +145,33 @@
         number = int(target[1:])
         self.flights.append(Flight(number, body, done))
 
-    def _hears(self, report: m.WorkerReport, direct: bool = False) -> m.CommandReply | None:
+    def _hears(self, heartbeat: m.WorkerHeartbeat, direct: bool = False) -> m.CommandReply | None:
         """`Shard.reported`, without what is not custody's."""
-        worker = self.owner.workers.get(report.worker)
+        worker = self.owner.workers.get(heartbeat.worker)
         if worker is None:
             return None
-        if report.token > self.owner.term:
-            self.owner.raise_term(report.token)
+        if heartbeat.fencing_token > self.owner.term:
+            self.owner.raise_term(heartbeat.fencing_token)
             return None
-        if self.owner.is_from_expired_epoch(worker, report) or (not direct and self.owner.is_duplicate(worker, report)):
+        if self.owner.is_from_expired_epoch(worker, heartbeat) or (not direct and self.owner.is_duplicate(worker, heartbeat)):
             return None
-        if not self.owner.apply_heartbeat(worker, report):
+        if not self.owner.apply_heartbeat(worker, heartbeat):
             return m.CommandReply(self.owner.term, [])
-        if direct or not self.owner.should_answer(worker, report):
+        if direct or not self.owner.should_answer(worker, heartbeat):
             return None
-        reply = m.CommandReply(self.owner.term, self.commander.commands_for(worker))
-        worker.delivery.answer_sent(report, self.owner.term, reply.commands)
+        reply = m.CommandReply(self.owner.term, self.command_sender.commands_for(worker))
+        worker.delivery.answer_sent(heartbeat, self.owner.term, reply.commands)
         return reply
 
     def _settle(self) -> None:
         self.owner.next_raise_us = 0
-        if len(self.flights) < MOST_FLYING:
-            self.commander.send_direct()
+        if len(self.flights) < MAX_OPEN_COMMANDS:
+            self.command_sender.send_direct()
 
     # Machines.
 
-    def _obey(self, machine: Machine, token: int, commands: list[m.Command]) -> None:
-        machine.token = max(machine.token, token)
+    def _obey(self, machine: Machine, fencing_token: int, commands: list[m.Command]) -> None:
+        machine.fencing_token = max(machine.fencing_token, fencing_token)
         for command in commands:
             known = machine.tasks.get(command.task)
             if command.op == "launch":
@@ -180,7 +180,7 @@
                 # An exited attempt of the same task keeps a newer one out (`busy`): placement waits for the reap.
             elif known is not None and known.attempt == command.attempt:
                 if command.op == "halt" and known.state != m.EXITED:
-                    machine.tasks[command.task] = m.TaskReport(command.task, known.attempt, m.EXITED, m.CAUSE_HALTED)
+                    machine.tasks[command.task] = m.TaskStatus(command.task, known.attempt, m.EXITED, m.CAUSE_HALTED)
                 elif command.op == "reap" and known.state == m.EXITED:
                     index = int(command.task.rpartition("/")[2])
                     if known.why == m.CAUSE_DONE and index not in self.recorded:
@@ -194,14 +194,14 @@
                 raise Breach(f"{task} starts on {machine.name} while it is on {other.name}")
         if int(task.rpartition("/")[2]) in self.recorded:
             raise Breach(f"{task} starts on {machine.name} after it was done")
-        machine.tasks[task] = m.TaskReport(task, attempt, m.RUNNING)
+        machine.tasks[task] = m.TaskStatus(task, attempt, m.RUNNING)
 
     def _report(self, number: int) -> None:
         machine = self.machines[number]
-        answer = self._hears(machine.report())
-        if answer is not None and answer.token >= machine.token:
+        answer = self._hears(machine.heartbeat())
+        if answer is not None and answer.fencing_token >= machine.fencing_token:
             machine.lapsed = False
-            self._obey(machine, answer.token, answer.commands)
+            self._obey(machine, answer.fencing_token, answer.commands)
 
     # What may happen.
 
@@ -210,22 +210,22 @@
 
     def steps(self) -> Iterator[Step]:
         owner = self.owner
-        for index in self.chunk.pending:
+        for index in self.partition.pending:
             for number, machine in enumerate(self.machines):
                 worker = owner.workers.get(machine.name)
-                if worker is not None and self._usable(worker, f"{UID}/{index}"):
+                if worker is not None and self._usable(worker, f"{JOB_ID}/{index}"):
                     yield "launch", number, index
-        for index, attempt in self.chunk.attempts.items():
+        for index, attempt in self.partition.attempts.items():
             if not attempt.stopping:
                 yield "halt", 0, index
         if self.wants_term:
             yield "raise", 0, 0
-        if self.chunk.unrecorded_done:
-            if self.seen_stamp == self.stamp:
+        if self.partition.unrecorded_done:
+            if self.seen_revision == self.mod_revision:
                 yield "record", 0, 0
-            if len(self.writes) < MOST_WRITES:
+            if len(self.writes) < MAX_OPEN_WRITES:
                 yield "write", 0, 0
-        if self.seen_stamp != self.stamp:
+        if self.seen_revision != self.mod_revision:
             yield "watch", 0, 0
         for place in range(len(self.writes)):
             yield "carry out", place, 0
@@ -236,7 +236,7 @@
             worker = owner.workers.get(machine.name)
             yield "report", number, 0
             yield "unheard", number, 0
-            if worker is not None and worker.delivery.unanswered_probes < PROBES:
+            if worker is not None and worker.delivery.unanswered_probes < MAX_UNANSWERED_PROBES:
                 yield "unasked", number, 0
             if worker is not None and (not worker.fenced or worker.delivery.suspect):
                 yield "probe", number, 0
@@ -245,11 +245,11 @@
             if machine.tasks:
                 yield "expire", number, 0
             # A session that has been heard of has its full lease from then on.
-            if machine.lapsed and worker is not None and not worker.lease_expired and worker.session != machine.session:
+            if machine.lapsed and worker is not None and not worker.lease_expired and worker.epoch != machine.epoch:
                 yield "sweep", number, 0
-            # As `Custody.outlived`, whose clock stands here for the session that is over.
-            if worker is not None and worker.unanswered and machine.name in owner.unresolved \
-                    and machine.session > machine.known:
+            # As `Reconciler.outlived`, whose clock stands here for the session that is over.
+            if worker is not None and worker.unanswered and machine.name in owner.unreconciled \
+                    and machine.epoch > machine.known:
                 yield "outlived", number, 0
             if sum(not w.gone for w in self.machines) > 1:
                 yield "gone", number, 0
@@ -268,25 +268,25 @@
     def act(self, step: Step) -> None:
         what, number, index = step
         if what == "launch":
-            self.chunk.pending.discard(index)
-            self.owner.launch(self.chunk, index, self.owner.workers[self.machines[number].name])
+            self.partition.pending.discard(index)
+            self.owner.launch(self.partition, index, self.owner.workers[self.machines[number].name])
         elif what == "halt":
-            self.owner.halt(self.chunk.attempts[index], 0.0)
+            self.owner.stop(self.partition.attempts[index], 0.0)
         elif what == "raise":
             self.term = max(self.term + 1, self.wants_term)
             self.wants_term = 0
             self.owner.term, self.owner.counter = self.term, 0
         elif what == "record":
-            self.recorded |= self.chunk.done | self.chunk.unrecorded_done
-            self.stamp += 1
+            self.recorded |= self.partition.done | self.partition.unrecorded_done
+            self.mod_revision += 1
             self._watch()
         elif what == "write":
-            self.writes.append(Write(self.term, self.seen_stamp, frozenset(self.chunk.done | self.chunk.unrecorded_done)))
+            self.writes.append(Write(self.term, self.seen_revision, frozenset(self.partition.done | self.partition.unrecorded_done)))
         elif what == "carry out":
             write = self.writes.pop(number)
-            if "conditional" not in self.guards or (write.term == self.term and write.stamp == self.stamp):
+            if "conditional" not in self.guards or (write.term == self.term and write.mod_revision == self.mod_revision):
                 self.recorded = set(write.done)
-                self.stamp += 1
+                self.mod_revision += 1
         elif what == "watch":
             self._watch()
         elif what == "crash":
@@ -296,15 +296,15 @@
         elif what == "unheard":
             # Its report arrives and the answer does not; the owner's books count the lease as renewed.
             machine = self.machines[number]
-            if self._hears(machine.report()) is not None:
+            if self._hears(machine.heartbeat()) is not None:
                 machine.lapsed = False
         elif what == "unasked":
             self.owner.workers[self.machines[number].name].delivery.probe_missed(1)
         elif what == "probe":
             self.owner.workers[self.machines[number].name].delivery.acknowledged()
-            self._hears(self.machines[number].report(), direct=True)
+            self._hears(self.machines[number].heartbeat(), direct=True)
         elif what == "late":
-            self.late.append((number, self.machines[number].report()))
+            self.late.append((number, self.machines[number].heartbeat()))
         elif what == "arrive":
             self._hears(self.late.pop(number)[1])
         elif what == "copy":
@@ -312,13 +312,13 @@
         elif what in ("do", "give up"):
             self._flight(what, number)
         elif what in ("finish", "fail"):
-            task = f"{UID}/{index}"
+            task = f"{JOB_ID}/{index}"
             why = m.CAUSE_DONE if what == "finish" else m.CAUSE_ERROR
             tasks = self.machines[number].tasks
-            tasks[task] = m.TaskReport(task, tasks[task].attempt, m.EXITED, why)
+            tasks[task] = m.TaskStatus(task, tasks[task].attempt, m.EXITED, why)
         elif what == "expire":
             machine = self.machines[number]
-            machine.session, machine.lapsed = machine.session + 1, True
+            machine.epoch, machine.lapsed = machine.epoch + 1, True
             machine.tasks.clear()
         elif what in ("sweep", "outlived"):
             self.owner.expire_lease(self.owner.workers[self.machines[number].name])
@@ -329,14 +329,14 @@
         self._settle()
 
     def _watch(self) -> None:
-        """The owner knows the record as it is, as in `Recorder.sync`."""
-        chunk = self.chunk
-        self.seen_stamp = self.stamp
-        chunk.done |= self.recorded
-        chunk.unrecorded_done -= self.recorded
+        """The owner knows the record as it is, as in `JobPersistence.sync`."""
+        partition = self.partition
+        self.seen_revision = self.mod_revision
+        partition.done |= self.recorded
+        partition.unrecorded_done -= self.recorded
         for index in self.recorded:
-            chunk.pending.discard(index)
-            chunk.unreconciled.discard(index)
+            partition.pending.discard(index)
+            partition.unreconciled.discard(index)
 
     def _flight(self, what: str, place: int) -> None:
         flight = self.flights[place]
@@ -349,20 +349,20 @@
         machine, body = self.machines[flight.machine], flight.body
         if machine.gone:
             return
-        obeyed = body.token >= machine.token and body.session == machine.session
+        obeyed = body.fencing_token >= machine.fencing_token and body.epoch == machine.epoch
         if obeyed:
-            self._obey(machine, body.token, body.commands)
+            self._obey(machine, body.fencing_token, body.commands)
         if done is not None:
-            done(200 if obeyed else 409, msgspec.json.encode(machine.report()))
+            done(200 if obeyed else 409, msgspec.json.encode(machine.heartbeat()))
 
     # What a state is.
 
     def key(self) -> tuple[object, ...]:
         """All that matters of it: numbers that only rise count by their order."""
-        terms = sorted({0, self.term, self.owner.term, self.owner.first_own_term, *(w.token for w in self.machines),
-                        *(f.body.token for f in self.flights), *(r.token for _, r in self.late),
+        terms = sorted({0, self.term, self.owner.term, self.owner.first_own_term, *(w.fencing_token for w in self.machines),
+                        *(f.body.fencing_token for f in self.flights), *(r.fencing_token for _, r in self.late),
                         *(a.unanswered_term for w in self.owner.workers.values() for a in w.attempts.values()),
-                        *(w.token for w in self.owner.workers.values())})
+                        *(w.fencing_token for w in self.owner.workers.values())})
         term = {t: n for n, t in enumerate(terms)}
         numbers = sorted({t.attempt for w in self.machines for t in w.tasks.values()}
                          | {c.attempt for f in self.flights for c in f.body.commands}
@@ -370,42 +370,42 @@
                          | {a.number for w in self.owner.workers.values() for a in w.attempts.values()})
         attempt = {a: n for n, a in enumerate(numbers)}
 
-        def shown(tasks: list[m.TaskReport]) -> tuple[object, ...]:
+        def shown(tasks: list[m.TaskStatus]) -> tuple[object, ...]:
             return tuple((t.task, attempt[t.attempt], t.state, t.why) for t in tasks)
 
-        machines = tuple((w.gone, term[w.token], w.lapsed, shown(list(w.tasks.values()))) for w in self.machines)
+        machines = tuple((w.gone, term[w.fencing_token], w.lapsed, shown(list(w.tasks.values()))) for w in self.machines)
         workers: list[tuple[object, ...] | None] = []
         for machine in self.machines:
             worker = self.owner.workers.get(machine.name)
             if worker is None:
                 workers.append(None)
                 continue
-            workers.append((worker.session - machine.session if worker.session else None, term[worker.token],
-                            worker.fenced, worker.lease_expired, worker.command_open, machine.name in self.owner.unresolved,
-                            min(worker.delivery.unanswered_probes, PROBES), min(worker.delivery.unacknowledged, IN_VAIN),
-                            worker.delivery.token > 0, worker.unanswered, machine.session > machine.known,
+            workers.append((worker.epoch - machine.epoch if worker.epoch else None, term[worker.fencing_token],
+                            worker.fenced, worker.lease_expired, worker.command_open, machine.name in self.owner.unreconciled,
+                            min(worker.delivery.unanswered_probes, MAX_UNANSWERED_PROBES), min(worker.delivery.unacknowledged, MAX_UNACKNOWLEDGED),
+                            worker.delivery.fencing_token > 0, worker.unanswered, machine.epoch > machine.known,
                             tuple(sorted(attempt.get(n, -1) for _, n in worker.delivery.launches)),
                             machine.name in self.owner.workers_to_command,
                             tuple((t, attempt.get(r.attempt, -1), r.state) for t, r in worker.reported_tasks.items()),
                             tuple((a.name, attempt[a.number], a.observed, a.end_cause, a.stopping, a.direct_call_open, a.sent,
-                                   term[a.unanswered_term], self.chunk.attempts.get(a.index) is a)
+                                   term[a.unanswered_term], self.partition.attempts.get(a.index) is a)
                                   for a in worker.attempts.values())))
-        chunk = self.chunk
-        flights = tuple((f.machine, term[f.body.token], f.body.session - self.machines[f.machine].session,
+        partition = self.partition
+        flights = tuple((f.machine, term[f.body.fencing_token], f.body.epoch - self.machines[f.machine].epoch,
                          tuple((c.op, c.task, attempt[c.attempt]) for c in f.body.commands), f.done is not None)
                         for f in self.flights)
-        late = tuple((n, term[r.token], r.session - self.machines[n].session, shown(r.tasks),
+        late = tuple((n, term[r.fencing_token], r.epoch - self.machines[n].epoch, shown(r.tasks),
                       self._newer(n, r)) for n, r in self.late)
-        writes = tuple((w.term == self.term, w.stamp - self.stamp, tuple(sorted(w.done))) for w in self.writes)
-        known = (self.seen_stamp == self.stamp, tuple(sorted(chunk.done)))
+        writes = tuple((w.term == self.term, w.mod_revision - self.mod_revision, tuple(sorted(w.done))) for w in self.writes)
+        known = (self.seen_revision == self.mod_revision, tuple(sorted(partition.done)))
         return (machines, tuple(workers), flights, late, writes, known,
-                tuple(sorted(self.recorded)), tuple(chunk.pending),
-                tuple(sorted(chunk.unreconciled)), tuple(sorted(chunk.unrecorded_done)), term[self.term], term[self.owner.term],
+                tuple(sorted(self.recorded)), tuple(partition.pending),
+                tuple(sorted(partition.unreconciled)), tuple(sorted(partition.unrecorded_done)), term[self.term], term[self.owner.term],
                 term[self.owner.first_own_term], self.wants_term > 0)
 
-    def _newer(self, number: int, report: m.WorkerReport) -> bool:
+    def _newer(self, number: int, heartbeat: m.WorkerHeartbeat) -> bool:
         worker = self.owner.workers.get(self.machines[number].name)
-        return worker is not None and (report.session, report.seq) > (worker.session, worker.seq)
+        return worker is not None and (heartbeat.epoch, heartbeat.seq) > (worker.epoch, worker.seq)
 
     def calm(self) -> None:
         """Without further trouble everything gets done; what is on its way arrives."""
--- a/quinceslip/protocol/messages.py
+++ b/quinceslip/protocol/messages.py
@@ -16,32 +16,32 @@
 U64 = Annotated[int, Meta(ge=0)]
 Amount = Annotated[float, Meta(ge=0)]
 Text = Annotated[str, Meta(min_length=1, max_length=200)]
-Uid = Annotated[str, Meta(pattern=r"^req-[0-9]{1,32}$")]
+JobId = Annotated[str, Meta(pattern=r"^req-[0-9]{1,32}$")]
 
-RANKS = {"production": 0, "urgent": 1, "normal": 2, "low": 3}
-_RANK_NAMES: tuple[Any, ...] = tuple(RANKS)
-QUEUED, RUNNING, DONE, WITHDRAWN = "queued", "running", "done", "withdrawn"
+PRIORITY_CLASSES = {"production": 0, "urgent": 1, "normal": 2, "low": 3}
+_RANK_NAMES: tuple[Any, ...] = tuple(PRIORITY_CLASSES)
+QUEUED, RUNNING, DONE, CANCELLED = "queued", "running", "done", "withdrawn"
 PULLING, FLUSHING, EXITED = "pulling", "flushing", "exited"
 CAUSE_DONE, CAUSE_HALTED, CAUSE_ERROR = "done", "halted", "error"
 #: a gang's task that ended because the others did, or never came
 CAUSES_GANG = ("peers", "incomplete")
 HOST_FAILED, HOST_BOOTING = "failed", "booting"
 
-PATH_JOBS, PATH_READY, PATH_REPORT = "/v1/jobs", "/ready", "/hello"
+PATH_JOBS, PATH_READY, PATH_HEARTBEAT = "/v1/jobs", "/ready", "/hello"
 PATH_INSPECT = "/inspect"
-PATH_DO, PATH_FLAVORS, PATH_HOSTS, PATH_HOSTS_DELETE = "/do", "/flavors", "/hosts", "/hosts/delete"
-PATH_TXN, PATH_HOLDS, PATH_KV = "/txn", "/holds", "/kv"
+PATH_DO, PATH_MACHINE_TYPES, PATH_HOSTS, PATH_HOSTS_DELETE = "/do", "/flavors", "/hosts", "/hosts/delete"
+PATH_TXN, PATH_LEASES, PATH_KV = "/txn", "/holds", "/kv"
 #: in the 400 to a transaction whose lease has ended (PROTOCOL); any other 400 refuses the transaction itself
 NO_LEASE = b"no such lease"
 CANCEL_END = "/cancel"
 
 
 class JobSpec(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    uid: Uid = field(name="uid")
+    job_id: JobId = field(name="uid")
     job_class: Text = field(name="lane")
     team: Text = field(name="crew")
     kind: Literal["array", "group", "standing"] = field(name="shape")
-    rank: Literal["production", "urgent", "normal", "low"] = field(name="rank")
+    priority_class: Literal["production", "urgent", "normal", "low"] = field(name="rank")
     tasks: Annotated[int, Meta(ge=1, le=100_000)] = field(name="picks")
     cpus: Amount = field(name="vcpus")
     gpus: Amount
@@ -58,7 +58,7 @@
     save_s: Amount = field(name="markCostS")
     deadline_s: Amount | None = field(name="dueS", default=None)
     #: jobs that have to be done before any task of this one starts
-    waits_on: list[Uid] = field(name="waitsOn", default=[])
+    waits_on: list[JobId] = field(name="waitsOn", default=[])
 
     @property
     def service(self) -> bool:
@@ -76,28 +76,28 @@
 
     @property
     def priority(self) -> int:
-        return RANKS[self.rank]
+        return PRIORITY_CLASSES[self.priority_class]
 
 
 def with_priority(spec: JobSpec, priority: int) -> JobSpec:
     """The same job with another priority (0: production)."""
-    return spec if spec.priority == priority else msgspec.structs.replace(spec, rank=_RANK_NAMES[priority])
+    return spec if spec.priority == priority else msgspec.structs.replace(spec, priority_class=_RANK_NAMES[priority])
 
 
-def waiting_on(spec: JobSpec, uids: list[str]) -> JobSpec:
+def waiting_on(spec: JobSpec, job_ids: list[str]) -> JobSpec:
     """The same job, to be started once these are done."""
-    return spec if spec.waits_on == uids else msgspec.structs.replace(spec, waits_on=uids)
+    return spec if spec.waits_on == job_ids else msgspec.structs.replace(spec, waits_on=job_ids)
 
 
 class _Named(Struct):
-    uid: Uid = field(name="uid")
+    job_id: JobId = field(name="uid")
 
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """A submission that can't be read, and why. `uid` is empty where it names no job that could ever be accepted."""
+    """A submission that can't be read, and why. `job_id` is empty where it names no job that could ever be accepted."""
 
-    uid: str
+    job_id: str
     why: str
 
 
@@ -117,12 +117,12 @@
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         why = str(error)
     try:
-        return Malformed(_named_decoder.decode(body).uid, why)
+        return Malformed(_named_decoder.decode(body).job_id, why)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         return Malformed("", why)
 
 
-class TaskReport(Struct):
+class TaskStatus(Struct):
     task: str = field(name="pick")
     attempt: U64 = field(name="try")
     state: str = field(name="status")
@@ -130,23 +130,23 @@
     saved: bool | None = None
 
 
-class WorkerReport(Struct):
+class WorkerHeartbeat(Struct):
     worker: Text = field(name="berth")
     endpoint: str
     type: str = field(name="build")
     zone: str = field(name="yard")
-    session: U64 = field(name="stint")
+    epoch: U64 = field(name="stint")
     seq: U64 = field(name="tick")
-    token: U64 = field(name="baton")
+    fencing_token: U64 = field(name="baton")
     spot: bool = field(name="loaners", default=False)
     notice_s: float | None = field(name="warningS", default=None)
-    tasks: list[TaskReport] = field(name="picks", default_factory=list)
+    tasks: list[TaskStatus] = field(name="picks", default_factory=list)
 
 
 def names(body: bytes, worker: str) -> bool:
     """Whether a reply to `inspect` is a report of that worker."""
     try:
-        return msgspec.json.decode(body, type=WorkerReport).worker == worker
+        return msgspec.json.decode(body, type=WorkerHeartbeat).worker == worker
     except msgspec.DecodeError:
         return False
 
@@ -162,22 +162,22 @@
     return Command("launch", task, attempt)
 
 
-def halt(task: str, attempt: int, grace_s: float) -> Command:
+def stop(task: str, attempt: int, grace_s: float) -> Command:
     return Command("halt", task, attempt, grace_s)
 
 
-def reap(task: str, attempt: int) -> Command:
+def acknowledge_result(task: str, attempt: int) -> Command:
     return Command("reap", task, attempt)
 
 
 class CommandReply(Struct):
-    token: int = field(name="baton")
+    fencing_token: int = field(name="baton")
     commands: list[Command] = field(name="orders")
 
 
 class DirectCommands(Struct):
-    token: int = field(name="baton")
-    session: int = field(name="stint")
+    fencing_token: int = field(name="baton")
+    epoch: int = field(name="stint")
     commands: list[Command] = field(name="orders")
 
 
@@ -198,11 +198,11 @@
     types: list[MachineType] = field(name="builds")
 
 
-class HireAnswer(Struct):
+class ScaleOutAnswer(Struct):
     machines: list[str] = field(name="berths")
 
 
-class Host(Struct):
+class CloudMachine(Struct):
     machine: str = field(name="uid")
     status: str
     type: str = field(name="build", default="")
@@ -212,48 +212,48 @@
     age_s: float = field(name="ageS", default=0.0)
 
 
-class HostList(Struct):
-    hosts: list[Host] = field(name="berths")
+class MachineListing(Struct):
+    machines: list[CloudMachine] = field(name="berths")
     more: bool = field(name="hasNext", default=False)
 
 
-class HoldAnswer(Struct):
+class LeaseAnswer(Struct):
     hold: int = field(name="hold")
 
 
-class TxnAnswer(Struct):
-    ledger: int = field(name="ledger")
+class CompareAndSwapAnswer(Struct):
+    revision: int = field(name="ledger")
     failed: list[str] = []
 
 
 class Item(Struct):
     key: str = field(name="k")
     value: msgspec.Raw = field(name="v")
-    stamp: int = field(name="stamp")
+    mod_revision: int = field(name="stamp")
 
 
 class Listing(Struct):
     items: list[Item]
-    ledger: int = field(name="ledger")
+    revision: int = field(name="ledger")
     more: bool = field(name="hasNext", default=False)
 
 
 class Event(Struct):
-    stamp: int = field(name="stamp")
+    mod_revision: int = field(name="stamp")
     put: str | None = field(name="write", default=None)
     delete: str | None = field(name="drop", default=None)
     value: msgspec.Raw = field(name="v", default=msgspec.Raw(b""))
 
 
 class Changes(Struct):
-    ledger: int = field(name="ledger")
+    revision: int = field(name="ledger")
     events: list[Event] = []
 
 
-def job_answer(uid: str, status: str, done: int | None = None, running: int | None = None,
+def job_answer(job_id: str, status: str, done: int | None = None, running: int | None = None,
                why: str | None = None) -> dict[str, Any]:
     """`why` is for people: a receiver ignores fields that it does not know (PROTOCOL)."""
-    body: dict[str, Any] = {"uid": uid, "status": status}
+    body: dict[str, Any] = {"uid": job_id, "status": status}
     if why is not None:
         body["why"] = why
     if done is not None:
@@ -265,7 +265,7 @@
     return {"foreman": owner} if owner else {}
 
 
-def hire_request(name: str, machine_type: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
+def scale_out_request(name: str, machine_type: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
     return {"hire": name, "build": machine_type, "yard": zone, "loaners": spot, "howMany": count}
 
 
@@ -273,27 +273,27 @@
     return {"berths": names}
 
 
-def hosts_path(after: str, limit: int = 500) -> str:
+def machines_path(after: str, limit: int = 500) -> str:
     return f"{PATH_HOSTS}?since={after}&most={limit}"
 
 
-def hold_request(ttl_us: int) -> dict[str, Any]:
+def lease_request(ttl_us: int) -> dict[str, Any]:
     return {"lifeMs": ttl_us // 1000}
 
 
 def renew_path(hold: int) -> str:
-    return f"{PATH_HOLDS}/{hold}/renew"
+    return f"{PATH_LEASES}/{hold}/renew"
 
 
 def list_path(prefix: str, after: str, limit: int = 500) -> str:
     return f"{PATH_KV}?under={prefix}&since={after}&most={limit}"
 
 
-def watch_path(prefix: str, ledger: int, wait_ms: int) -> str:
-    return f"/changes?under={prefix}&since={ledger}&holdMs={wait_ms}"
+def watch_path(prefix: str, revision: int, wait_ms: int) -> str:
+    return f"/changes?under={prefix}&since={revision}&holdMs={wait_ms}"
 
 
-def txn_request(conditions: dict[str, int], puts: Mapping[str, tuple[Any, int | None]],
+def compare_and_swap_request(conditions: dict[str, int], puts: Mapping[str, tuple[Any, int | None]],
                 drops: list[str]) -> dict[str, Any]:
     ops: list[dict[str, Any]] = []
     for key, (value, hold) in puts.items():
--- a/quinceslip/quota/allocation.py
+++ b/quinceslip/quota/allocation.py
@@ -55,10 +55,10 @@
     return (resolved or "resolved" not in guards) and (caught_up or "caught_up" not in guards)
 
 
-class Purse:
+class Allocation:
     """One amount of one level as one controller knows it; it may own several shards that hold of it."""
 
-    __slots__ = ("_pool", "guards", "key", "move", "parent", "record", "stamp", "total", "version")
+    __slots__ = ("_pool", "guards", "key", "move", "parent", "record", "mod_revision", "total", "version")
 
     def __init__(self, key: str, total: Amounts, version: int, parent: str = "",
                  guards: frozenset[str] = ALL_GUARDS) -> None:
@@ -68,17 +68,17 @@
         self.parent = parent
         self.guards = guards
         self.record: GrantRecord | None = None
-        self.stamp = 0
+        self.mod_revision = 0
         self.move: Move | None = None
         self._pool: Amounts | None = None
 
     # What is known.
 
-    def record_changed(self, record: GrantRecord | None, stamp: int) -> None:
+    def record_changed(self, record: GrantRecord | None, mod_revision: int) -> None:
         """The view has the record under a new stamp (0: there is none)."""
-        self.record, self.stamp, self._pool = record, stamp, None
+        self.record, self.mod_revision, self._pool = record, mod_revision, None
         move = self.move
-        if move is not None and move.open and stamp != move.conditions.get(self.key, stamp):
+        if move is not None and move.open and mod_revision != move.conditions.get(self.key, mod_revision):
             self.move = None  # it was applied with this stamp, or can never be
 
     def total_in_force(self) -> Amounts:
@@ -136,7 +136,7 @@
             {str(s): list(p) for s, p in sorted(known.items()) if any(p)})
         conditions: dict[str, int] = {}
         if "stamp" in self.guards:
-            conditions[self.key] = self.stamp
+            conditions[self.key] = self.mod_revision
         if "owner" in self.guards:
             conditions |= owner
         self.move = Move(record, conditions, outgoing)
@@ -189,7 +189,7 @@
         if self.move is not move:
             return
         unsettled = outcome == "open" or (outcome == "failed" and move.settles)
-        if unsettled and "in_doubt" in self.guards and move.conditions.get(self.key, self.stamp) == self.stamp:
+        if unsettled and "in_doubt" in self.guards and move.conditions.get(self.key, self.mod_revision) == self.mod_revision:
             move.open = True  # until the record changes: then it was applied, or never can be
         else:
             self.move = None
--- a/quinceslip/quota/allocations.py
+++ b/quinceslip/quota/allocations.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from quinceslip.quota.allocation import GrantRecord, Purse
+from quinceslip.quota.allocation import Allocation, GrantRecord
 from quinceslip.quota.tree import Tree
 from quinceslip.storage import records
 
@@ -49,35 +49,35 @@
     return f"{records.PREFIX}{WANT}/{shard}"
 
 
-class Purses:
+class Allocations:
     """Made as they are asked for: thousands of levels that nobody uses cost nothing."""
 
-    def __init__(self, tree: Tree, view: records.View) -> None:
+    def __init__(self, tree: Tree, cache: records.StoreCache) -> None:
         self.tree = tree
-        self.view = view
-        self.by_name: dict[str, Purse] = {}
-        self._caps: dict[int, Purse] = {}
-        self._owns: dict[int, Purse] = {}
+        self.cache = cache
+        self.by_name: dict[str, Allocation] = {}
+        self._caps: dict[int, Allocation] = {}
+        self._owns: dict[int, Allocation] = {}
         #: purses of which more is held than there is
         self.exceeded: dict[str, int] = {}
         #: the newest version of the tree that any controller has, and whether this one's is older
         self.newest_version = tree.version
         self.tree_outdated = False
 
-    def for_cap(self, level: int) -> Purse:
+    def for_cap(self, level: int) -> Allocation:
         return self._caps.get(level) or self._make(self._caps, level, CAP)
 
-    def for_guarantee(self, level: int) -> Purse:
+    def for_guarantee(self, level: int) -> Allocation:
         return self._owns.get(level) or self._make(self._owns, level, OWN)
 
-    def _make(self, found: dict[int, Purse], level: int, kind: str) -> Purse:
+    def _make(self, found: dict[int, Allocation], level: int, kind: str) -> Allocation:
         place = self.tree.levels[level]
         name = grant_name(place.name, kind)
         total = place.cap if kind == CAP else place.guarantee
-        purse = found[level] = self.by_name[name] = Purse(f"{records.PREFIX}{GRANT}/{name}", total, self.tree.version,
+        allocation = found[level] = self.by_name[name] = Allocation(f"{records.PREFIX}{GRANT}/{name}", total, self.tree.version,
                                                           place.parent)
         self.changed(name)
-        return purse
+        return allocation
 
     def place(self, key: str) -> tuple[int, str] | None:
         """The level and the kind that a key stands for; None where this tree has no such level."""
@@ -87,13 +87,13 @@
 
     def changed(self, name: str) -> None:
         """The record of a purse is another one in the view."""
-        purse = self.by_name.get(name)
-        if purse is None:
+        allocation = self.by_name.get(name)
+        if allocation is None:
             return
-        record: GrantRecord | None = self.view.by_kind[GRANT].get(name)
-        purse.record_changed(record, self.view.stamp(purse.key))
-        place = self.place(purse.key)
-        if place is not None and place[1] == CAP and min(purse.pool()) < 0:
+        record: GrantRecord | None = self.cache.by_kind[GRANT].get(name)
+        allocation.record_changed(record, self.cache.mod_revision(allocation.key))
+        place = self.place(allocation.key)
+        if place is not None and place[1] == CAP and min(allocation.pool()) < 0:
             self.exceeded[name] = place[0]
         else:
             self.exceeded.pop(name, None)
--- a/quinceslip/quota/bench.py
+++ b/quinceslip/quota/bench.py
@@ -13,25 +13,25 @@
 
 from quinceslip.coordination.actor.context import SECOND, Context
 from quinceslip.coordination.scheduling.placement import Placement
-from quinceslip.coordination.shard.state import Attempt, Chunk, ShardState, Worker
+from quinceslip.coordination.shard.state import Attempt, JobPartition, ShardState, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import Settings, Tuning
-from quinceslip.quota.admission import Gate
+from quinceslip.quota.admission import QuotaAdmission
 from quinceslip.quota.allocation import GrantRecord
-from quinceslip.quota.allocation_manager import Quotas
-from quinceslip.quota.allocations import CAP, GRANT, OWN, Purses, grant_name
+from quinceslip.quota.allocation_manager import AllocationManager
+from quinceslip.quota.allocations import CAP, GRANT, OWN, Allocations, grant_name
 from quinceslip.quota.tree import UNLIMITED, Amounts, Level, Tree
 from quinceslip.storage import records
 
 ZONE = "z"
 
 
-class Rights:
+class PermanentLeadership:
     """A shard that is ours for ever."""
 
-    stamps: dict[int, int] = {0: 0}
+    mod_revisions: dict[int, int] = {0: 0}
 
-    def entitled(self, shard: int | None = None) -> bool:
+    def may_launch(self, shard: int | None = None) -> bool:
         return True
 
     def claim(self, shard: int, above: int = 0) -> None:
@@ -51,13 +51,13 @@
                                     "peer_bind": "127.0.0.1:2", "facts": facts,
                                     "outside": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"}}, Settings)
         self.ctx = Context(settings, Tuning(), SECOND, SECOND)
-        rights: Any = Rights()
+        rights: Any = PermanentLeadership()
         self.state = ShardState(self.ctx, rights, 0, 1)
         self.placement = Placement(self.state)
-        self.gate: Gate | None = None
+        self.admission: QuotaAdmission | None = None
         if tree is not None:
-            self.ctx.view.register_kind(Quotas.kinds)
-            self.gate = self.state.quota = Gate(tree, Purses(tree, self.ctx.view), self.state)
+            self.ctx.cache.register_kind(AllocationManager.kinds)
+            self.admission = self.state.quota = QuotaAdmission(tree, Allocations(tree, self.ctx.cache), self.state)
             for level in tree.levels:
                 for kind, amounts, given in ((CAP, level.cap, level.capped), (OWN, level.guarantee, level.guaranteed)):
                     if given:
@@ -72,18 +72,18 @@
     def _grant(self, name: str, amounts: Amounts) -> None:
         part = [a if a < UNLIMITED else 0 for a in amounts]
         total = [a if a < UNLIMITED else -1 for a in amounts]
-        self.ctx.view.store(f"{records.PREFIX}{GRANT}/{name}", GrantRecord(0, total, parts={"0": part}), 1)
+        self.ctx.cache.store(f"{records.PREFIX}{GRANT}/{name}", GrantRecord(0, total, parts={"0": part}), 1)
 
-    def submit(self, team: str, tasks: int, cpus: float = 1.0, rank: str = "normal", kind: str = "array") -> Chunk:
+    def submit(self, team: str, tasks: int, cpus: float = 1.0, priority_class: str = "normal", kind: str = "array") -> JobPartition:
         self.jobs += 1
-        spec = m.JobSpec(uid=f"req-{self.jobs}", job_class="c", team=team, kind=kind,  # type: ignore[arg-type]
-                         rank=rank, tasks=tasks, cpus=cpus, gpus=0.0,  # type: ignore[arg-type]
+        spec = m.JobSpec(job_id=f"req-{self.jobs}", job_class="c", team=team, kind=kind,  # type: ignore[arg-type]
+                         priority_class=priority_class, tasks=tasks, cpus=cpus, gpus=0.0,  # type: ignore[arg-type]
                          memory_gb=0.0, image="i", image_gb=0.0, one_zone=False, spread=False, spot=True,
                          estimate_s=1.0, checkpoint_s=0.0, save_s=0.0)
-        chunk = Chunk(spec.uid, spec, submitted_us=self.jobs, assigned=set(range(tasks)))
-        self.state.chunks[chunk.uid] = chunk
-        self.state.add_pending(chunk, range(tasks))
-        return chunk
+        partition = JobPartition(spec.job_id, spec, submitted_us=self.jobs, assigned=set(range(tasks)))
+        self.state.partitions[partition.job_id] = partition
+        self.state.add_pending(partition, range(tasks))
+        return partition
 
     def pass_(self) -> tuple[int, int]:
         """One pass: how many tasks started, and how many were told to stop. Machines obey at once."""
@@ -103,10 +103,10 @@
         return started, stopped
 
     def finish(self, attempt: Attempt) -> None:
-        worker, chunk = self.state.workers[attempt.worker], self.state.chunks[attempt.uid]
+        worker, partition = self.state.workers[attempt.worker], self.state.partitions[attempt.job_id]
         self.state.end_attempt(worker, attempt, m.CAUSE_DONE)
-        chunk.unrecorded_done.add(attempt.index)
-        del chunk.attempts[attempt.index]
+        partition.unrecorded_done.add(attempt.index)
+        del partition.attempts[attempt.index]
         self.state.detach(worker, attempt.name)
 
     def running(self) -> list[Attempt]:
--- a/quinceslip/quota/config.py
+++ b/quinceslip/quota/config.py
@@ -26,10 +26,10 @@
 SECTION = "quota"
 KEYS = {"parent", "weight", "teams", *RESOURCES, *(f"{name}_max" for name in RESOURCES)}
 #: a level's name is part of a record's key
-MOST_NAME_BYTES = 150
-MOST_WEIGHT = 1e6
+MAX_NAME_BYTES = 150
+MAX_WEIGHT = 1e6
 #: levels on a path: passes go down the tree by recursion
-MOST_DEEP = 64
+MAX_TREE_DEPTH = 64
 
 
 class _Reader:
@@ -74,14 +74,14 @@
     def level(self, section: str) -> None:
         name = section[len(SECTION):].strip()
         options = self.parser[section]
-        if not name or len(quote(name, safe="")) > MOST_NAME_BYTES:
-            raise SettingsError(f"{self.source}: [{section}]: a name of 1 to {MOST_NAME_BYTES} bytes is needed")
+        if not name or len(quote(name, safe="")) > MAX_NAME_BYTES:
+            raise SettingsError(f"{self.source}: [{section}]: a name of 1 to {MAX_NAME_BYTES} bytes is needed")
         if name in self.levels:
             raise SettingsError(f"{self.source}: [{section}]: is there twice")
         for key in options:
             if key not in KEYS:
                 raise self.error(section, key, "unknown key")
-        weight = self.number(section, "weight", 1e-6, MOST_WEIGHT) if "weight" in options else 1.0
+        weight = self.number(section, "weight", 1e-6, MAX_WEIGHT) if "weight" in options else 1.0
         speaks = any(name in options for name in RESOURCES)
         # A guarantee that says nothing of memory or tasks is not bounded by them.
         guarantee = self.amounts(section, "", (0, 0, UNLIMITED, UNLIMITED)) if speaks else ZERO
@@ -132,8 +132,8 @@
                 if parent not in self.levels:
                     break
                 seen.append(parent)
-                if len(seen) > MOST_DEEP:
-                    raise self.error(section, "parent", f"more than {MOST_DEEP} levels lie on its path")
+                if len(seen) > MAX_TREE_DEPTH:
+                    raise self.error(section, "parent", f"more than {MAX_TREE_DEPTH} levels lie on its path")
         parents = {level.parent for level in self.levels.values()}
         for name, level in self.levels.items():
             if not level.team and name not in parents:
--- a/quinceslip/quota/fair_share_order.py
+++ b/quinceslip/quota/fair_share_order.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable, Iterator, Sequence
 from itertools import groupby, islice
 
-from quinceslip.coordination.shard.state import Chunk, ShardState, Worker
-from quinceslip.quota.allocations import Purses
+from quinceslip.coordination.shard.state import JobPartition, ShardState, Worker
+from quinceslip.quota.allocations import Allocations
 from quinceslip.quota.max_min import divide
 from quinceslip.quota.tree import (
     KINDS,
@@ -20,31 +20,31 @@
     times,
     within,
 )
-from quinceslip.quota.usage import Meter
+from quinceslip.quota.usage import UsageMeter
 
 #: shares are compared in parts of what a parent has
 ONE = 1 << 30
 #: of so many waiting chunks at most the fairest is sought for one place; a whole pass looks at all
-MOST_FOR_ONE_PLACE = 64
+MAX_FOR_ONE_PLACE = 64
 #: of these so many of one team, sought among so many
-MOST_OF_TEAM = 16
-MOST_LOOKED_AT = 1024
+MAX_PARTITIONS_PER_TEAM = 16
+MAX_PARTITIONS_EXAMINED = 1024
 
 
-class Rounds(Meter):
-    def __init__(self, tree: Tree, purses: Purses, state: ShardState) -> None:
-        super().__init__(tree, purses, state)
+class FairShareOrder(UsageMeter):
+    def __init__(self, tree: Tree, allocations: Allocations, state: ShardState) -> None:
+        super().__init__(tree, allocations, state)
         self.targets: dict[int, Amounts] = {}  # of the present round of a pass
         self.held_back = False  # by a target, not by a limit
         self.demand: dict[int, Amounts] = {}  # of waiting work, by level with a guarantee
         self.capacity: Amounts = ZERO
-        self.kept_back: dict[str, Chunk] = {}  # refused in this pass for the sake of room that is kept
+        self.kept_back: dict[str, JobPartition] = {}  # refused in this pass for the sake of room that is kept
         self.reservation_released = False  # such room was given up after that
 
-    def begin(self, queue: Sequence[Chunk]) -> None:
+    def begin(self, queue: Sequence[JobPartition]) -> None:
         """A whole pass begins."""
 
-    def rounds(self, queue: Sequence[Chunk], workers: Sequence[Worker]) -> Iterator[list[Chunk]]:
+    def rounds(self, queue: Sequence[JobPartition], workers: Sequence[Worker]) -> Iterator[list[JobPartition]]:
         """The queue in rounds: priority by priority; first each level within its part, then what is left over.
 
         Without a second round, room would stay empty that nobody entitled to it can use.
@@ -56,43 +56,43 @@
                          int(sum(t.memory_gb for t in sizes) * 1000), UNLIMITED)
         self.demand.clear()
         self.has_partitions_on_hold = False
-        for chunk in queue:
-            chunk.on_hold = False
-            path = self.tree.guaranteed.get(chunk.spec.team)
+        for partition in queue:
+            partition.on_hold = False
+            path = self.tree.guaranteed.get(partition.spec.team)
             if path:
-                self.count(self.demand, path, times(task_amounts(chunk.spec), len(chunk.pending)), 1)
+                self.count(self.demand, path, times(task_amounts(partition.spec), len(partition.pending)), 1)
         for _, group in groupby(queue, key=lambda c: c.spec.priority):
-            chunks = list(group)
+            partitions = list(group)
             self.held_back, self.targets = False, {}
-            owed = [c for c in chunks if c.start_due]
+            owed = [c for c in partitions if c.start_due]
             if owed:
                 yield owed  # a beginning, whatever its team has
-            least_cpus = min(c.spec.cpus for c in chunks)
+            least_cpus = min(c.spec.cpus for c in partitions)
             # Where nothing is free, nothing is to be divided.
-            if self._free(workers, least_cpus) and len({c.spec.team for c in chunks}) > 1:
-                self.targets = self._targets(chunks)
+            if self._free(workers, least_cpus) and len({c.spec.team for c in partitions}) > 1:
+                self.targets = self._targets(partitions)
                 # Some have more than their part by now, and keep it: what is left goes first to those
                 # that their guarantee gives it to.
-                yield self._fairest(chunks)
-                yield from self._lend_spare(chunks, workers, least_cpus)
+                yield self._fairest(partitions)
+                yield from self._lend_spare(partitions, workers, least_cpus)
                 # In the same order: what is left over goes first to whoever is furthest below its part.
-                chunks = self._fairest(c for c in chunks if c.pending) if self.held_back else []
+                partitions = self._fairest(c for c in partitions if c.pending) if self.held_back else []
                 self.targets = {}
-            if chunks:
-                yield chunks
+            if partitions:
+                yield partitions
         if self.reservation_released and self.kept_back:
             # Guard: whoever came before it in this pass was refused what has been given up since. Without this they
             # wait beside it until something else brings another pass.
             again = [c for c in self.kept_back.values() if c.pending]
-            for chunk in again:
-                chunk.on_hold = False
+            for partition in again:
+                partition.on_hold = False
             yield self._fairest(again)
 
     @staticmethod
     def _free(workers: Sequence[Worker], cpus: float) -> bool:
         return any(w.free()[0] >= cpus for w in workers)
 
-    def _lend_spare(self, chunks: Sequence[Chunk], workers: Sequence[Worker], least_cpus: float) -> Iterator[list[Chunk]]:
+    def _lend_spare(self, partitions: Sequence[JobPartition], workers: Sequence[Worker], least_cpus: float) -> Iterator[list[JobPartition]]:
         """What whole tasks left of the parts: one task at a time to whoever has borrowed least.
 
         Turn by turn twice as many, so that room which only few can use is given out in few turns.
@@ -100,7 +100,7 @@
         most = 1
         # Bound: the tasks that wait; a turn in which none of them starts is the last.
         while self.held_back and self._free(workers, least_cpus):
-            rest = self._fairest(c for c in chunks if c.pending and not c.on_hold)
+            rest = self._fairest(c for c in partitions if c.pending and not c.on_hold)
             self.held_back = False
             self.targets = {self.tree.path(c.spec.team)[0]: add(self.usage.get(self.tree.path(c.spec.team)[0], ZERO),
                                                                 task_amounts(c.spec), most)
@@ -112,12 +112,12 @@
                 return
             most *= 2
 
-    def _targets(self, chunks: Sequence[Chunk]) -> dict[int, Amounts]:
+    def _targets(self, partitions: Sequence[JobPartition]) -> dict[int, Amounts]:
         """What each level should use after this round: use so far, and a fair part of what is left."""
         waiting: dict[str, Amounts] = {}
-        for chunk in chunks:
-            team = chunk.spec.team
-            waiting[team] = add(waiting.get(team, ZERO), task_amounts(chunk.spec), len(chunk.pending))
+        for partition in partitions:
+            team = partition.spec.team
+            waiting[team] = add(waiting.get(team, ZERO), task_amounts(partition.spec), len(partition.pending))
         need: dict[int, Amounts] = {}
         for team, amounts in waiting.items():
             self.count(need, self.tree.path(team), amounts, 1)
@@ -139,7 +139,7 @@
                 targets: dict[int, Amounts]) -> None:
         """Divide a parent's capacity, less what others beneath it use, between the siblings that want more.
 
-        Bound: as deep as the tree, which its settings limit (`config.MOST_DEEP`).
+        Bound: as deep as the tree, which its settings limit (`config.MAX_TREE_DEPTH`).
         """
         room = positive(add(capacity, taken, -1))
         wants = [(self.tree.levels[level].weight, _share(self.guaranteed_here(level), room), _share(need[level], room))
@@ -157,23 +157,23 @@
                           for part, whole in zip(targets[level], capacity, strict=True)]
                 self._divide(children, least(bounds, self.limit_here(level)), used, need, targets)
 
-    def order_for_one_place(self, queue: Sequence[Chunk]) -> list[Chunk]:
+    def order_for_one_place(self, queue: Sequence[JobPartition]) -> list[JobPartition]:
         """Who may take a place that has just become free, first the one furthest below its part."""
         # Guard: a few of each team. The first of all alone would be one team's where it floods the queue.
         of_team: Counter[str] = Counter()
-        first: list[Chunk] = []
-        for chunk in islice(queue, MOST_LOOKED_AT):
-            if not chunk.on_hold and of_team[chunk.spec.team] < MOST_OF_TEAM:
-                of_team[chunk.spec.team] += 1
-                first.append(chunk)
-                if len(first) >= MOST_FOR_ONE_PLACE:
+        first: list[JobPartition] = []
+        for partition in islice(queue, MAX_PARTITIONS_EXAMINED):
+            if not partition.on_hold and of_team[partition.spec.team] < MAX_PARTITIONS_PER_TEAM:
+                of_team[partition.spec.team] += 1
+                first.append(partition)
+                if len(first) >= MAX_FOR_ONE_PLACE:
                     break
         return self._fairest(first) if len({c.spec.team for c in first}) > 1 else first
 
-    def _fairest(self, chunks: Iterable[Chunk]) -> list[Chunk]:
+    def _fairest(self, partitions: Iterable[JobPartition]) -> list[JobPartition]:
         """Priority first, then who has borrowed least, then first come, first served."""
         known: dict[int, tuple[float, float]] = {}  # teams share the levels above them
-        return sorted(chunks, key=lambda c: (c.spec.priority, not c.start_due, self.fair_key(c.spec.team, known), c.sort_key()))
+        return sorted(partitions, key=lambda c: (c.spec.priority, not c.start_due, self.fair_key(c.spec.team, known), c.sort_key()))
 
     def fair_key(self, team: str, known: dict[int, tuple[float, float]]) -> tuple[tuple[float, float], ...]:
         """From the root on: whether a level is within its guarantee, and what it borrows for its weight."""
--- a/quinceslip/quota/model.py
+++ b/quinceslip/quota/model.py
@@ -1,6 +1,6 @@
 """Explores the grant protocol exhaustively, to a stated depth, with the service's own transitions.
 
-One purse, some shards, some controllers. What is real: the purse's code (`grants.Purse`, `may_start`), its
+One purse, some shards, some controllers. What is real: the purse's code (`grants.Allocation`, `may_start`), its
 conditions and its guards. What is modelled: a state service that compares stamps, transactions that arrive
 late or never and answers that are lost, views that lag, leases that end, takeovers, controllers that crash
 and start again, and workers that obey no term lower than one they have seen. The property: the tasks that
@@ -11,13 +11,13 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from quinceslip.quota.allocation import ALL_GUARDS, GrantRecord, Move, Purse, may_start
+from quinceslip.quota.allocation import ALL_GUARDS, Allocation, GrantRecord, Move, may_start
 from quinceslip.quota.tree import UNLIMITED, Amounts
 
 KEY = "purse"
 UNIT: Amounts = (1, 0, 0, 0)
 #: transactions on their way at the same time
-MOST_FLYING = 2
+MAX_OPEN_COMMANDS = 2
 LATE, APPLIED, FAILED = 0, 1, 2
 Frozen = tuple[object, ...]
 
@@ -35,7 +35,7 @@
 class Right:
     """A controller's right to one shard, as it believes it."""
 
-    stamp: int
+    mod_revision: int
     used: int = 0
     resolved: bool = False
 
@@ -51,9 +51,9 @@
 
 
 @dataclass(slots=True)
-class Controller:
-    purse: Purse
-    ledger: int = 0
+class ModelController:
+    allocation: Allocation
+    revision: int = 0
     rights: dict[int, Right] = field(default_factory=dict)
 
 
@@ -62,55 +62,55 @@
 
     def __init__(self, shards: int, controllers: int, total: int, guards: frozenset[str]) -> None:
         self.size, self.total, self.guards = shards, total, guards
-        self.ledger = shards
+        self.revision = shards
         self.record: GrantRecord | None = None
-        self.stamp = 0
-        self.owner_stamps = [s + 1 for s in range(shards)]  # 0: the lease has ended
+        self.mod_revision = 0
+        self.owner_revisions = [s + 1 for s in range(shards)]  # 0: the lease has ended
         self.there = [0] * shards
         self.shown = [s + 1 for s in range(shards)]  # the newest term that a shard's workers have seen
         self.flights: list[Flight] = []
-        self.controllers = [Controller(self._purse(), shards) for _ in range(controllers)]
+        self.controllers = [ModelController(self._purse(), shards) for _ in range(controllers)]
         for s in range(shards):
             self.controllers[s].rights[s] = Right(s + 1, resolved=True)
 
     def grant_all(self) -> "World":
         """The same with everything granted to the first shard, as every controller knows."""
-        self.ledger += 1
-        self.stamp = self.ledger
+        self.revision += 1
+        self.mod_revision = self.revision
         self.record = GrantRecord(1, [self.total, -1, -1, -1], parts={"0": [self.total, 0, 0, 0]})
         for controller in self.controllers:
-            controller.ledger = self.ledger
-            controller.purse.record_changed(self.record, self.stamp)
+            controller.revision = self.revision
+            controller.allocation.record_changed(self.record, self.mod_revision)
         return self
 
-    def _purse(self) -> Purse:
-        return Purse(KEY, (self.total, UNLIMITED, UNLIMITED, UNLIMITED), 1, guards=self.guards)
+    def _purse(self) -> Allocation:
+        return Allocation(KEY, (self.total, UNLIMITED, UNLIMITED, UNLIMITED), 1, guards=self.guards)
 
     # What may happen.
 
     def actions(self) -> Iterator[tuple[str, int, int]]:
         for c, controller in enumerate(self.controllers):
             for s, right in controller.rights.items():
-                caught_up = controller.ledger >= right.stamp
+                caught_up = controller.revision >= right.mod_revision
                 if may_start(right.resolved, caught_up, self.guards) and \
-                        right.used + 1 <= controller.purse.limit(s)[0] and self.shown[s] <= right.stamp:
+                        right.used + 1 <= controller.allocation.limit(s)[0] and self.shown[s] <= right.mod_revision:
                     yield "start", c, s
-                if len(self.flights) < MOST_FLYING and may_start(right.resolved, caught_up, self.guards):
-                    if controller.purse.move is None:
+                if len(self.flights) < MAX_OPEN_COMMANDS and may_start(right.resolved, caught_up, self.guards):
+                    if controller.allocation.move is None:
                         yield "take", c, s
                         yield "give", c, s
-                    elif controller.purse.move.open:
+                    elif controller.allocation.move.open:
                         yield "touch", c, s
-                if not right.resolved and self.owner_stamps[s] == right.stamp:
+                if not right.resolved and self.owner_revisions[s] == right.mod_revision:
                     yield "resolve", c, s
-            if controller.ledger < self.ledger:
+            if controller.revision < self.revision:
                 yield "watch", c, 0
             if controller.rights:
                 yield "crash", c, 0
         for s in range(self.size):
             if self.there[s]:
                 yield "end", 0, s
-            if self.owner_stamps[s]:
+            if self.owner_revisions[s]:
                 yield "lapse", 0, s
             else:
                 for c, controller in enumerate(self.controllers):
@@ -130,104 +130,104 @@
         if what in ("arrive", "answer", "give up"):
             self._flight(what, self.flights[a])
         elif what == "lapse":
-            self.owner_stamps[s] = 0
+            self.owner_revisions[s] = 0
         elif what == "end":
             self.there[s] -= 1
             for controller in self.controllers:
                 right = controller.rights.get(s)
                 # Its owner hears of it; one that was deposed, or has not resolved, need not.
-                if right is not None and right.resolved and right.stamp == self.shown[s]:
+                if right is not None and right.resolved and right.mod_revision == self.shown[s]:
                     right.used -= 1
         elif what == "crash":
             # It starts again with a listing, and with none of the rights it had.
             for flight in self.flights:
                 flight.heard = flight.heard or flight.controller == a
-            self.controllers[a] = Controller(self._purse(), self.ledger)
-            self.controllers[a].purse.record_changed(self.record, self.stamp)
+            self.controllers[a] = ModelController(self._purse(), self.revision)
+            self.controllers[a].allocation.record_changed(self.record, self.mod_revision)
         else:
             self._controller(what, self.controllers[a], a, s)
         self.flights = [f for f in self.flights if f.outcome == LATE or not f.heard]
 
-    def _controller(self, what: str, controller: Controller, c: int, s: int) -> None:
-        purse = controller.purse
+    def _controller(self, what: str, controller: ModelController, c: int, s: int) -> None:
+        allocation = controller.allocation
         if what == "watch":
-            controller.ledger = self.ledger
-            purse.record_changed(self.record, self.stamp)
-            for shard in [n for n, r in controller.rights.items() if self.owner_stamps[n] != r.stamp]:
+            controller.revision = self.revision
+            allocation.record_changed(self.record, self.mod_revision)
+            for shard in [n for n, r in controller.rights.items() if self.owner_revisions[n] != r.mod_revision]:
                 del controller.rights[shard]
         elif what == "claim":
-            self.ledger += 1
-            self.owner_stamps[s] = self.ledger
-            controller.rights[s] = Right(self.ledger)
+            self.revision += 1
+            self.owner_revisions[s] = self.revision
+            controller.rights[s] = Right(self.revision)
         elif what == "resolve":
             right = controller.rights[s]
-            right.resolved, right.used, self.shown[s] = True, self.there[s], right.stamp
+            right.resolved, right.used, self.shown[s] = True, self.there[s], right.mod_revision
         elif what == "start":
             controller.rights[s].used += 1
             self.there[s] += 1
         else:
             right = controller.rights[s]
-            owner = {owner_key(s): right.stamp}
+            owner = {owner_key(s): right.mod_revision}
             if what == "take":
-                move = purse.take(s, UNIT, owner)
+                move = allocation.take(s, UNIT, owner)
             elif what == "give":
-                move = purse.give(s, (s + 1) % self.size, UNIT, (right.used, 0, 0, 0), owner)
+                move = allocation.give(s, (s + 1) % self.size, UNIT, (right.used, 0, 0, 0), owner)
             else:
-                move = purse.rewrite(owner)
+                move = allocation.rewrite(owner)
             if move is not None:
                 self.flights.append(Flight(c, move))
 
     def _flight(self, what: str, flight: Flight) -> None:
-        move, purse = flight.move, self.controllers[flight.controller].purse
+        move, allocation = flight.move, self.controllers[flight.controller].allocation
         if what == "arrive":
-            now = {KEY: self.stamp} | {owner_key(s): stamp for s, stamp in enumerate(self.owner_stamps)}
-            if all(now[key] == stamp for key, stamp in move.conditions.items()):
-                self.ledger += 1
-                self.record, self.stamp, flight.outcome = move.record, self.ledger, APPLIED
+            now = {KEY: self.mod_revision} | {owner_key(s): mod_revision for s, mod_revision in enumerate(self.owner_revisions)}
+            if all(now[key] == mod_revision for key, mod_revision in move.conditions.items()):
+                self.revision += 1
+                self.record, self.mod_revision, flight.outcome = move.record, self.revision, APPLIED
             else:
                 flight.outcome = FAILED
         elif what == "answer":
             flight.heard = True
-            if flight.outcome == APPLIED and purse.stamp < self.stamp:
+            if flight.outcome == APPLIED and allocation.mod_revision < self.mod_revision:
                 # The answer names the ledger of the change: a newer record than what the view has.
-                purse.record_changed(self.record, self.stamp)
-            purse.answered(move, "applied" if flight.outcome == APPLIED else "failed")
+                allocation.record_changed(self.record, self.mod_revision)
+            allocation.answered(move, "applied" if flight.outcome == APPLIED else "failed")
         else:
             flight.heard = True
-            purse.answered(move, "open")
+            allocation.answered(move, "open")
 
     # One name for states that differ only in how large their stamps are.
 
     def freeze(self) -> Frozen:
-        stamps = {0, self.ledger, self.stamp, *self.owner_stamps, *self.shown}
+        mod_revisions = {0, self.revision, self.mod_revision, *self.owner_revisions, *self.shown}
         for controller in self.controllers:
-            stamps |= {controller.ledger, controller.purse.stamp, *(r.stamp for r in controller.rights.values())}
-            if controller.purse.move is not None:
-                stamps |= set(controller.purse.move.conditions.values())
+            mod_revisions |= {controller.revision, controller.allocation.mod_revision, *(r.mod_revision for r in controller.rights.values())}
+            if controller.allocation.move is not None:
+                mod_revisions |= set(controller.allocation.move.conditions.values())
         for flight in self.flights:
-            stamps |= set(flight.move.conditions.values())
-        rank = {stamp: place for place, stamp in enumerate(sorted(stamps))}
+            mod_revisions |= set(flight.move.conditions.values())
+        priority_class = {mod_revision: place for place, mod_revision in enumerate(sorted(mod_revisions))}
 
         def moved(move: Move | None) -> Frozen:
             if move is None:
                 return ()
-            return (_parts(move.record), tuple(sorted((k, rank[v]) for k, v in move.conditions.items())),
+            return (_parts(move.record), tuple(sorted((k, priority_class[v]) for k, v in move.conditions.items())),
                     tuple(sorted((s, a[0]) for s, a in move.outgoing.items())), move.open, move.settles)
 
         return (
-            _parts(self.record), rank[self.stamp], rank[self.ledger], tuple(rank[s] for s in self.owner_stamps),
-            tuple(self.there), tuple(rank[s] for s in self.shown),
+            _parts(self.record), priority_class[self.mod_revision], priority_class[self.revision], tuple(priority_class[s] for s in self.owner_revisions),
+            tuple(self.there), tuple(priority_class[s] for s in self.shown),
             tuple((f.controller, moved(f.move), f.outcome, f.heard,
-                   self.controllers[f.controller].purse.move is f.move) for f in self.flights),
-            tuple((_parts(c.purse.record), rank[c.purse.stamp], rank[c.ledger], moved(c.purse.move),
-                   tuple(sorted((s, rank[r.stamp], r.used, r.resolved) for s, r in c.rights.items())))
+                   self.controllers[f.controller].allocation.move is f.move) for f in self.flights),
+            tuple((_parts(c.allocation.record), priority_class[c.allocation.mod_revision], priority_class[c.revision], moved(c.allocation.move),
+                   tuple(sorted((s, priority_class[r.mod_revision], r.used, r.resolved) for s, r in c.rights.items())))
                   for c in self.controllers))
 
     def copy(self) -> "World":
         other = World.__new__(World)
         other.size, other.total, other.guards = self.size, self.total, self.guards
-        other.ledger, other.record, other.stamp = self.ledger, self.record, self.stamp
-        other.owner_stamps, other.there, other.shown = list(self.owner_stamps), list(self.there), list(self.shown)
+        other.revision, other.record, other.mod_revision = self.revision, self.record, self.mod_revision
+        other.owner_revisions, other.there, other.shown = list(self.owner_revisions), list(self.there), list(self.shown)
         moves: dict[int, Move] = {}
 
         def moved(move: Move) -> Move:
@@ -238,11 +238,11 @@
         other.flights = [Flight(f.controller, moved(f.move), f.outcome, f.heard) for f in self.flights]
         other.controllers = []
         for c in self.controllers:
-            purse = other._purse()
-            purse.record, purse.stamp = c.purse.record, c.purse.stamp
-            purse.move = moved(c.purse.move) if c.purse.move is not None else None
-            rights = {s: Right(r.stamp, r.used, r.resolved) for s, r in c.rights.items()}
-            other.controllers.append(Controller(purse, c.ledger, rights))
+            allocation = other._purse()
+            allocation.record, allocation.mod_revision = c.allocation.record, c.allocation.mod_revision
+            allocation.move = moved(c.allocation.move) if c.allocation.move is not None else None
+            rights = {s: Right(r.mod_revision, r.used, r.resolved) for s, r in c.rights.items()}
+            other.controllers.append(ModelController(allocation, c.revision, rights))
         return other
 
 
--- a/quinceslip/quota/plots.py
+++ b/quinceslip/quota/plots.py
@@ -89,7 +89,7 @@
         axis.set_ylim(bottom=0)
     axes[0].legend(loc="upper right", fontsize=7)
     axes[-1].set_xlabel("seconds")
-    return plotting.page(figure, "quotas", "Quotas", f"{resource} of each level, {len(samples)} samples")
+    return plotting.page(figure, "quotas", "AllocationManager", f"{resource} of each level, {len(samples)} samples")
 
 
 def write_page(samples_path: Path, target: Path, resource: str) -> str:
--- a/quinceslip/quota/preemption.py
+++ b/quinceslip/quota/preemption.py
@@ -8,14 +8,14 @@
 from quinceslip.quota.tree import ZERO, Amounts, add, within
 
 if TYPE_CHECKING:
-    from quinceslip.quota.admission import Gate
+    from quinceslip.quota.admission import QuotaAdmission
 
 
-class Search:
+class GuaranteeAwarePreemption:
     """One search for work that gives way to a job, aware of what it has picked already."""
 
-    def __init__(self, gate: "Gate", spec: m.JobSpec, rests_on: set[int]) -> None:
-        self.gate = gate
+    def __init__(self, admission: "QuotaAdmission", spec: m.JobSpec, rests_on: set[int]) -> None:
+        self.admission = admission
         self.spec = spec
         self.rests_on = rests_on
         self.chosen: dict[int, Amounts] = {}
@@ -28,7 +28,7 @@
         what rests on a guarantee unless the claim does as well: its owner would claim the room back at
         once, and the two would stop each other for ever.
         """
-        tree = self.gate.tree
+        tree = self.admission.tree
         parting = tree.parting(self.spec.team, victim.spec.team)
         higher = self.spec.priority <= 1 and victim.spec.priority > self.spec.priority
         if parting is None or parting[0] in self.rests_on:
@@ -39,9 +39,9 @@
         return parting is not None and self._borrowed(victim, parting[1])
 
     def _borrowed(self, victim: Attempt, top: int) -> bool:
-        for level in self.gate.tree.path(victim.spec.team):
-            used = add(self.gate.net_usage(level), self.chosen.get(level, ZERO), -1)
-            if within(used, self.gate.guaranteed_here(level)):
+        for level in self.admission.tree.path(victim.spec.team):
+            used = add(self.admission.net_usage(level), self.chosen.get(level, ZERO), -1)
+            if within(used, self.admission.guaranteed_here(level)):
                 return False
             if level == top:
                 return True
@@ -49,10 +49,10 @@
 
     def choose(self, victim: Attempt) -> None:
         if victim.counted_usage is not None:
-            self.gate.count(self.chosen, self.gate.tree.path(victim.spec.team), victim.counted_usage, 1)
+            self.admission.count(self.chosen, self.admission.tree.path(victim.spec.team), victim.counted_usage, 1)
 
 
-class Places:
+class GangPlaces:
     """How many tasks of a job machines can take once what was told to stop is gone."""
 
     def __init__(self, spec: m.JobSpec, workers: Sequence[Worker]) -> None:
--- a/quinceslip/quota/status_page.py
+++ b/quinceslip/quota/status_page.py
@@ -3,15 +3,15 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from quinceslip.quota.admission import Gate
-from quinceslip.quota.allocations import Purses
+from quinceslip.quota.admission import QuotaAdmission
+from quinceslip.quota.allocations import Allocations
 from quinceslip.quota.tree import RESOURCES, ZERO, Amounts, Tree, add, positive, shown
 
 #: levels in one answer, so that its line stays under 64 KiB (PROTOCOL)
 PAGE = 100
 
 
-def page(tree: Tree, purses: Purses, gates: Mapping[int, Gate], after: str, trouble: str) -> dict[str, Any]:
+def page(tree: Tree, allocations: Allocations, admissions: Mapping[int, QuotaAdmission], after: str, trouble: str) -> dict[str, Any]:
     """Levels in the tree's order, beginning after the one named; `more` if there are others.
 
     `used`, `lent`, `borrowed` and `waiting` are of this controller's shards, `held` is what all shards hold.
@@ -20,17 +20,17 @@
     start = tree.by_name[after].index + 1 if after in tree.by_name else 0
     levels = tree.levels[start: start + PAGE]
     waiting: dict[int, Amounts] = {}
-    for gate in gates.values():
-        for claim in gate.unmet_demands.values():
+    for admission in admissions.values():
+        for claim in admission.unmet_demands.values():
             for level in tree.path(claim.team):
                 waiting[level] = add(waiting.get(level, ZERO), claim.need)
     found = []
     for place in levels:
         used, own = ZERO, ZERO
-        for index, gate in gates.items():
-            used = add(used, gate.usage.get(place.index, ZERO))
+        for index, admission in admissions.items():
+            used = add(used, admission.usage.get(place.index, ZERO))
             if place.guaranteed:
-                own = add(own, purses.for_guarantee(place.index).held(index))
+                own = add(own, allocations.for_guarantee(place.index).held(index))
         lent = positive(add(own, used, -1))
         borrowed = positive(add(used, own, -1)) if any(used) else ZERO
         entry: dict[str, Any] = {
@@ -39,12 +39,12 @@
             "used": shown(used), "lent": shown(lent), "borrowed": shown(borrowed),
             "waiting": shown(waiting.get(place.index, ZERO))}
         if place.capped:
-            purse = purses.for_cap(place.index)
+            allocation = allocations.for_cap(place.index)
             entry["held"] = {shard: shown(part) for shard, part in
-                             (purse.record.parts.items() if purse.record is not None else ())}
-            entry["over"] = min(purse.pool()) < 0
+                             (allocation.record.parts.items() if allocation.record is not None else ())}
+            entry["over"] = min(allocation.pool()) < 0
         found.append(entry)
-    return {"version": tree.version, "in_force": purses.newest_version, "trouble": trouble, "shards": sorted(gates),
+    return {"version": tree.version, "in_force": allocations.newest_version, "trouble": trouble, "shards": sorted(admissions),
             "levels": found, "more": start + len(levels) < len(tree.levels)}
 
 
--- a/quinceslip/quota/usage.py
+++ b/quinceslip/quota/usage.py
@@ -6,12 +6,12 @@
 from quinceslip.coordination.shard.state import Attempt, ShardState, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.quota.allocation import may_start
-from quinceslip.quota.allocations import Purses
+from quinceslip.quota.allocations import Allocations
 from quinceslip.quota.tree import UNLIMITED, ZERO, Amounts, Tree, add, positive, task_amounts
 
 
 @dataclass(slots=True)
-class Kept:
+class Reservation:
     """Room that was made for a job and that others leave to it."""
 
     team: str
@@ -22,12 +22,12 @@
     released: Amounts = ZERO  # what others have of it, since no machine could take the job
 
 
-class Meter:
+class UsageMeter:
     """Use of every level in one shard, what was told to stop, and room that is kept for a job."""
 
-    def __init__(self, tree: Tree, purses: Purses, state: ShardState) -> None:
+    def __init__(self, tree: Tree, allocations: Allocations, state: ShardState) -> None:
         self.tree = tree
-        self.purses = purses
+        self.allocations = allocations
         self.state = state
         self.usage: dict[int, Amounts] = {}  # by level; only levels that are in use
         self.stopping_usage: dict[int, Amounts] = {}  # the part of it that was told to stop
@@ -35,7 +35,7 @@
         self.unsettled_attempts: dict[Attempt, None] = {}  # ended, while a launch of it may still arrive
         self.workers_with_unknown_tasks: set[str] = set()  # workers with tasks of which the team is not known
         self.refused: dict[int, Amounts] = {}  # levels that had no room in this pass, and for how much
-        self.reservations: dict[str, Kept] = {}  # by job: room that was made for it
+        self.reservations: dict[str, Reservation] = {}  # by job: room that was made for it
         self.attempts_counted = 0  # tasks counted so far
         self.has_partitions_on_hold = False  # the last whole pass left chunks that only their quota keeps from starting
 
@@ -44,8 +44,8 @@
         if path and attempt.counted_usage is None:
             attempt.counted_usage = task_amounts(attempt.spec)
             self.attempts_counted += 1
-            if attempt.uid in self.reservations:
-                self.release(attempt.uid, attempt.counted_usage)
+            if attempt.job_id in self.reservations:
+                self.release(attempt.job_id, attempt.counted_usage)
             self.count(self.usage, path, attempt.counted_usage, 1)
             self.teams.setdefault(attempt.spec.team, {})[attempt] = None
 
@@ -108,18 +108,18 @@
         state = self.state
         for name in [n for n in self.workers_with_unknown_tasks if n not in state.workers or state.workers[n].lease_expired]:
             self.workers_with_unknown_tasks.discard(name)
-        stamp = state.ownership.stamps.get(state.index, UNLIMITED)
-        return state.ownership.entitled(state.index) and may_start(not state.unresolved and not self.workers_with_unknown_tasks,
-                                                        state.ctx.view.ledger >= stamp)
+        mod_revision = state.election.mod_revisions.get(state.index, UNLIMITED)
+        return state.election.may_launch(state.index) and may_start(not state.unreconciled and not self.workers_with_unknown_tasks,
+                                                        state.ctx.cache.revision >= mod_revision)
 
     def limit_here(self, level: int) -> Amounts:
-        return self.purses.for_cap(level).limit(self.state.index) if self.tree.levels[level].capped else (UNLIMITED,) * 4
+        return self.allocations.for_cap(level).limit(self.state.index) if self.tree.levels[level].capped else (UNLIMITED,) * 4
 
     def guaranteed_here(self, level: int) -> Amounts:
         """The part of a level's guarantee that this shard holds."""
         if not self.tree.levels[level].guaranteed:
             return ZERO
-        return self.purses.for_guarantee(level).limit(self.state.index)
+        return self.allocations.for_guarantee(level).limit(self.state.index)
 
     def settle_attempts(self) -> None:
         """What ended while a launch of it could still arrive, and no longer can."""
@@ -128,7 +128,7 @@
             if machine is None or self.state.settled(machine, attempt):
                 self.attempt_removed(attempt)
 
-    def reserved_for_others(self, level: int, uid: str, without: Container[str] = ()) -> Amounts:
+    def reserved_for_others(self, level: int, job_id: str, without: Container[str] = ()) -> Amounts:
         """Room beneath a level that was made for other jobs, which take it when what was stopped has gone.
 
         Without this, higher priority beyond its guarantee would take what a guarantee has just claimed from
@@ -136,12 +136,12 @@
         """
         total = ZERO
         for other, kept in self.reservations.items():
-            if other != uid and other not in without and level in self.tree.path(kept.team):
+            if other != job_id and other not in without and level in self.tree.path(kept.team):
                 total = add(total, kept.room)
         return total
 
-    def release(self, uid: str, amounts: Amounts) -> None:
+    def release(self, job_id: str, amounts: Amounts) -> None:
         """So much of what was kept for a job has been taken."""
-        kept = self.reservations.get(uid)
+        kept = self.reservations.get(job_id)
         if kept is not None:
             kept.room = positive(add(kept.room, amounts, -1))
--- a/quinceslip/service.py
+++ b/quinceslip/service.py
@@ -5,9 +5,9 @@
 from collections.abc import Sequence
 
 from quinceslip.coordination.actor.context import SECOND, Timing
-from quinceslip.coordination.actor.effects import Call, Effect, PeerSaid, Reply
-from quinceslip.coordination.actor.subsystem import Maker
-from quinceslip.coordination.controller.controller import Node
+from quinceslip.coordination.actor.effects import Call, Effect, PeerFrameReceived, Reply
+from quinceslip.coordination.actor.subsystem import SubsystemFactory
+from quinceslip.coordination.controller.controller import Controller
 from quinceslip.protocol.settings import Settings, Tuning, split_address
 from quinceslip.storage.watch import Watch
 from quinceslip.transport.actor import ActorThread
@@ -30,12 +30,12 @@
 
 
 class Service:
-    def __init__(self, settings: Settings, tuning: Tuning, makers: Sequence[Maker] = ()) -> None:
+    def __init__(self, settings: Settings, tuning: Tuning, subsystem_factories: Sequence[SubsystemFactory] = ()) -> None:
         threading.stack_size(STACK_BYTES)
         facts = settings.facts
         limits = facts.state.lasting()
         self.settings = settings
-        node = Node(settings, tuning, steady_us(), wall_us(), makers)
+        node = Controller(settings, tuning, steady_us(), wall_us(), subsystem_factories)
         self.actor = ActorThread(node.handle, self._carry_out, BEAT_US, inbox=1000)
         post = self.actor.post_sure
         budget = Budget(limits.rps, limits.write_rps, facts.size)
@@ -54,7 +54,7 @@
         questions = [f"/{question}" for subsystem in node.subsystems for question in subsystem.questions]
         self.api = ApiServer(split_address(settings.api_addr), self.replies, most, questions)
         self.peers = PeerServer(split_address(settings.peer_bind), 4 * facts.size,
-                                lambda said: void(self.actor.post(PeerSaid(said))))
+                                lambda said: void(self.actor.post(PeerFrameReceived(said))))
         timing = Timing(settings)
         self.actor.start()
         if tuning.end_at_standstill:
@@ -62,9 +62,9 @@
 
             # The owner's lease, a third of a worker's: until then nothing is lost, then a peer has the shards anyway.
             Watchdog(settings.label, self.actor.thread, lambda: self.actor.turns + node.ctx.progress(),
-                     lambda: node.ctx.active_part or self.actor.doing, timing.owner_lease_us, timing.worker_lease_us,
+                     lambda: node.ctx.active_part or self.actor.doing, timing.leader_lease_us, timing.worker_lease_us,
                      split_address(settings.outside.state))
-        self.watch = Watch(settings.outside.state, post, min(timing.owner_lease_us // 4, SECOND),
+        self.watch = Watch(settings.outside.state, post, min(timing.leader_lease_us // 4, SECOND),
                            pause_us=int(SECOND * facts.size * 4 / limits.rps))
 
     def _carry_out(self, effect: Effect) -> None:
--- a/quinceslip/storage/records.py
+++ b/quinceslip/storage/records.py
@@ -11,7 +11,7 @@
   standstill/<label>   where the actor of that controller last stood still, and how often in a row
   stray/<label>        how many workers of which shards came to that controller in vain, while some do
   types                the machine types, for nodes that start while the cloud is away
-  supports/<label>     the level that the controller's version supports; attached to its lease (`rollout/gate.py`)
+  supports/<label>     the level that the controller's version supports; attached to its lease (`rollout/admission.py`)
   rollout              the level that all controllers act by; it only rises
 """
 
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from quinceslip.protocol.messages import DONE, QUEUED, WITHDRAWN, Event, Item, JobSpec, MachineType
+from quinceslip.protocol.messages import CANCELLED, DONE, QUEUED, Event, Item, JobSpec, MachineType
 from quinceslip.storage import task_sets
 
 log = logging.getLogger(__name__)
@@ -38,23 +38,23 @@
     return f"{PREFIX}shard/{shard}"
 
 
-def job_key(uid: str) -> str:
-    return f"{PREFIX}job/{uid}"
+def job_key(job_id: str) -> str:
+    return f"{PREFIX}job/{job_id}"
 
 
-def part_key(shard: int, uid: str) -> str:
-    return f"{PREFIX}part/{shard}/{uid}"
+def partition_key(shard: int, job_id: str) -> str:
+    return f"{PREFIX}part/{shard}/{job_id}"
 
 
-def roster_key(worker: str) -> str:
+def machine_key(worker: str) -> str:
     return f"{PREFIX}roster/{worker}"
 
 
-def hire_key(name: str) -> str:
+def scale_out_key(name: str) -> str:
     return f"{PREFIX}hire/{name}"
 
 
-def stray_key(label: str) -> str:
+def misrouted_key(label: str) -> str:
     return f"{PREFIX}stray/{label}"
 
 
@@ -75,7 +75,7 @@
     term: int
 
 
-class Chunk(msgspec.Struct, omit_defaults=True):
+class PartitionRecord(msgspec.Struct, omit_defaults=True):
     """The tasks of a job that one shard answers for, and those of them that are done."""
 
     assigned: str = msgspec.field(name="own")
@@ -89,7 +89,7 @@
     tasks: int
     spec: JobSpec | None = None
     shard: int = 0
-    chunk: Chunk | None = msgspec.field(name="chunk", default=None)
+    partition: PartitionRecord | None = msgspec.field(name="chunk", default=None)
     #: wall clock at acceptance, of a job that is over at its end; only for order and deadlines
     at_us: int = 0
     #: shards that hold parts besides the home shard
@@ -97,7 +97,7 @@
     done: int = 0
 
 
-class RosterRecord(msgspec.Struct, omit_defaults=True):
+class MachineRecord(msgspec.Struct, omit_defaults=True):
     shard: int
     type: str
     zone: str
@@ -107,7 +107,7 @@
     used: bool = False
 
 
-class HireRecord(msgspec.Struct):
+class ScaleOutRecord(msgspec.Struct):
     shard: int
     type: str
     zone: str
@@ -123,16 +123,16 @@
     room: int = 0
 
 
-class StandstillRecord(msgspec.Struct):
+class StallRecord(msgspec.Struct):
     part: str
     times: int
     at_us: int  # wall clock
 
 
-class StrayRecord(msgspec.Struct):
+class MisroutedRecord(msgspec.Struct):
     """Shard and number of its workers that came in vain; written while it is so, every few seconds."""
 
-    strays: list[tuple[int, int]] = msgspec.field(name="strays")
+    misrouted: list[tuple[int, int]] = msgspec.field(name="strays")
 
 
 class SupportsRecord(msgspec.Struct):
@@ -144,9 +144,9 @@
 
 
 KINDS: dict[str, Any] = {
-    "term": TermRecord, "shard": ShardRecord, "job": JobRecord, "part": Chunk,
-    "roster": RosterRecord, "hire": HireRecord, "load": LoadRecord, "types": list[MachineType],
-    "standstill": StandstillRecord, "stray": StrayRecord,
+    "term": TermRecord, "shard": ShardRecord, "job": JobRecord, "part": PartitionRecord,
+    "roster": MachineRecord, "hire": ScaleOutRecord, "load": LoadRecord, "types": list[MachineType],
+    "standstill": StallRecord, "stray": MisroutedRecord,
     "supports": SupportsRecord, "rollout": LevelRecord,
 }
 
@@ -155,15 +155,15 @@
 ADVISORY = frozenset({"load", "standstill", "stray", "supports"})
 
 
-class View:
+class StoreCache:
     """All records as this node knows them, with the stamp of each."""
 
     def __init__(self) -> None:
         self.kinds: dict[str, Any] = dict(KINDS)
         self.listing_revision: int | None = None  # the ledger up to which the last listing reaches; None before the first
-        self.ledger = 0
+        self.revision = 0
         self.records_taken = 0  # records so far: a long listing is one message, and no standstill
-        self.stamps: dict[str, int] = {}
+        self.mod_revisions: dict[str, int] = {}
         self.by_kind: dict[str, dict[str, Any]] = {kind: {} for kind in KINDS}
         self.deleted: dict[str, int] = {}
         self.open_jobs: dict[str, JobRecord] = {}  # jobs that are not over
@@ -182,53 +182,53 @@
         Guard: the pages of a listing are of different moments, so they may show a shard as free and not yet what its
         last owner did before. Nothing is decided by them until the watch has brought what came in between.
         """
-        return self.listing_revision is not None and self.ledger >= self.listing_revision
+        return self.listing_revision is not None and self.revision >= self.listing_revision
 
-    def apply_listing(self, items: list[Item], ledger: int, until: int = 0) -> list[str]:
-        """Take a full listing, read from `ledger` on up to `until`; returns every key that changed."""
+    def apply_listing(self, items: list[Item], revision: int, until: int = 0) -> list[str]:
+        """Take a full listing, read from `revision` on up to `until`; returns every key that changed."""
         fresh = {item.key for item in items}
-        changed = [key for key in self.stamps if key not in fresh and self.stamps[key] <= ledger]
+        changed = [key for key in self.mod_revisions if key not in fresh and self.mod_revisions[key] <= revision]
         for key in changed:
-            self._remove(key, ledger)
+            self._remove(key, revision)
         for item in items:
-            if self._take(item.key, item.value, item.stamp):
+            if self._take(item.key, item.value, item.mod_revision):
                 changed.append(item.key)
-        self.ledger = max(self.ledger, ledger)
+        self.revision = max(self.revision, revision)
         self.listing_revision = until
         return changed
 
-    def apply_changes(self, events: list[Event], ledger: int) -> list[str]:
+    def apply_changes(self, events: list[Event], revision: int) -> list[str]:
         """Take what the watch brought, in order; returns the keys that changed."""
         changed: list[str] = []
-        for event in sorted(events, key=lambda e: e.stamp):
+        for event in sorted(events, key=lambda e: e.mod_revision):
             if event.put is not None:
-                if self._take(event.put, event.value, event.stamp):
+                if self._take(event.put, event.value, event.mod_revision):
                     changed.append(event.put)
-            elif event.delete is not None and self.delete(event.delete, event.stamp):
+            elif event.delete is not None and self.delete(event.delete, event.mod_revision):
                 changed.append(event.delete)
-        if ledger > self.ledger:
-            self.ledger = ledger
+        if revision > self.revision:
+            self.revision = revision
             if len(self.deleted) > 4000:
                 self.deleted.clear()
         return changed
 
-    def _take(self, key: str, raw: msgspec.Raw, stamp: int) -> bool:
+    def _take(self, key: str, raw: msgspec.Raw, mod_revision: int) -> bool:
         self.records_taken += 1
         kind = key.split("/")[1]
         try:
-            return self.store(key, msgspec.json.decode(raw, type=self.kinds.get(kind, msgspec.Raw)), stamp)
+            return self.store(key, msgspec.json.decode(raw, type=self.kinds.get(kind, msgspec.Raw)), mod_revision)
         except msgspec.DecodeError as error:
             if kind not in ADVISORY:
                 raise
             log.info("%s can't be read, and counts as none: %s", key, error)
-            return self.delete(key, stamp)
+            return self.delete(key, mod_revision)
 
-    def store(self, key: str, value: Any, stamp: int) -> bool:
+    def store(self, key: str, value: Any, mod_revision: int) -> bool:
         # Own writes are applied when their answer comes, so the watch may bring them again,
         # and may still bring older ones: the larger stamp wins.
-        if stamp <= self.stamps.get(key, 0) or stamp <= self.deleted.get(key, 0):
+        if mod_revision <= self.mod_revisions.get(key, 0) or mod_revision <= self.deleted.get(key, 0):
             return False
-        self.stamps[key] = stamp
+        self.mod_revisions[key] = mod_revision
         kind, name = self.split(key)
         if kind in self.by_kind:
             self.by_kind[kind][name] = value
@@ -242,14 +242,14 @@
                 self.open_services.pop(name, None)
         return True
 
-    def delete(self, key: str, stamp: int) -> bool:
-        if stamp <= self.stamps.get(key, 0) or stamp <= self.deleted.get(key, 0):
+    def delete(self, key: str, mod_revision: int) -> bool:
+        if mod_revision <= self.mod_revisions.get(key, 0) or mod_revision <= self.deleted.get(key, 0):
             return False
-        return self._remove(key, stamp)
+        return self._remove(key, mod_revision)
 
-    def _remove(self, key: str, stamp: int) -> bool:
-        self.deleted[key] = stamp
-        known = self.stamps.pop(key, None) is not None
+    def _remove(self, key: str, mod_revision: int) -> bool:
+        self.deleted[key] = mod_revision
+        known = self.mod_revisions.pop(key, None) is not None
         kind, name = self.split(key)
         if kind in self.by_kind:
             self.by_kind[kind].pop(name, None)
@@ -264,34 +264,34 @@
         _, kind, *rest = key.split("/", 2)
         return kind, rest[0] if rest else ""
 
-    def stamp(self, key: str) -> int:
-        return self.stamps.get(key, 0)
+    def mod_revision(self, key: str) -> int:
+        return self.mod_revisions.get(key, 0)
 
-    def job(self, uid: str) -> JobRecord | None:
-        return self.by_kind["job"].get(uid)
+    def job(self, job_id: str) -> JobRecord | None:
+        return self.by_kind["job"].get(job_id)
 
     def shard(self, shard: int) -> ShardRecord | None:
         return self.by_kind["shard"].get(str(shard))
 
-    def chunk(self, shard: int, uid: str) -> Chunk | None:
+    def partition(self, shard: int, job_id: str) -> PartitionRecord | None:
         """The chunk of a job that a shard holds, wherever it is kept."""
-        job = self.job(uid)
+        job = self.job(job_id)
         if job is None or job.state != QUEUED:
             return None
         if job.shard == shard:
-            return job.chunk
-        return self.by_kind["part"].get(f"{shard}/{uid}")
+            return job.partition
+        return self.by_kind["part"].get(f"{shard}/{job_id}")
 
-    def chunks(self, uid: str) -> dict[int, Chunk]:
-        job = self.job(uid)
+    def partitions(self, job_id: str) -> dict[int, PartitionRecord]:
+        job = self.job(job_id)
         if job is None or job.state != QUEUED:
             return {}
-        found = {shard: self.chunk(shard, uid) for shard in {job.shard, *job.parts}}
-        return {shard: chunk for shard, chunk in found.items() if chunk is not None}
+        found = {shard: self.partition(shard, job_id) for shard in {job.shard, *job.parts}}
+        return {shard: partition for shard, partition in found.items() if partition is not None}
 
 
 def is_final(job: JobRecord) -> bool:
-    return job.state in (DONE, WITHDRAWN)
+    return job.state in (DONE, CANCELLED)
 
 
 def final_record(job: JobRecord, state: str, done: int, at_us: int = 0) -> JobRecord:
@@ -299,5 +299,5 @@
     return JobRecord(state=state, tasks=job.tasks, done=done, at_us=at_us)
 
 
-def done_count(view: View, uid: str) -> int:
-    return sum(len(task_sets.decode(chunk.done)) for chunk in view.chunks(uid).values())
+def done_count(cache: StoreCache, job_id: str) -> int:
+    return sum(len(task_sets.decode(partition.done)) for partition in cache.partitions(job_id).values())
--- a/quinceslip/storage/watch.py
+++ b/quinceslip/storage/watch.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from quinceslip.coordination.actor.effects import ViewChanges, ViewReset
+from quinceslip.coordination.actor.effects import StoreChanges, StoreListing
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import split_address
 from quinceslip.storage.records import PREFIX
@@ -28,18 +28,18 @@
         threading.Thread(target=self._run, name="watch", daemon=True).start()
 
     def _run(self) -> None:
-        ledger: int | None = None
+        revision: int | None = None
         # Bound: none, it is this thread's life.
         while True:
             try:
-                ledger = self._list() if ledger is None else self._poll(ledger)
+                revision = self._list() if revision is None else self._poll(revision)
             except msgspec.DecodeError as error:
                 log.error("state service answered nonsense: %s", error)
-                ledger = None
+                revision = None
             except Exception:
                 log.exception("watch")
-                ledger = None
-            time.sleep(self.pause_us / 1e6 if ledger is not None else 0.3)
+                revision = None
+            time.sleep(self.pause_us / 1e6 if revision is not None else 0.3)
 
     def _get(self, path: str, timeout_s: float) -> tuple[int, bytes]:
         return exchange(self.connection, "GET", path, None, timeout_s)
@@ -58,8 +58,8 @@
             page = msgspec.json.decode(body, type=m.Listing)
             # Pages are read one after the other; watching on from the first one's ledger mends
             # whatever changed between them.
-            first = page.ledger if first is None else first
-            last = page.ledger
+            first = page.revision if first is None else first
+            last = page.revision
             items += page.items
             if not page.more or not page.items:
                 break
@@ -68,18 +68,18 @@
                 return None
             after = page.items[-1].key
         # Guard: the view counts as loaded once it has come up to the last page.
-        self.post(ViewReset(items, first, asked_us, last))
+        self.post(StoreListing(items, first, asked_us, last))
         return first
 
-    def _poll(self, ledger: int) -> int | None:
+    def _poll(self, revision: int) -> int | None:
         asked_us = steady_us()
-        path = m.watch_path(PREFIX, ledger, self.wait_us // 1000)
+        path = m.watch_path(PREFIX, revision, self.wait_us // 1000)
         status, body = self._get(path, self.wait_us / 1e6 + 1.0)
         if status == 200:
             changes = msgspec.json.decode(body, type=m.Changes)
-            self.post(ViewChanges(changes.events, changes.ledger, asked_us))
-            return changes.ledger
+            self.post(StoreChanges(changes.events, changes.revision, asked_us))
+            return changes.revision
         if status == 410:
             return None
         time.sleep(0.2)
-        return ledger
+        return revision
--- a/quinceslip/transport/actor.py
+++ b/quinceslip/transport/actor.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from quinceslip.coordination.actor.effects import Effect, Settle, Tick
+from quinceslip.coordination.actor.effects import BatchEnd, Effect, Tick
 from quinceslip.transport.clock import steady_us
 
 log = logging.getLogger(__name__)
@@ -54,15 +54,15 @@
                 next_us = now_us + self.beat_us
                 message = Tick()
             elif taken >= BATCH:
-                message = Settle()
+                message = BatchEnd()
             else:
                 try:
                     message = self.inbox.get(block=not taken, timeout=(next_us - now_us) / 1e6)
                 except queue.Empty:
                     if not taken:
                         continue
-                    message = Settle()
-            taken = 0 if isinstance(message, Settle) else taken + 1
+                    message = BatchEnd()
+            taken = 0 if isinstance(message, BatchEnd) else taken + 1
             self.turns += 1
             self.doing = type(message).__name__
             try:
--- a/quinceslip/transport/clients.py
+++ b/quinceslip/transport/clients.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from quinceslip.coordination.actor.effects import NOT_SENT, UNKNOWN, Answer, Call
+from quinceslip.coordination.actor.effects import NOT_SENT, UNKNOWN, Call, CallResult
 from quinceslip.protocol.settings import split_address
 from quinceslip.transport.clock import steady_us
 from quinceslip.transport.headers import HeaderError, read_headers
@@ -20,7 +20,7 @@
 log = logging.getLogger(__name__)
 
 MAX_ANSWER = 64 * 1024 * 1024
-MOST_CALLS = 2000
+MAX_QUEUED_CALLS = 2000
 
 
 class Response(http.client.HTTPResponse):
@@ -155,8 +155,8 @@
     def submit(self, call: Call, address: str) -> None:
         call.target = address
         # The queue itself has no bound: threads put back what must wait, and would lock up at one.
-        if self.calls.qsize() >= MOST_CALLS:
-            self.post(Answer(call.id, NOT_SENT))
+        if self.calls.qsize() >= MAX_QUEUED_CALLS:
+            self.post(CallResult(call.id, NOT_SENT))
         else:
             self.calls.put((call.urgency, next(self.order), steady_us() + call.timeout_us, call))
 
@@ -167,7 +167,7 @@
                 answer = self._carry_out(entry)
             except Exception:
                 log.exception("call to %s", entry[3].target)
-                answer = Answer(entry[3].id, UNKNOWN)
+                answer = CallResult(entry[3].id, UNKNOWN)
             if answer is not None:
                 self.post(answer)
 
@@ -187,11 +187,11 @@
                 self.calls.put(entry)
                 time.sleep(min(wait_s, 0.05))
 
-    def _carry_out(self, entry: tuple[int, int, int, Call]) -> Answer | None:
+    def _carry_out(self, entry: tuple[int, int, int, Call]) -> CallResult | None:
         _, _, deadline_us, call = entry
         left_s = (deadline_us - steady_us()) / 1e6
         if left_s <= 0:
-            return Answer(call.id, NOT_SENT)
+            return CallResult(call.id, NOT_SENT)
         connection = self._connection(call.target)
         status, body = exchange(connection, call.method, call.path, call.body, max(left_s, 0.05))
         if connection.sock is not None:
@@ -203,7 +203,7 @@
                 time.sleep(0.1)  # not executed: others used the budget up
                 self.calls.put(entry)
                 return None
-        return Answer(call.id, status, body)
+        return CallResult(call.id, status, body)
 
     def _connection(self, address: str) -> Connection:
         with self.lock:
--- a/quinceslip/transport/http_server.py
+++ b/quinceslip/transport/http_server.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from quinceslip.coordination.actor.effects import Asked, Reply, Reported, UserRequest
+from quinceslip.coordination.actor.effects import HeartbeatReceived, Reply, SubsystemQuery, UserRequest
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import split_address
 from quinceslip.transport.clock import steady_us
@@ -25,7 +25,7 @@
 
 IDLE_S = 20.0
 ANSWER_S = 4.5
-_report_decoder = msgspec.json.Decoder(m.WorkerReport)
+_report_decoder = msgspec.json.Decoder(m.WorkerHeartbeat)
 
 
 class Replies:
@@ -138,7 +138,7 @@
         if body is None:
             return
         path = self.path.partition("?")[0]
-        if path == m.PATH_REPORT:
+        if path == m.PATH_HEARTBEAT:
             self._report(body)
         elif path == m.PATH_READY:
             if self._allow("GET"):
@@ -147,21 +147,21 @@
             if self._allow("POST"):
                 self._submit(body)
         elif path.startswith(m.PATH_JOBS + "/"):
-            uid = path[len(m.PATH_JOBS) + 1:]
-            if uid.endswith(m.CANCEL_END):
-                uid = uid[: -len(m.CANCEL_END)]
-                if "/" in uid or not uid:
+            job_id = path[len(m.PATH_JOBS) + 1:]
+            if job_id.endswith(m.CANCEL_END):
+                job_id = job_id[: -len(m.CANCEL_END)]
+                if "/" in job_id or not job_id:
                     self._send(404, {"error": "no such path"})
                 elif self._allow("POST"):
-                    self._ask(lambda n: UserRequest(n, "cancel", uid), ANSWER_S)
-            elif "/" in uid or not uid:
+                    self._ask(lambda n: UserRequest(n, "cancel", job_id), ANSWER_S)
+            elif "/" in job_id or not job_id:
                 self._send(404, {"error": "no such path"})
             elif self._allow("GET"):
-                self._ask(lambda n: UserRequest(n, "poll", uid), ANSWER_S)
+                self._ask(lambda n: UserRequest(n, "poll", job_id), ANSWER_S)
         elif path in self.server.questions:
             if self._allow("GET"):
                 after = parse_qs(self.path.partition("?")[2]).get("after", [""])[0]
-                self._ask(lambda n: Asked(n, path[1:], after), ANSWER_S)
+                self._ask(lambda n: SubsystemQuery(n, path[1:], after), ANSWER_S)
         else:
             self._send(404, {"error": "no such path"})
 
@@ -181,26 +181,26 @@
     def _submit(self, body: bytes) -> None:
         spec = m.read_submission(body)
         if isinstance(spec, m.Malformed):
-            if spec.uid:
+            if spec.job_id:
                 # Guard: a repeat of an accepted job gets its state, however it is written; 400 would be for ever.
-                self._ask(lambda n: UserRequest(n, "malformed", spec.uid, spec), ANSWER_S)
+                self._ask(lambda n: UserRequest(n, "malformed", spec.job_id, spec), ANSWER_S)
             else:
                 self._send(400, {"error": spec.why})
             return
-        self._ask(lambda n: UserRequest(n, "submit", spec.uid, spec), ANSWER_S)
+        self._ask(lambda n: UserRequest(n, "submit", spec.job_id, spec), ANSWER_S)
 
     def _report(self, body: bytes) -> None:
         if not self._allow("POST"):
             return
         try:
-            report = _report_decoder.decode(body)
-            split_address(report.endpoint)  # it is going to be asked there
+            heartbeat = _report_decoder.decode(body)
+            split_address(heartbeat.endpoint)  # it is going to be asked there
         except (msgspec.DecodeError, ValueError, RecursionError) as error:
             log.error("malformed report from %s: %s", self.client_address[0], error)
             self._send(400, {"error": str(error)})
             return
         self.server.is_worker(self.connection)
-        self._ask(lambda n: Reported(n, report), 3.0)
+        self._ask(lambda n: HeartbeatReceived(n, heartbeat), 3.0)
 
     do_GET = do_POST = do_PUT = do_DELETE = do_HEAD = do_PATCH = do_OPTIONS = _serve
 
--- a/quinceslip/transport/peers.py
+++ b/quinceslip/transport/peers.py
@@ -26,7 +26,7 @@
     """Takes frames from peers; anything else ends the connection and nothing more."""
 
     def __init__(self, address: tuple[str, int], most: int,
-                 heard: Callable[[frames.Beat | frames.Sightings], None]) -> None:
+                 heard: Callable[[frames.PeerHeartbeat | frames.PeerObservations], None]) -> None:
         self.heard = heard
         self.slots = threading.BoundedSemaphore(most)
         self.listener = socket.create_server(address, backlog=16)
--- a/quinceslip/transport/watchdog.py
+++ b/quinceslip/transport/watchdog.py
@@ -18,9 +18,9 @@
 import msgspec
 
 from quinceslip.liveness import stall_records
-from quinceslip.liveness.stall_detector import Judge, Look
+from quinceslip.liveness.stall_detector import Sample, StallDetector
 from quinceslip.protocol import messages as m
-from quinceslip.storage.records import StandstillRecord
+from quinceslip.storage.records import StallRecord
 from quinceslip.transport.clients import Connection, exchange
 from quinceslip.transport.clock import steady_us, wall_us
 
@@ -46,7 +46,7 @@
         self.lease_us = lease_us
         self.state = state
         self.started_us = steady_us()
-        self.judge = Judge(limit_us, self.started_us)
+        self.judge = StallDetector(limit_us, self.started_us)
         self.clock: int | None = None  # of the thread's processor time
         self.not_before_us = 0  # steady clock: no end, and no further note, before
         threading.Thread(target=self._run, name="watchdog", daemon=True).start()
@@ -67,10 +67,10 @@
     def _frame(self) -> FrameType | None:
         return sys._current_frames().get(self.thread.ident or 0)
 
-    def _seen(self, turns: int, before: int) -> Look:
+    def _seen(self, turns: int, before: int) -> Sample:
         # Where the actor is is only asked for while it makes no turn: it takes a look at every thread.
         frame = self._frame() if turns == before else None
-        return Look(steady_us(), turns, self._cpu_us(), (id(frame), frame.f_lasti) if frame is not None else None)
+        return Sample(steady_us(), turns, self._cpu_us(), (id(frame), frame.f_lasti) if frame is not None else None)
 
     def _cpu_us(self) -> int | None:
         try:
@@ -109,14 +109,14 @@
             if status not in (200, 404):
                 return self._wait_without_note()
             item = msgspec.json.decode(body, type=m.Item) if status == 200 else None
-            note = msgspec.json.decode(item.value, type=StandstillRecord) if item is not None else None
+            note = msgspec.json.decode(item.value, type=StallRecord) if item is not None else None
             wait_us = stall_records.next_end_us(note, self.lease_us) - now_us
             if wait_us > 0:
                 return wait_us
             # Of two lives of one controller the later one's note stays, however late the other's is written.
             record = stall_records.following(note, part, now_us, self.lease_us)
-            status, _ = exchange(connection, "POST", m.PATH_TXN, m.txn_request(
-                {key: item.stamp if item is not None else 0}, {key: (record, None)}, []), NOTE_S)
+            status, _ = exchange(connection, "POST", m.PATH_TXN, m.compare_and_swap_request(
+                {key: item.mod_revision if item is not None else 0}, {key: (record, None)}, []), NOTE_S)
             return 0 if status == 200 else self._wait_without_note()
         except msgspec.DecodeError:
             return self._wait_without_note()
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -42,9 +42,9 @@
     def note(self, text: str) -> None:
         self.notes.append(f"{self.world.now_us / US:.3f} {text}")
 
-    def asks(self, uid: str) -> None:
+    def asks(self, job_id: str) -> None:
         """A user's first attempt to submit it."""
-        self.asked_us.setdefault(uid, self.world.now_us)
+        self.asked_us.setdefault(job_id, self.world.now_us)
 
     def breach(self, rule: str, text: str) -> None:
         self.broken.append(f"{self.world.now_us / US:.3f} {rule}: {text}")
@@ -52,8 +52,8 @@
     # What machines do.
 
     def on(self, task: str, worker: Any) -> None:
-        uid = task.rpartition("/")[0]
-        spec = self.world.jobs[uid]
+        job_id = task.rpartition("/")[0]
+        spec = self.world.jobs[job_id]
         early = [u for u in spec["waitsOn"] if not self._complete(u)]
         if early:
             self.breach("too_early", f"{task} starts before {early[:3]} are done")
@@ -66,7 +66,7 @@
         zones: dict[str, int] = defaultdict(int)
         zones[host["yard"]] += 1
         for other, places in self.where.items():
-            if other.rpartition("/")[0] == uid and other != task:
+            if other.rpartition("/")[0] == job_id and other != task:
                 for name in places:
                     if name in self.world.workers:
                         zones[self.world.workers[name].host["yard"]] += 1
@@ -77,13 +77,13 @@
         if spec["shape"] == "group":
             # Not the protocol's rule but the design's: tasks of a gang know each other by their attempt.
             others = {self.world.workers[n].tasks[t]["try"] for t, p in self.where.items() for n in p
-                      if t.rpartition("/")[0] == uid and n in self.world.workers}
+                      if t.rpartition("/")[0] == job_id and n in self.world.workers}
             if others - {worker.tasks[task]["try"]}:
                 self.breach("mixed_gang", f"{task} starts under another attempt than the others")
         self.where[task].add(worker.name)
         self.starts[task].append(self.world.now_us)
         self._quota()
-        self.late_starts += uid in self.cancelled_us
+        self.late_starts += job_id in self.cancelled_us
         self._late(task, "starts")
 
     def off(self, task: str, worker: str) -> None:
@@ -141,13 +141,13 @@
 
     # Jobs that wait for others.
 
-    def _complete(self, uid: str) -> bool:
-        return all(f"{uid}/{i}" in self.completed for i in range(self.world.jobs[uid]["picks"]))
+    def _complete(self, job_id: str) -> bool:
+        return all(f"{job_id}/{i}" in self.completed for i in range(self.world.jobs[job_id]["picks"]))
 
-    def _before(self, uid: str) -> set[str]:
+    def _before(self, job_id: str) -> set[str]:
         """All jobs that one needs, directly or through others."""
         found: set[str] = set()
-        left = [uid]
+        left = [job_id]
         # Bound: each job is taken once.
         while left:
             for other in self.world.jobs.get(left.pop(), {}).get("waitsOn", ()):
@@ -156,99 +156,99 @@
                     left.append(other)
         return found
 
-    def called_off(self, uid: str) -> bool:
+    def called_off(self, job_id: str) -> bool:
         """Whether its user, or that of a job before it, has asked for its end; what was done by then goes on."""
-        return uid in self.cancel_asked or any(u in self.cancel_asked and self.told.get(u) != "done"
-                                               for u in self._before(uid))
+        return job_id in self.cancel_asked or any(u in self.cancel_asked and self.told.get(u) != "done"
+                                               for u in self._before(job_id))
 
-    def ready_us(self, uid: str) -> int:
+    def ready_us(self, job_id: str) -> int:
         """When its times begin: with the attempt to submit it, or the end of the last job that it needs; now if that is
         still to come."""
         ends = [max(self.done_us.get(f"{u}/{i}", self.world.now_us) for i in range(self.world.jobs[u]["picks"]))
-                for u in self.world.jobs[uid]["waitsOn"]]
-        return max([self.asked_us.get(uid, self.world.now_us), *ends])
+                for u in self.world.jobs[job_id]["waitsOn"]]
+        return max([self.asked_us.get(job_id, self.world.now_us), *ends])
 
     # What users are told.
 
-    def submitted(self, uid: str, status: int, body: Any) -> None:
+    def submitted(self, job_id: str, status: int, body: Any) -> None:
         if status in (200, 201):
-            if uid in self.world.odd and uid not in self.accepted:
-                self.breach("accepted_wrong", f"{uid} can't run or lacks a field")
+            if job_id in self.world.odd and job_id not in self.accepted:
+                self.breach("accepted_wrong", f"{job_id} can't run or lacks a field")
                 return
-            if uid not in self.accepted:
-                self.accepted_us[uid] = self.world.now_us
-                self._news(uid, "accepted")
-            self.accepted.setdefault(uid, body)
-            self._answered(uid)
-            self.heard(uid, body)
-        elif status in (400, 422) and uid in self.accepted:
-            self.breach("forgotten", f"{uid} answered {status}")
-
-    def polled(self, uid: str, status: int, body: Any) -> None:
-        self.answers[uid].append(status)
-        self._unknown(uid, status)
+            if job_id not in self.accepted:
+                self.accepted_us[job_id] = self.world.now_us
+                self._news(job_id, "accepted")
+            self.accepted.setdefault(job_id, body)
+            self._answered(job_id)
+            self.heard(job_id, body)
+        elif status in (400, 422) and job_id in self.accepted:
+            self.breach("forgotten", f"{job_id} answered {status}")
+
+    def polled(self, job_id: str, status: int, body: Any) -> None:
+        self.answers[job_id].append(status)
+        self._unknown(job_id, status)
         if status == 200:
-            if uid not in self.world.jobs:
-                self.breach("invented", uid)
+            if job_id not in self.world.jobs:
+                self.breach("invented", job_id)
                 return
-            self._answered(uid)
-            self.heard(uid, body)
+            self._answered(job_id)
+            self.heard(job_id, body)
 
-    def _unknown(self, uid: str, status: int) -> None:
+    def _unknown(self, job_id: str, status: int) -> None:
         """404 for a question asked after its user heard of the acceptance, whichever node was asked."""
         asked_us = self.world.now_us if self.question_us is None else self.question_us
-        if status == 404 and uid in self.accepted and asked_us >= self.accepted_us[uid]:
-            self.breach("forgotten", f"{uid} answered 404")
+        if status == 404 and job_id in self.accepted and asked_us >= self.accepted_us[job_id]:
+            self.breach("forgotten", f"{job_id} answered 404")
 
-    def _news(self, uid: str, status: str) -> None:
+    def _news(self, job_id: str, status: str) -> None:
         for hears in self.world.on_news:
-            hears(uid, status)
+            hears(job_id, status)
 
-    def cancel_answer(self, uid: str, status: int, body: Any) -> None:
-        self._unknown(uid, status)
+    def cancel_answer(self, job_id: str, status: int, body: Any) -> None:
+        self._unknown(job_id, status)
         if status == 200:
-            if uid not in self.world.jobs:
-                self.breach("invented", uid)
+            if job_id not in self.world.jobs:
+                self.breach("invented", job_id)
                 return
-            self.heard(uid, body)
+            self.heard(job_id, body)
 
-    def heard(self, uid: str, body: Any) -> None:
-        status, before = body["status"], self.told.get(uid)
+    def heard(self, job_id: str, body: Any) -> None:
+        status, before = body["status"], self.told.get(job_id)
         final = ("done", "withdrawn")
         asked_us = self.world.now_us if self.question_us is None else self.question_us
         # A question that was on its way already may be answered by what was when it was asked; never by another end.
-        if before in final and status != before and (status in final or asked_us >= self.final_us[uid]):
-            self.breach("went_back", f"{uid}: {before}, then {status}")
+        if before in final and status != before and (status in final or asked_us >= self.final_us[job_id]):
+            self.breach("went_back", f"{job_id}: {before}, then {status}")
         if before in final and status not in final:
             return
         if status not in final:
-            for other in self._before(uid):
+            for other in self._before(job_id):
                 late_us = asked_us - self.cancelled_us.get(other, asked_us)
                 if late_us > self.world.facts["workers"]["cancel_s"] * US:
-                    self.breach("orphaned", f"{uid} is {status}, {late_us / US:.0f} s after {other} was withdrawn")
-        if status in final and uid not in self.final_us:
-            self.final_us[uid] = self.world.now_us
-            self._news(uid, status)
+                    self.breach("orphaned", f"{job_id} is {status}, {late_us / US:.0f} s after {other} was withdrawn")
+        if status in final and job_id not in self.final_us:
+            self.final_us[job_id] = self.world.now_us
+            self._news(job_id, status)
         if status == "withdrawn":
-            if not self.called_off(uid):
-                self.breach("went_back", f"{uid} is called cancelled, which nobody asked for")
-            self.cancelled_us.setdefault(uid, self.world.now_us)
+            if not self.called_off(job_id):
+                self.breach("went_back", f"{job_id} is called cancelled, which nobody asked for")
+            self.cancelled_us.setdefault(job_id, self.world.now_us)
         if status == "done":
-            tasks = [f"{uid}/{i}" for i in range(self.world.jobs[uid]["picks"])]
+            tasks = [f"{job_id}/{i}" for i in range(self.world.jobs[job_id]["picks"])]
             missing = [t for t in tasks if t not in self.completed]
             if missing:
-                self.breach("not_done", f"{uid}: {missing[:3]}")
-        self.told[uid] = status
+                self.breach("not_done", f"{job_id}: {missing[:3]}")
+        self.told[job_id] = status
 
     # What is checked at the end of a day.
 
-    def _answered(self, uid: str) -> None:
+    def _answered(self, job_id: str) -> None:
         """Silence is counted from the end of all troubles, for each job by itself."""
         now_us = self.world.now_us
-        silent_us = now_us - max(self.told_us.get(uid, now_us), self.world.calm_us)
-        if silent_us > SILENT_S * US and uid in self.accepted and not self.called_off(uid):
-            self.breach("forgotten", f"{uid}: nothing was answered for {silent_us / US:.0f} s")
-        self.told_us[uid] = now_us
+        silent_us = now_us - max(self.told_us.get(job_id, now_us), self.world.calm_us)
+        if silent_us > SILENT_S * US and job_id in self.accepted and not self.called_off(job_id):
+            self.breach("forgotten", f"{job_id}: nothing was answered for {silent_us / US:.0f} s")
+        self.told_us[job_id] = now_us
 
     def look(self) -> None:
         """Who waits beside room that he could have; asked for every second or two, judged once troubles are over."""
@@ -260,24 +260,24 @@
         there = {t for w, _ in machines for t, task in w.tasks.items() if task["status"] != "exited"}
         self._quota()
         waits: dict[str, int] = {}
-        for uid in self.accepted:
-            if self.told.get(uid) in ("done", "withdrawn") or self.called_off(uid) or world.failing.get(uid):
+        for job_id in self.accepted:
+            if self.told.get(job_id) in ("done", "withdrawn") or self.called_off(job_id) or world.failing.get(job_id):
                 continue
-            spec = world.jobs[uid]
+            spec = world.jobs[job_id]
             if not all(map(self._complete, spec["waitsOn"])):
                 continue
-            left = [i for i in range(spec["picks"]) if f"{uid}/{i}" not in there
-                    and f"{uid}/{i}" not in self.completed and not self.where.get(f"{uid}/{i}")]
+            left = [i for i in range(spec["picks"]) if f"{job_id}/{i}" not in there
+                    and f"{job_id}/{i}" not in self.completed and not self.where.get(f"{job_id}/{i}")]
             if left and self._could_start(spec, len(left), machines, there):
-                waits[uid] = self.waits_us.get(uid, now_us)
-                if now_us - waits[uid] > WAIT_S * US:
-                    self.breach("left_waiting", f"{uid}: {len(left)} tasks, beside room for {WAIT_S} s")
-                    waits[uid] = now_us
+                waits[job_id] = self.waits_us.get(job_id, now_us)
+                if now_us - waits[job_id] > WAIT_S * US:
+                    self.breach("left_waiting", f"{job_id}: {len(left)} tasks, beside room for {WAIT_S} s")
+                    waits[job_id] = now_us
         self.waits_us = waits
 
     def _could_start(self, spec: dict[str, Any], left: int, machines: list[Any], there: set[str]) -> bool:
         """Whether machines and limits would have one more task, or all that are left of what starts together."""
-        uid, need = spec["uid"], (spec["vcpus"], spec["gpus"], spec["memGb"])
+        job_id, need = spec["uid"], (spec["vcpus"], spec["gpus"], spec["memGb"])
         begun = left < spec["picks"]
         count = left if spec["shape"] == "group" or (spec["shape"] == "standing" and not begun) else 1
         if not self._under_limits(spec, count, machines):
@@ -286,7 +286,7 @@
         room: dict[str, int] = defaultdict(int)  # for its tasks, by zone
         for worker, free in machines:
             host = worker.host
-            zones[host["yard"]] += sum(t.startswith(uid + "/") and task["status"] != "exited"
+            zones[host["yard"]] += sum(t.startswith(job_id + "/") and task["status"] != "exited"
                                        for t, task in worker.tasks.items())
             if (spec["builds"] is None or host["build"] in spec["builds"]) and spec["yard"] in (
                     None, host["yard"]) and (spec["loaners"] or not host["loaners"]):
@@ -303,7 +303,7 @@
     def _under_limits(self, spec: dict[str, Any], count: int, machines: list[Any]) -> bool:
         """As `_quota` has the levels, by the lowest cap in any controller's file; what fetches its image counts."""
         caps, above = self._caps()
-        for host in self.world.hosts.values():
+        for host in self.world.machines.values():
             for level, given in ((name.partition(" ")[2], host.operators[name]) for name in host.operators.sections()):
                 for kind in [*KINDS, "tasks"]:
                     if level and kind + "_max" in given:
@@ -321,61 +321,61 @@
         return True
 
     def _beneath(self, task: str, level: str, above: dict[str, str]) -> bool:
-        uid = task.rpartition("/")[0]
-        at = self.world.jobs[uid]["crew"] if uid in self.world.jobs else ""
+        job_id = task.rpartition("/")[0]
+        at = self.world.jobs[job_id]["crew"] if job_id in self.world.jobs else ""
         # Bound: the depth of the tree.
         while at and at != level:
             at = above.get(at, "")
         return bool(at)
 
-    def _served(self, uid: str) -> bool:
-        spec = self.world.jobs[uid]
+    def _served(self, job_id: str) -> bool:
+        spec = self.world.jobs[job_id]
         if spec["shape"] == "standing":
-            return all(self.where[f"{uid}/{i}"] for i in range(spec["picks"]))
-        return self.told.get(uid) == "done"
+            return all(self.where[f"{job_id}/{i}"] for i in range(spec["picks"]))
+        return self.told.get(job_id) == "done"
 
-    def _begun_us(self, uid: str) -> int:
+    def _begun_us(self, job_id: str) -> int:
         """When it began: the first task of an array, all of a gang or of a service; now if it has not."""
-        spec, now_us = self.world.jobs[uid], self.world.now_us
-        first = [(self.starts.get(f"{uid}/{i}") or [now_us])[0] for i in range(spec["picks"])]
+        spec, now_us = self.world.jobs[job_id], self.world.now_us
+        first = [(self.starts.get(f"{job_id}/{i}") or [now_us])[0] for i in range(spec["picks"])]
         return min(first) if spec["shape"] == "array" else max(first)
 
     def _groups(self) -> dict[str, list[str]]:
         """Jobs that are to be served, by class, by team, and the largest of each class."""
         found: dict[str, list[str]] = defaultdict(list)
         jobs = self.world.jobs
-        for uid in self.accepted:
-            if not self.called_off(uid) and not self.world.failing.get(uid):
-                found[f"class {jobs[uid]['lane']}"].append(uid)
-                found[f"team {jobs[uid]['crew']}"].append(uid)
-        for name, uids in list(found.items()):
+        for job_id in self.accepted:
+            if not self.called_off(job_id) and not self.world.failing.get(job_id):
+                found[f"class {jobs[job_id]['lane']}"].append(job_id)
+                found[f"team {jobs[job_id]['crew']}"].append(job_id)
+        for name, job_ids in list(found.items()):
             for what in ("picks", "vcpus") if name.startswith("class") else ():
-                most = sorted(uids, key=lambda u: -jobs[u]["picks"] * (jobs[u]["vcpus"] if what == "vcpus" else 1))
+                most = sorted(job_ids, key=lambda u: -jobs[u]["picks"] * (jobs[u]["vcpus"] if what == "vcpus" else 1))
                 found[f"largest by {what} of {name}"] = most[: max(1, len(most) // 10)]
         return found
 
     def _judge_served(self) -> None:
         """Half of each group, and all work once troubles are long over, of what is older than the bound."""
         now_us, bound_us = self.world.now_us, self.world.bound_us()
-        for name, uids in self._groups().items():
-            old = [u for u in uids if self.ready_us(u) + bound_us < now_us]
+        for name, job_ids in self._groups().items():
+            old = [u for u in job_ids if self.ready_us(u) + bound_us < now_us]
             left = [u for u in old if not self._served(u)]
             if 2 * len(left) > len(old):
                 self.breach("starved", f"{name}: {len(left)} of {len(old)} not served, as {left[:3]}")
             if left and now_us > self.world.calm_us + bound_us:
                 self.breach("lost_work", f"{left[:3]} of {name}, {bound_us / US:.0f} s after all troubles")
-            for uid in uids if name.startswith("largest") else ():
-                if self._begun_us(uid) - self.ready_us(uid) > BEGIN_S * US:
-                    self.breach("starved", f"{uid}, of the {name}, had not begun after {BEGIN_S} s")
+            for job_id in job_ids if name.startswith("largest") else ():
+                if self._begun_us(job_id) - self.ready_us(job_id) > BEGIN_S * US:
+                    self.breach("starved", f"{job_id}, of the {name}, had not begun after {BEGIN_S} s")
 
     def finish(self) -> None:
         for task, places in self.where.items():
             if places:
                 self._late(task, "is still there")
-        for uid in self.told_us:
-            silent_us = self.told_us[uid]
-            self._answered(uid)
-            self.told_us[uid] = silent_us
+        for job_id in self.told_us:
+            silent_us = self.told_us[job_id]
+            self._answered(job_id)
+            self.told_us[job_id] = silent_us
         if not self.excused:
             self._judge_served()
         if self.accepted and not self.starts:
--- a/tests/inputs.py
+++ b/tests/inputs.py
@@ -102,7 +102,7 @@
     # What is off is not imported.
     script = ("import sys; from pathlib import Path; from quinceslip import service, subsystems; "
               "from quinceslip.protocol.settings import load_settings, read_operator_file; "
-              f"found = subsystems.makers(load_settings(Path({str(good)!r})), read_operator_file(None)); "
+              f"found = subsystems.subsystem_factories(load_settings(Path({str(good)!r})), read_operator_file(None)); "
               "assert not found and not [m for m in sys.modules if m.startswith('quinceslip.quota')]")
     environment = {**os.environ, "PYTHONPATH": os.pathsep.join(map(str, (ROOT, ROOT / "target" / "deps")))}
     subprocess.run([sys.executable, "-c", script], check=True, timeout=60, env=environment)
@@ -179,38 +179,38 @@
 
 
 def _frames(tmp: Path) -> None:
-    beat = frames.Beat("berth-1", True, 42, [frames.ShardLoad(1, 2, 3, 4, 0.5, [5, 6], 7)],
-                       aside=True, strays=[(1, 5)])
-    data = frames.pack_beat(beat)
+    heartbeat = frames.PeerHeartbeat("berth-1", True, 42, [frames.ShardLoad(1, 2, 3, 4, 0.5, [5, 6], 7)],
+                       yielding=True, misrouted=[(1, 5)])
+    data = frames.pack_heartbeat(heartbeat)
     kind, length = frames.read_header(data[: frames.HEADER.size])
-    assert kind == frames.KIND_BEAT and frames.read_beat(data[frames.HEADER.size:]) == beat and length
+    assert kind == frames.KIND_HEARTBEAT and frames.read_heartbeat(data[frames.HEADER.size:]) == heartbeat and length
     # A frame without strays is what it was before they were sent.
-    assert len(data) - len(frames.pack_beat(frames.Beat(
-        beat.label, True, 42, beat.loads))) == frames.STRAY.size
+    assert len(data) - len(frames.pack_heartbeat(frames.PeerHeartbeat(
+        heartbeat.label, True, 42, heartbeat.loads))) == frames.MISROUTED.size
     # What an earlier version told on of refusals is read past.
-    size = frames.HEADER.size + frames.BEAT.size
+    size = frames.HEADER.size + frames.HEARTBEAT.size
     older = bytearray(data[frames.HEADER.size:])
-    older[frames.BEAT.size - 2: frames.BEAT.size] = (1).to_bytes(2, "big")
-    rest = len(data) - frames.STRAY.size - size
-    older[frames.BEAT.size + rest: frames.BEAT.size + rest] = bytes(frames.REFUSAL.size)
-    assert frames.read_beat(bytes(older)) == beat
-    seen = [frames.Sighting((f"kind-{n}", "erie-east", n % 2 == 0), 1_700_000_000_000, n, n * 1000, n, n // 2)
+    older[frames.HEARTBEAT.size - 2: frames.HEARTBEAT.size] = (1).to_bytes(2, "big")
+    rest = len(data) - frames.MISROUTED.size - size
+    older[frames.HEARTBEAT.size + rest: frames.HEARTBEAT.size + rest] = bytes(frames.STOCKOUT.size)
+    assert frames.read_heartbeat(bytes(older)) == heartbeat
+    seen = [frames.Observation((f"kind-{n}", "erie-east", n % 2 == 0), 1_700_000_000_000, n, n * 1000, n, n // 2)
             for n in range(1, 100)]
-    data_seen = frames.pack_sightings(frames.Sightings("berth-1", seen))
+    data_seen = frames.pack_observations(frames.PeerObservations("berth-1", seen))
     kind, length = frames.read_header(data_seen[: frames.HEADER.size])
     told = frames.read_frame(kind, data_seen[frames.HEADER.size:])
-    assert length <= frames.MAX_PAYLOAD and isinstance(told, frames.Sightings)
-    assert told.label == "berth-1" and told.sightings == seen[: len(told.sightings)] and len(told.sightings) > 30
+    assert length <= frames.MAX_PAYLOAD and isinstance(told, frames.PeerObservations)
+    assert told.label == "berth-1" and told.observations == seen[: len(told.observations)] and len(told.observations) > 30
     assert frames.read_frame(77, b"whatever a later version says") is None
     for body in (b"", data_seen[frames.HEADER.size: -1], b"\xff" * 40):
         with pytest.raises(frames.FrameError):
-            frames.read_frame(frames.KIND_SUPPLY, body)
+            frames.read_frame(frames.KIND_OBSERVATIONS, body)
     for bad in (b"XX" + data[2:6], data[:2] + b"\x01" + data[3:6], data[:4] + b"\xff\xff"):
         with pytest.raises(frames.FrameError):
             frames.read_header(bad)
     for body in (b"", data[frames.HEADER.size: -1], b"\xff" * 40):
         with pytest.raises(frames.FrameError):
-            frames.read_beat(body)
+            frames.read_heartbeat(body)
 
 
 def _jobs(tmp: Path) -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -24,7 +24,7 @@
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
-        self.ledger = 0
+        self.revision = 0
         self.data: dict[str, tuple[Any, int]] = {}
         self.history: list[dict[str, Any]] = []
         self.worker: Worker | None = None  # the machine that is asked directly
@@ -66,33 +66,33 @@
                 with self.lock:
                     events = [e for e in self.history if e["stamp"] > since]
                     if events:
-                        return 200, {"ledger": self.ledger, "events": events}
+                        return 200, {"ledger": self.revision, "events": events}
                 time.sleep(0.02)
-            return 200, {"ledger": self.ledger, "events": []}
+            return 200, {"ledger": self.revision, "events": []}
         with self.lock:
             if path == "/txn":
                 failed = [c["k"] for c in body["if"] if self.data.get(c["k"], (0, 0))[1] != c["stamp"]]
                 if failed:
-                    return 409, {"failed": failed, "ledger": self.ledger}
-                self.ledger += 1
+                    return 409, {"failed": failed, "ledger": self.revision}
+                self.revision += 1
                 for op in body["then"]:
                     key = op.get("write") or op["drop"]
                     if "write" in op:
-                        self.data[key] = (op["v"], self.ledger)
+                        self.data[key] = (op["v"], self.revision)
                     else:
                         self.data.pop(key, None)
-                    self.history.append({**op, "stamp": self.ledger})
-                return 200, {"ledger": self.ledger}
+                    self.history.append({**op, "stamp": self.revision})
+                return 200, {"ledger": self.revision}
             if path.startswith("/holds"):
                 return 200, {"hold": 1}
             if path.startswith("/kv?"):
                 items = [{"k": k, "v": v, "stamp": s} for k, (v, s) in sorted(self.data.items())]
-                return 200, {"items": items, "hasNext": False, "ledger": self.ledger}
+                return 200, {"items": items, "hasNext": False, "ledger": self.revision}
             if path.startswith("/kv/"):
                 found = self.data.get(path.removeprefix("/kv/"))
                 if found is not None:
                     return 200, {"k": path.removeprefix("/kv/"), "v": found[0], "stamp": found[1]}
-                return 404, {"ledger": self.ledger}
+                return 404, {"ledger": self.revision}
             if path == "/flavors":
                 return 200, {"builds": [{"label": "m", "vcpus": 16, "gpus": 0, "memGb": 64, "price": 1.0,
                                          "lowPrice": 0.4, "startupS": 1, "yards": ["a"]}]}
@@ -192,7 +192,7 @@
                 process.send_signal(signal.SIGCONT)
                 worker.runs(f"req-1{int(10 * stopped_s):05d}")
             until = time.monotonic() + hold_s
-            _wait(lambda: worker.report() or time.monotonic() > until)
+            _wait(lambda: worker.heartbeat() or time.monotonic() > until)
             assert process.poll() is None
             # Now the actor stands still in earnest: ended with its own status, after the limit and two calls. (A
             # machine that is busy gives it half the limit of processor time later.)
@@ -272,7 +272,7 @@
             self.obey(body)
         return 200, self.state()
 
-    def report(self) -> None:
+    def heartbeat(self) -> None:
         try:
             status, answer = _ask(self.port, "POST", "/hello", self.state())
         except OSError:
@@ -280,21 +280,21 @@
         if status == 200:
             self.obey(answer)
 
-    def runs(self, uid: str) -> None:
+    def runs(self, job_id: str) -> None:
         """Submit a job, report until it is done."""
-        _wait(lambda: _ask(self.port, "POST", "/v1/jobs", job_spec(uid))[0] in (200, 201))
+        _wait(lambda: _ask(self.port, "POST", "/v1/jobs", job_spec(job_id))[0] in (200, 201))
 
         def done() -> bool:
-            self.report()
-            return bool(_ask(self.port, "GET", f"/v1/jobs/{uid}")[1].get("status") == "done")
+            self.heartbeat()
+            return bool(_ask(self.port, "GET", f"/v1/jobs/{job_id}")[1].get("status") == "done")
 
         _wait(done)
 
 
 def _serve(process: subprocess.Popen[bytes], port: int, outside: Outside) -> None:
     _wait(lambda: _ready(port))
-    uid = "req-000007"
-    spec = job_spec(uid)
+    job_id = "req-000007"
+    spec = job_spec(job_id)
     _wait(lambda: _ask(port, "POST", "/v1/jobs", spec)[0] in (200, 201))
     assert _ask(port, "POST", "/v1/jobs", {**spec, "picks": 9})[0] == 200
     assert _ask(port, "POST", "/v1/jobs", b"{")[0] == 400
@@ -304,7 +304,7 @@
     assert _ask(port, "GET", "/v1/jobs/req-000404")[0] == 404
     assert _ask(port, "GET", "/elsewhere")[0] == 404
     assert "over the limit of guild" in _ask(port, "POST", "/v1/jobs", job_spec("req-000010", vcpus=9.0))[1]["error"]
-    assert _ask(port, "DELETE", f"/v1/jobs/{uid}")[0] == 405
+    assert _ask(port, "DELETE", f"/v1/jobs/{job_id}")[0] == 405
     assert _ask(port, "PUT", "/hello", b"{}")[0] == 405
     assert _ask(port, "POST", "/hello", b'{"berth":3}')[0] == 400
     nowhere = b'{"berth":"n-1","endpoint":"nowhere","build":"m","yard":"a","stint":1,"tick":1,"baton":0}'
@@ -322,9 +322,9 @@
         connection.sendall(b"POST /hello HTTP/1.1\r\nContent-Le")
         slow.append(connection)
     # A worker appears, is told to launch the task, and reports it done.
-    Worker(port, outside).runs(uid)
-    assert _ask(port, "GET", f"/v1/jobs/{uid}")[1]["status"] == "done"
-    assert _ask(port, "POST", f"/v1/jobs/{uid}/cancel")[1]["status"] == "done"
+    Worker(port, outside).runs(job_id)
+    assert _ask(port, "GET", f"/v1/jobs/{job_id}")[1]["status"] == "done"
+    assert _ask(port, "POST", f"/v1/jobs/{job_id}/cancel")[1]["status"] == "done"
     shown = subprocess.run([sys.executable, str(ROOT / "run.py"), "quota", "show", "--from", f"127.0.0.1:{port}",
                             "--json"], capture_output=True, check=True, timeout=30).stdout
     guild = json.loads(shown)["levels"][0]
--- a/tests/test_golden_samples.py
+++ b/tests/test_golden_samples.py
@@ -33,7 +33,7 @@
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import SettingsError, load_settings, load_tuning, read_operator_file
 from quinceslip.quota import allocations
-from quinceslip.quota.allocation_manager import Quotas
+from quinceslip.quota.allocation_manager import AllocationManager
 from quinceslip.quota.commands import lines as quota_table
 from quinceslip.quota.config import load_tree
 from quinceslip.quota.status_page import page as quota_page
@@ -43,15 +43,15 @@
 ROOT = Path(__file__).resolve().parents[1]
 
 #: stored records, by the kind in their key
-RECORD_TYPES: dict[str, Any] = {**records.KINDS, **Quotas.kinds}
+RECORD_TYPES: dict[str, Any] = {**records.KINDS, **AllocationManager.kinds}
 #: modules in which every public message type must have samples
 MESSAGE_MODULES = (m,)
 #: JSON messages, by a name that only the samples use
 MESSAGE_TYPES: dict[str, Any] = {
-    "job": m.JobSpec, "task report": m.TaskReport, "worker report": m.WorkerReport, "command": m.Command,
+    "job": m.JobSpec, "task report": m.TaskStatus, "worker report": m.WorkerHeartbeat, "command": m.Command,
     "command reply": m.CommandReply, "direct commands": m.DirectCommands, "machine type": m.MachineType,
-    "machine types": m.MachineTypes, "hire answer": m.HireAnswer, "host": m.Host, "host list": m.HostList,
-    "lease answer": m.HoldAnswer, "transaction answer": m.TxnAnswer, "item": m.Item, "listing": m.Listing,
+    "machine types": m.MachineTypes, "hire answer": m.ScaleOutAnswer, "host": m.CloudMachine, "host list": m.MachineListing,
+    "lease answer": m.LeaseAnswer, "transaction answer": m.CompareAndSwapAnswer, "item": m.Item, "listing": m.Listing,
     "event": m.Event, "changes": m.Changes}
 FRAME_HEADER_BYTES = frames.HEADER.size
 FrameError = frames.FrameError
@@ -70,45 +70,45 @@
 
 #: functions that make messages, records, keys and paths; called with the arguments of a sample, in order
 BUILDERS: dict[str, Callable[..., Any]] = {
-    "launch": m.launch, "halt": m.halt, "reap": m.reap,
+    "launch": m.launch, "halt": m.stop, "reap": m.acknowledge_result,
     "submission": lambda text: m.read_submission(text.encode()),
     "report is of worker": lambda text, worker: m.names(text.encode(), worker),
     "job answer": m.job_answer, "redirect": m.redirect,
-    "hire request": m.hire_request, "delete request": m.delete_request, "hosts path": m.hosts_path,
-    "lease request": m.hold_request, "renew path": m.renew_path, "list path": m.list_path, "watch path": m.watch_path,
-    "transaction": m.txn_request,
+    "hire request": m.scale_out_request, "delete request": m.delete_request, "hosts path": m.machines_path,
+    "lease request": m.lease_request, "renew path": m.renew_path, "list path": m.list_path, "watch path": m.watch_path,
+    "transaction": m.compare_and_swap_request,
     "job with priority": lambda job, priority: m.with_priority(as_job(job), priority),
-    "job waiting on": lambda job, uids: m.waiting_on(as_job(job), uids),
+    "job waiting on": lambda job, job_ids: m.waiting_on(as_job(job), job_ids),
     "final record": lambda job, *rest: records.final_record(msgspec.convert(job, RECORD_TYPES["job"]), *rest),
     "following standstill": following_note,
     "task set": lambda numbers: task_sets.encode(set(numbers)),
     "task set read": lambda text: sorted(task_sets.decode(text)),
-    "key of shard": records.shard_key, "key of job": records.job_key, "key of part": records.part_key,
-    "key of roster": records.roster_key, "key of hire": records.hire_key, "key of stray": records.stray_key,
+    "key of shard": records.shard_key, "key of job": records.job_key, "key of part": records.partition_key,
+    "key of roster": records.machine_key, "key of hire": records.scale_out_key, "key of stray": records.misrouted_key,
     "key of supports": records.supports_key, "key of load": records.load_key, "key of standstill": stall_records.key,
     "key of want": allocations.want_key, "name of grant": allocations.grant_name,
-    "kind and name of key": records.View.split,
+    "kind and name of key": records.StoreCache.split,
     "other keys": lambda: [records.PREFIX, records.TERM, records.TYPES, records.ROLLOUT, records.NOTHING,
                            allocations.TREE_KEY],
-    "paths": lambda: [m.PATH_JOBS, m.PATH_READY, m.PATH_REPORT, m.PATH_INSPECT, m.PATH_DO, m.PATH_FLAVORS, m.PATH_HOSTS,
-                      m.PATH_HOSTS_DELETE, m.PATH_TXN, m.PATH_HOLDS, m.PATH_KV, m.CANCEL_END, *Quotas.questions],
-    "words": lambda: [m.QUEUED, m.RUNNING, m.DONE, m.WITHDRAWN, m.PULLING, m.FLUSHING, m.EXITED, m.CAUSE_DONE,
+    "paths": lambda: [m.PATH_JOBS, m.PATH_READY, m.PATH_HEARTBEAT, m.PATH_INSPECT, m.PATH_DO, m.PATH_MACHINE_TYPES, m.PATH_HOSTS,
+                      m.PATH_HOSTS_DELETE, m.PATH_TXN, m.PATH_LEASES, m.PATH_KV, m.CANCEL_END, *AllocationManager.questions],
+    "words": lambda: [m.QUEUED, m.RUNNING, m.DONE, m.CANCELLED, m.PULLING, m.FLUSHING, m.EXITED, m.CAUSE_DONE,
                       m.CAUSE_HALTED, m.CAUSE_ERROR, *m.CAUSES_GANG, m.HOST_FAILED, m.HOST_BOOTING,
-                      m.NO_LEASE.decode(), m.MAX_BODY, m.RANKS]}
+                      m.NO_LEASE.decode(), m.MAX_BODY, m.PRIORITY_CLASSES]}
 
 
-def pack_heartbeat(label: str, state_ok: bool, ledger: int, loads: list[list[Any]], *rest: Any) -> bytes:
+def pack_heartbeat(label: str, state_ok: bool, revision: int, loads: list[list[Any]], *rest: Any) -> bytes:
     """The frame of a heartbeat; each of `loads` and `rest` holds constructor arguments in order."""
-    return frames.pack_beat(frames.Beat(label, state_ok, ledger, [frames.ShardLoad(*load) for load in loads], *rest))
+    return frames.pack_heartbeat(frames.PeerHeartbeat(label, state_ok, revision, [frames.ShardLoad(*load) for load in loads], *rest))
 
 
-def pack_sightings(label: str, sightings: list[list[Any]]) -> bytes:
-    """The frame of sightings; each of `sightings` holds constructor arguments in order."""
-    return frames.pack_sightings(frames.Sightings(label, [frames.Sighting(*sighting) for sighting in sightings]))
+def pack_observations(label: str, observations: list[list[Any]]) -> bytes:
+    """The frame of sightings; each of `observations` holds constructor arguments in order."""
+    return frames.pack_observations(frames.PeerObservations(label, [frames.Observation(*observation) for observation in observations]))
 
 
 #: functions that make peer frames
-FRAME_BUILDERS: dict[str, Callable[..., bytes]] = {"heartbeat": pack_heartbeat, "sightings": pack_sightings}
+FRAME_BUILDERS: dict[str, Callable[..., bytes]] = {"heartbeat": pack_heartbeat, "sightings": pack_observations}
 
 
 def read_frame(data: bytes) -> tuple[int, int, Any]:
@@ -119,7 +119,7 @@
 
 def pack_again(content: Any) -> bytes:
     """The frame of what `read_frame` read."""
-    return frames.pack_beat(content) if isinstance(content, frames.Beat) else frames.pack_sightings(content)
+    return frames.pack_heartbeat(content) if isinstance(content, frames.PeerHeartbeat) else frames.pack_observations(content)
 
 
 def understood_settings(path: Path) -> dict[str, str]:
@@ -137,12 +137,12 @@
     """The quota tree of an operators' file, with the teams of `full.toml` and one stored grant of level guild."""
     tree = load_tree(read_operator_file(path), load_settings(SAMPLES / "full.toml").facts.teams, str(path), True)
     assert tree is not None
-    view = records.View()
-    view.register_kind(Quotas.kinds)
+    cache = records.StoreCache()
+    cache.register_kind(AllocationManager.kinds)
     grant = {"version": 1, "total": [9000, 0, 0, 0], "parts": {"0": [4000, 0, 0, 0], "2": [6000, 0, 0, 0]}}
-    view.store(f"{records.PREFIX}{allocations.GRANT}/{allocations.grant_name('guild', allocations.CAP)}",
+    cache.store(f"{records.PREFIX}{allocations.GRANT}/{allocations.grant_name('guild', allocations.CAP)}",
              msgspec.convert(grant, RECORD_TYPES[allocations.GRANT]), 5)
-    page = quota_page(tree, allocations.Purses(tree, view), {}, "", "")
+    page = quota_page(tree, allocations.Allocations(tree, cache), {}, "", "")
     return {"digest": tree.digest, "page": encoded(page), "table": list(quota_table(page, False))}
 
 
@@ -155,7 +155,7 @@
 COLUMNS = "100"
 ACCEPTED = "accepted"
 #: values that a field of a message is replaced by, one after the other
-PROBES: dict[str, Any] = {"null": None, "-1": -1, "-1.5": -1.5, "empty text": "", "201 letters": "x" * 201,
+MAX_UNANSWERED_PROBES: dict[str, Any] = {"null": None, "-1": -1, "-1.5": -1.5, "empty text": "", "201 letters": "x" * 201,
                           "empty list": [], "empty object": {}}
 
 
@@ -215,7 +215,7 @@
     found: dict[str, dict[str, str]] = {}
     for field in full:
         found[field] = {"left out": outcome({key: value for key, value in full.items() if key != field})}
-        for name, probe in PROBES.items():
+        for name, probe in MAX_UNANSWERED_PROBES.items():
             found[field][name] = outcome({**full, field: probe})
     return found
 
--- a/tests/test_hearing.py
+++ b/tests/test_hearing.py
@@ -4,42 +4,42 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quinceslip.coordination.reconciliation.delivery import IN_VAIN, Hearing
+from quinceslip.coordination.reconciliation.delivery import MAX_UNACKNOWLEDGED, DeliveryTracker
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 from tests.test_scenarios import Runner
 
 
-def report(session: int, seq: int, token: int, launches: set[str]) -> m.WorkerReport:
-    return m.WorkerReport("w", "10.0.0.1:1", "t", "z", session, seq, token,
-                          tasks=[m.TaskReport(name, 1, m.RUNNING) for name in sorted(launches)])
+def heartbeat(epoch: int, seq: int, fencing_token: int, launches: set[str]) -> m.WorkerHeartbeat:
+    return m.WorkerHeartbeat("w", "10.0.0.1:1", "t", "z", epoch, seq, fencing_token,
+                          tasks=[m.TaskStatus(name, 1, m.RUNNING) for name in sorted(launches)])
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 2), st.booleans(), st.booleans()), max_size=40))
 @settings(deadline=None, database=None, derandomize=True)
 def test_a_proof_needs_an_answer_that_arrived(steps: list[tuple[bool, int, bool, bool]]) -> None:
     """Steps: whether the answer arrives, launches in it, whether the term rises, whether the session ends before."""
-    hearing, token, term, session, there = Hearing(), 0, 1, 1, set[str]()
+    delivery, fencing_token, term, epoch, there = DeliveryTracker(), 0, 1, 1, set[str]()
     arrived, in_vain = False, 0  # since the last proof; in a row, of the answers that had to show something
     for number, (arrives, launches, rises, ends) in enumerate(steps):
         if ends:
-            session, there = session + 1, set()
-        said = report(session, number + 1, token, there)
-        if hearing.heartbeat_received(said):
+            epoch, there = epoch + 1, set()
+        said = heartbeat(epoch, number + 1, fencing_token, there)
+        if delivery.heartbeat_received(said):
             assert arrived
             arrived = False
-        assert (hearing.unacknowledged >= IN_VAIN) <= (in_vain >= IN_VAIN)
+        assert (delivery.unacknowledged >= MAX_UNACKNOWLEDGED) <= (in_vain >= MAX_UNACKNOWLEDGED)
         term += rises
         orders = [m.launch(f"{number}/{i}", 1) for i in range(launches)]
-        due = bool(orders) or term > token
-        hearing.answer_sent(said, term, orders)
+        due = bool(orders) or term > fencing_token
+        delivery.answer_sent(said, term, orders)
         if arrives:
-            token, arrived, in_vain = term, True, 0 if due else in_vain
+            fencing_token, arrived, in_vain = term, True, 0 if due else in_vain
             there |= {o.task for o in orders}
         elif due:
             in_vain += 1
     if all(arrives and not ends for arrives, _, _, ends in steps):
-        assert not hearing.suspect
+        assert not delivery.suspect
 
 
 def test_a_report_counts_once_and_one_that_was_overtaken_is_answered() -> None:
@@ -47,11 +47,11 @@
     runner = Runner()
     for line in ("site size=1", "machines 1 m a", "at 2 submit req-000001 tasks=2 run=30", "run 6"):
         runner.line(line)
-    node = runner.w().hosts["berth-0"].actor
+    node = runner.w().machines["berth-0"].actor
     assert node is not None
     shard = node.shards[0]
     worker = next(iter(shard.workers.values()))
-    last = msgspec.convert(runner.w().workers[worker.name].report(), m.WorkerReport)
+    last = msgspec.convert(runner.w().workers[worker.name].heartbeat(), m.WorkerHeartbeat)
     later = msgspec.structs.replace(last, seq=last.seq + 2)
     own = msgspec.structs.replace(last, seq=last.seq + 1)
     node.ctx.now_us += 1_000_000
@@ -67,12 +67,12 @@
     assert shard.receive_heartbeat(msgspec.structs.replace(last, seq=last.seq + 5)) is not None
     assert worker.lease_renewed_us == until_us
     # Its job is withdrawn, and the owner is in its grace: that answer renews the lease too, so it says what is over.
-    job = node.ctx.view.job("req-000001")
+    job = node.ctx.cache.job("req-000001")
     assert job is not None and {t.task for t in last.tasks} == {"req-000001/0", "req-000001/1"}
-    node.ctx.view.by_kind["job"]["req-000001"] = records.final_record(job, m.WITHDRAWN, 0)
-    shard.recorder.load("req-000001")
-    node.ctx.now_us += node.ctx.timing.owner_lease_us
+    node.ctx.cache.by_kind["job"]["req-000001"] = records.final_record(job, m.CANCELLED, 0)
+    shard.persistence.load("req-000001")
+    node.ctx.now_us += node.ctx.timing.leader_lease_us
     assert shard.receive_heartbeat(msgspec.structs.replace(last, seq=last.seq + 8), True) is None
     said = shard.receive_heartbeat(msgspec.structs.replace(last, seq=last.seq + 7))
-    assert said is not None and not node.ownership.entitled()
+    assert said is not None and not node.election.may_launch()
     assert {(c.op, c.task) for c in said.commands} == {("halt", "req-000001/0"), ("halt", "req-000001/1")}
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -12,7 +12,7 @@
 
 from quinceslip.coordination.load_balancing.queueing_model import (
     HALVINGS,
-    MOST_TERMS,
+    MAX_SERIES_TERMS,
     NARROWINGS,
     ROUNDING,
     Station,
@@ -65,7 +65,7 @@
     search = _Search(of, total)
     search.run()
     assert search.evaluations <= min(USUAL_STEPS, (HALVINGS + 2) * NARROWINGS) * len(of)
-    assert search.terms <= MOST_TERMS + 10_000
+    assert search.terms <= MAX_SERIES_TERMS + 10_000
     found = shares(of, total)
     assert abs(math.fsum(found) - 1.0) < 1e-8
     assert all(0.0 <= f * total <= s.capacity * (1 + 1e-12) for f, s in zip(found, of, strict=True))
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -24,7 +24,7 @@
 def cancels(draw: Draw, at_s: float, most: int = 3) -> list[str]:
     """Users cancel just before a moment, at it or after it, mostly through another controller than the owner."""
     chosen = draw(st.lists(st.sampled_from(JOBS), max_size=most, unique=True))
-    return [f"at {max(2.5, at_s + draw(tenths(-1, 4))):.2f} cancel {uid} by={draw(OTHERS)}" for uid in chosen]
+    return [f"at {max(2.5, at_s + draw(tenths(-1, 4))):.2f} cancel {job_id} by={draw(OTHERS)}" for job_id in chosen]
 
 
 def gap(draw: Draw, at_s: float) -> list[str]:
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -13,8 +13,8 @@
 
 from quinceslip.protocol import frames
 from quinceslip.protocol import messages as m
-from quinceslip.quota.allocation_manager import Quotas
-from quinceslip.storage.records import KINDS, Chunk, JobRecord, View, final_record
+from quinceslip.quota.allocation_manager import AllocationManager
+from quinceslip.storage.records import KINDS, JobRecord, PartitionRecord, StoreCache, final_record
 from tests.world import job_spec
 
 SAMPLES = json.loads((Path(__file__).parent / "samples" / "production.json").read_text(encoding="utf-8"))
@@ -37,8 +37,8 @@
 
 @pytest.mark.parametrize("sample", SAMPLES["records"], ids=lambda s: s["k"])
 def test_records_are_read_and_rewritten_without_loss(sample: dict[str, Any]) -> None:
-    kind = View.split(sample["k"])[0]
-    read = msgspec.convert(sample["v"], {**KINDS, **Quotas.kinds}[kind])
+    kind = StoreCache.split(sample["k"])[0]
+    read = msgspec.convert(sample["v"], {**KINDS, **AllocationManager.kinds}[kind])
     written = json.loads(msgspec.json.encode(read))
     assert full(written) == full(sample["v"])
     if kind in KNOWN:
@@ -46,24 +46,24 @@
 
 
 def test_all_kinds_have_a_sample() -> None:
-    kinds = {View.split(s["k"])[0] for s in SAMPLES["records"]}
+    kinds = {StoreCache.split(s["k"])[0] for s in SAMPLES["records"]}
     assert kinds >= {"term", "shard", "job", "part", "roster", "hire", "load", "types", "stray", "grant"}, kinds
 
 
 def test_frames_are_read() -> None:
-    beat, seen = (bytes.fromhex(text) for text in SAMPLES["frames"])
-    for data in (beat, seen):
+    heartbeat, seen = (bytes.fromhex(text) for text in SAMPLES["frames"])
+    for data in (heartbeat, seen):
         kind, length = frames.read_header(data[: frames.HEADER.size])
         said = frames.read_frame(kind, data[frames.HEADER.size:])
         assert length == len(data) - frames.HEADER.size
-        again = frames.pack_beat(said) if isinstance(said, frames.Beat) else frames.pack_sightings(said)
+        again = frames.pack_heartbeat(said) if isinstance(said, frames.PeerHeartbeat) else frames.pack_observations(said)
         assert again == data
 
 
 def test_what_is_written_before_the_gate_opens_is_known_to_production() -> None:
     spec = msgspec.convert(job_spec("req-000001", builds=["m"], yard="a", dueS=9.0), m.JobSpec)
-    job = JobRecord(m.QUEUED, 3, spec, 1, Chunk("0-2", "1", ["a"]), 17, [0, 1])
-    for record in (job, final_record(job, m.DONE, 3, 18), final_record(job, m.WITHDRAWN, 1)):
+    job = JobRecord(m.QUEUED, 3, spec, 1, PartitionRecord("0-2", "1", ["a"]), 17, [0, 1])
+    for record in (job, final_record(job, m.DONE, 3, 18), final_record(job, m.CANCELLED, 1)):
         written = msgspec.to_builtins(record)
         assert written.keys() <= KNOWN["job"] and (written.get("spec") or {}).keys() <= SPEC
     # What waits for others has one more field: production would drop it, so it waits for the gate.
--- a/tests/test_quota_properties.py
+++ b/tests/test_quota_properties.py
@@ -76,8 +76,8 @@
 def test_caps_hold_and_no_room_is_wasted(tree: Tree, jobs: list, machines: int, chance) -> None:
     bed = Bed(tree, machines, 8.0)
     teams = sorted(tree.leaves)
-    for team, tasks, cpus, rank, kind, ends in jobs:
-        bed.submit(teams[team % len(teams)], tasks, cpus, rank, kind)
+    for team, tasks, cpus, priority_class, kind, ends in jobs:
+        bed.submit(teams[team % len(teams)], tasks, cpus, priority_class, kind)
         for _ in range(30):
             moved = bed.pass_()
             used = used_from_scratch(tree, bed)
@@ -87,18 +87,18 @@
                 break
         else:
             raise AssertionError("passes do not come to an end")
-        for chunk in bed.state.chunks.values():
+        for partition in bed.state.partitions.values():
             # What could start without stopping anything must have been started.
-            if not chunk.pending or (chunk.spec.gang and chunk.attempts):
+            if not partition.pending or (partition.spec.gang and partition.attempts):
                 continue  # the rest of a gang that lost a task ends by itself on real machines
-            whole = chunk.spec.gang or (chunk.spec.service and not chunk.attempts)
-            need = round(chunk.spec.cpus * 1000) * (len(chunk.pending) if whole else 1)
-            path = [tree.levels[i] for i in tree.path(chunk.spec.team)]
+            whole = partition.spec.gang or (partition.spec.service and not partition.attempts)
+            need = round(partition.spec.cpus * 1000) * (len(partition.pending) if whole else 1)
+            path = [tree.levels[i] for i in tree.path(partition.spec.team)]
             free = [w.free()[0] for w in bed.state.workers.values()]
-            fits = max(free) >= chunk.spec.cpus if not chunk.spec.gang else \
-                sum(int(f // chunk.spec.cpus) for f in free) >= len(chunk.pending)
+            fits = max(free) >= partition.spec.cpus if not partition.spec.gang else \
+                sum(int(f // partition.spec.cpus) for f in free) >= len(partition.pending)
             room = all(used[level.name] + need <= level.cap[0] for level in path)
-            assert not (fits and room), (chunk.uid, chunk.spec, used, free)
+            assert not (fits and room), (partition.job_id, partition.spec, used, free)
         if ends and bed.running():
             bed.finish(chance.choice(sorted(bed.running(), key=lambda a: a.name)))
 
@@ -214,8 +214,8 @@
         used, wants = [0] * len(weights), [0] * len(weights)
         for attempt in bed.running():
             used[int(attempt.spec.team[1:])] += round(attempt.spec.cpus)
-        for chunk in bed.state.chunks.values():
-            wants[int(chunk.spec.team[1:])] += round(chunk.spec.cpus) * len(chunk.pending)
+        for partition in bed.state.partitions.values():
+            wants[int(partition.spec.team[1:])] += round(partition.spec.cpus) * len(partition.pending)
         places = [0] * len(weights)
         for _ in range(slots):
             open_ = [i for i, most in enumerate(wants) if places[i] < most + used[i]]
