--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -28,8 +28,16 @@
 from quinceslip.bench import capacity
 from quinceslip.bench.fleet import measure
 from quinceslip.bench.plots import write_page
-from quinceslip.coordination.actor.effects import Answer, Call, PeerSaid, Tick, Urgency, ViewChanges, ViewReset
-from quinceslip.coordination.controller.controller import Node
+from quinceslip.coordination.actor.effects import (
+    Call,
+    CallResult,
+    PeerFrameReceived,
+    StoreChanges,
+    StoreListing,
+    Tick,
+    Urgency,
+)
+from quinceslip.coordination.controller.controller import Controller
 from quinceslip.coordination.load_balancing.queueing_model import (
     Station,
     choose_shard,
@@ -41,21 +49,21 @@
     shares,
     wait_probability,
 )
-from quinceslip.coordination.scheduling.deadline_order import foresee
-from quinceslip.coordination.shard.state import Chunk
+from quinceslip.coordination.scheduling.deadline_order import order_by_deadline
+from quinceslip.coordination.shard.state import JobPartition
 from quinceslip.feature_gate import PIPELINES
 from quinceslip.liveness import stall_records
-from quinceslip.liveness.stall_detector import Judge, Look
+from quinceslip.liveness.stall_detector import Sample, StallDetector
 from quinceslip.models.gap import explore as gap
 from quinceslip.models.takeover import explore as takeover
 from quinceslip.models.takeover import read_steps
 from quinceslip.protocol import messages as m
-from quinceslip.protocol.frames import HEADER, Beat, ShardLoad, pack_beat, read_beat
+from quinceslip.protocol.frames import HEADER, PeerHeartbeat, ShardLoad, pack_heartbeat, read_heartbeat
 from quinceslip.protocol.settings import SettingsError, Tuning
 from quinceslip.quota.model import explore
 from quinceslip.quota.plots import merged
 from quinceslip.storage import task_sets
-from quinceslip.storage.records import JobRecord, StandstillRecord, View
+from quinceslip.storage.records import JobRecord, StallRecord, StoreCache
 from quinceslip.transport.actor import ActorThread
 from quinceslip.transport.clients import Budget, Pool
 from tests.checker import SILENT_S, WAIT_S, Checker
@@ -199,7 +207,7 @@
 
     def on_tree(self, args: list[str], named: dict[str, Any]) -> None:
         """tree NAME version=N LEVEL.KEY=VALUE ...: a controller's own file, read at its next start"""
-        operators = self.w().hosts[args[0]].operators
+        operators = self.w().machines[args[0]].operators
         for key, given in named.items():
             level, _, name = key.rpartition(".")
             operators.read_dict({f"quota {level}" if level else "quota": {name: str(given)}})
@@ -248,7 +256,7 @@
             self.world = World(self.facts, self.types, self.seed, self.operators)
             self.world.trace = self.trace
             for name in self.old:
-                self.world.hosts[name].old = True
+                self.world.machines[name].old = True
             if self.full:
                 self.world.cloud.capacity = 0
             for count, kind, zone, spot in self.initial:
@@ -273,28 +281,28 @@
         assert self.world is not None
         return self.world
 
-    def ask(self, verb: str, uid: str, heard: Any, spec: Any = None, by: str = "") -> None:
-        alive = [h for h in self.w().hosts.values() if h.actor is not None and by in ("", h.label)]
+    def ask(self, verb: str, job_id: str, heard: Any, spec: Any = None, by: str = "") -> None:
+        alive = [h for h in self.w().machines.values() if h.actor is not None and by in ("", h.label)]
         if not alive:
             return
         host, asked_us = self.w().random.choice(alive), self.w().now_us
         if verb == "poll":
-            self.open_polls[asked_us, uid] = (host, host.life)
+            self.open_polls[asked_us, job_id] = (host, host.life)
 
         def answered(status: int, body: Any) -> None:
-            if self.open_polls.pop((asked_us, uid), None):
+            if self.open_polls.pop((asked_us, job_id), None):
                 self.slowest_us = max(self.slowest_us, self.w().now_us - asked_us)
             self.w().checker.question_us = asked_us
             heard(status, body)
             self.w().checker.question_us = None
 
-        host.user(verb, uid, answered, spec)
+        host.user(verb, job_id, answered, spec)
 
     def on_sample(self, args: list[str], named: dict[str, Any]) -> None:
         """sample FILE every=S until=T: what `quota record` would write of all controllers"""
         world = self.w()
         pages: list[Any] = []
-        for host in world.hosts.values():
+        for host in world.machines.values():
             host.ask("quota", lambda status, body: pages.append(body))
 
         def write() -> None:
@@ -306,7 +314,7 @@
             world.after(named["every"] * US, lambda: self.on_sample(args, named))
 
     def on_submit(self, args: list[str], named: dict[str, Any]) -> None:
-        world, uid = self.w(), args[0]
+        world, job_id = self.w(), args[0]
         names = {"tasks": "picks", "cpus": "vcpus", "team": "crew", "memory": "memGb", "spot": "loaners",
                  "zone": "yard", "estimate": "expectS", "checkpoint": "markEveryS", "save": "markCostS"}
         run_s, by, apart_s = named.pop("run", 5), named.pop("by", ""), named.pop("apart", 0)
@@ -319,41 +327,41 @@
                 given[key] = float(given[key])
         if "types" in given:
             given["builds"] = str(given.pop("types")).split(",")
-        spec = job_spec(uid, shape="standing" if "service" in args else "group" if "gang" in args else "array", **given)
+        spec = job_spec(job_id, shape="standing" if "service" in args else "group" if "gang" in args else "array", **given)
         if lacks:
             del spec[lacks]
-        if uid in world.jobs:
-            spec = spec if lacks else world.jobs[uid] | {k: spec[k] for k in ("picks", "vcpus")}
+        if job_id in world.jobs:
+            spec = spec if lacks else world.jobs[job_id] | {k: spec[k] for k in ("picks", "vcpus")}
         elif lacks:
-            world.odd[uid] = spec
+            world.odd[job_id] = spec
         else:
-            world.jobs[uid], world.run_s[uid], world.failing[uid] = spec, run_s, failing
-            world.apart_s[uid] = apart_s
+            world.jobs[job_id], world.run_s[job_id], world.failing[job_id] = spec, run_s, failing
+            world.apart_s[job_id] = apart_s
         until_us = world.now_us + 60 * US
-        world.checker.asks(uid)
+        world.checker.asks(job_id)
         settled = [False]
 
         def heard(status: int, body: Any) -> None:
-            self.statuses.setdefault(uid, []).append(status)
-            world.checker.submitted(uid, status, body)
+            self.statuses.setdefault(job_id, []).append(status)
+            world.checker.submitted(job_id, status, body)
             if status in (200, 201) and not settled[0]:
                 settled[0] = True
                 poll()
             elif status in (400, 422):
                 settled[0] = True
-                self.reasons[uid] = body
+                self.reasons[job_id] = body
 
         def attempt() -> None:
             # Users name what was accepted: they wait for that, save where no such job is ever submitted.
-            if any(u in world.jobs and u != uid and u not in world.checker.accepted and u not in self.reasons
+            if any(u in world.jobs and u != job_id and u not in world.checker.accepted and u not in self.reasons
                    for u in given.get("waitsOn", ())) and world.now_us < until_us:
                 world.after(US // 5, attempt)
             elif not settled[0] and world.now_us < until_us:
-                self.ask("submit", uid, heard, spec, by)
+                self.ask("submit", job_id, heard, spec, by)
                 world.after(2 * US, attempt)
 
         def poll() -> None:
-            self.ask("poll", uid, lambda s, b: world.checker.polled(uid, s, b))
+            self.ask("poll", job_id, lambda s, b: world.checker.polled(job_id, s, b))
             world.after(poll_s * US, poll)
 
         attempt()
@@ -384,7 +392,7 @@
         """count: what is counted from here on"""
         world = self.w()
         starts = {task: len(times) for task, times in world.checker.starts.items()}
-        self.counted = {"puts": world.state.puts, "reports": world.reports, "looked": self._looked(), "starts": starts,
+        self.counted = {"puts": world.state.puts, "reports": world.heartbeats, "looked": self._looked(), "starts": starts,
                         "reads": self._reads(),
                         "asked": world.cloud.asked, "second": world.now_us // US,
                         "grants": world.state.grants}
@@ -406,7 +414,7 @@
             self.w().after(number * named["over"] * US // int(args[1]), lambda: self.on_poll(args, {}))
 
     def _reads(self) -> int:
-        return sum(h.actor.user_requests.read_barriers for h in self.w().hosts.values() if h.actor is not None)
+        return sum(h.actor.user_requests.read_barriers for h in self.w().machines.values() if h.actor is not None)
 
     def check_reads_since(self, args: list[str], named: dict[str, Any]) -> None:
         """reads_since OP N: reads of the ledger for users, since `count`"""
@@ -416,7 +424,7 @@
     def check_polls_within(self, args: list[str], named: dict[str, Any]) -> None:
         """polls_within S: no controller that went on has taken longer over a poll"""
         limit_us = int(float(args[0]) * US)
-        late = [uid for (asked_us, uid), (host, life) in self.open_polls.items()
+        late = [job_id for (asked_us, job_id), (host, life) in self.open_polls.items()
                 if host.life == life and asked_us + limit_us < self.w().now_us]
         assert not late and self.slowest_us <= limit_us, (late[:3], self.slowest_us)
 
@@ -426,18 +434,18 @@
 
     def on_cancel(self, args: list[str], named: dict[str, Any]) -> None:
         """cancel UID [by=NAME]: asked of that controller, or of any"""
-        world, uid = self.w(), args[0]
-        world.checker.cancel_asked.add(uid)
+        world, job_id = self.w(), args[0]
+        world.checker.cancel_asked.add(job_id)
         settled = [False]
 
         def heard(status: int, body: Any) -> None:
-            self.statuses.setdefault(uid, []).append(status)
+            self.statuses.setdefault(job_id, []).append(status)
             settled[0] = settled[0] or status == 200
-            world.checker.cancel_answer(uid, status, body)
+            world.checker.cancel_answer(job_id, status, body)
 
         def attempt() -> None:
             if not settled[0]:
-                self.ask("cancel", uid, heard, by=named.get("by", ""))
+                self.ask("cancel", job_id, heard, by=named.get("by", ""))
                 world.after(2 * US, attempt)
 
         attempt()
@@ -446,7 +454,7 @@
         """crash NAME... [back=S]: processes end, and start again after some seconds."""
         self.w().trouble(named.get("back", 0))
         for name in args:
-            host = self.w().hosts[name]
+            host = self.w().machines[name]
             host.crash()
             if "back" in named:
                 self.w().after(named["back"] * US, host.start)
@@ -454,7 +462,7 @@
     def on_upgrade(self, args: list[str], named: dict[str, Any], old: bool = False) -> None:
         """upgrade NAME... back=S: processes end, and come back with this version"""
         for name in args:
-            self.w().hosts[name].old = old
+            self.w().machines[name].old = old
         self.on_crash(args, named)
 
     def on_downgrade(self, args: list[str], named: dict[str, Any]) -> None:
@@ -462,7 +470,7 @@
         self.on_upgrade(args, named, old=True)
 
     def on_start(self, args: list[str], named: dict[str, Any]) -> None:
-        self.w().hosts[args[0]].start()
+        self.w().machines[args[0]].start()
 
     def on_outage(self, args: list[str], named: dict[str, Any]) -> None:
         """outage state|cloud S"""
@@ -482,7 +490,7 @@
         `late NAME S at_once [share=P]`: they are carried out at once, and only their answers are lost.
         """
         if args[2] == "at_once":
-            for label in self.w().hosts if args[0] == "all" else args[:1]:
+            for label in self.w().machines if args[0] == "all" else args[:1]:
                 self.w().state.unanswered[label] = (self.w().trouble(float(args[1])), float(named.get("share", 1.0)))
             return
         least_s, most_s = float(args[2]), float(args[-1])
@@ -492,7 +500,7 @@
 
     def on_slow(self, args: list[str], named: dict[str, Any]) -> None:
         """slow NAME|all S MOST: the state service takes up to so long to answer."""
-        for label in self.w().hosts if args[0] == "all" else args[:1]:
+        for label in self.w().machines if args[0] == "all" else args[:1]:
             self.w().state.slow[label] = (self.w().trouble(float(args[1])), int(float(args[2]) * US))
 
     def on_page_gap(self, args: list[str], named: dict[str, Any]) -> None:
@@ -505,7 +513,7 @@
 
     def check_gate(self, args: list[str], named: dict[str, Any]) -> None:
         """gate open|shut: at all controllers of this version that are up"""
-        found = {h.label: h.actor.ctx.feature_active(PIPELINES) for h in self.w().hosts.values() if h.actor and not h.old}
+        found = {h.label: h.actor.ctx.feature_active(PIPELINES) for h in self.w().machines.values() if h.actor and not h.old}
         assert found and set(found.values()) == {args[0] == "open"}, found
 
     def check_asked(self, args: list[str], named: dict[str, Any]) -> None:
@@ -527,7 +535,7 @@
 
     def on_cut_workers(self, args: list[str], named: dict[str, Any]) -> None:
         """cut_workers NAME S [zone=Z]: nothing passes between a controller and any worker, or those of a zone."""
-        self.w().hosts[args[0]].cut_workers = (self.w().trouble(float(args[1])), str(named.get("zone", "")))
+        self.w().machines[args[0]].cut_workers = (self.w().trouble(float(args[1])), str(named.get("zone", "")))
 
     def on_load_record(self, args: list[str], named: dict[str, Any]) -> None:
         """load_record SHARD slots=N rate=R ...: such a record of a shard's load, whoever wrote it; null is a word"""
@@ -539,22 +547,22 @@
         """load_told NAME SHARD,... slots=N rate=R: a peer's frame tells every other controller so; twice a second"""
         loads = [ShardLoad(int(shard), 0, named.get("slots", 8), 0, float(named.get("rate", 0.1)), [0, 0])
                  for shard in args[1].split(",")]
-        body = pack_beat(Beat(args[0], True, 0, loads))[HEADER.size:]
-        for host in self.w().hosts.values():
+        body = pack_heartbeat(PeerHeartbeat(args[0], True, 0, loads))[HEADER.size:]
+        for host in self.w().machines.values():
             if host.label != args[0]:
-                host.deliver(PeerSaid(read_beat(body)))
+                host.deliver(PeerFrameReceived(read_heartbeat(body)))
         self.w().after(US // 2, lambda: self.on_load_told(args, named))
 
     def check_levels(self, args: list[str], named: dict[str, Any]) -> None:
         """levels SHARD OP N: at every controller that is up"""
-        up = [h.actor.load_balancer for h in self.w().hosts.values() if h.actor is not None]
-        found = [balancer.levels.get(int(args[0])) for balancer in up]
-        assert all(set(balancer.levels) <= set(range(self.facts["size"])) for balancer in up)
+        up = [h.actor.load_balancer for h in self.w().machines.values() if h.actor is not None]
+        found = [load_balancer.levels.get(int(args[0])) for load_balancer in up]
+        assert all(set(load_balancer.levels) <= set(range(self.facts["size"])) for load_balancer in up)
         assert found and all(n is not None and COMPARE[args[1]](n, int(args[2])) for n in found), found
 
     def check_least_loaded(self, args: list[str], named: dict[str, Any]) -> None:
         """least_loaded NAME not SHARD: where that controller sends a job while no shard is below its level"""
-        node = self.w().hosts[args[0]].actor
+        node = self.w().machines[args[0]].actor
         assert node is not None
         node.load_balancer.levels = {}
         assert node.load_balancer.shard_for() not in (None, int(args[2]))
@@ -562,40 +570,40 @@
     def do_long_listing(self, plain: list[str], named: dict[str, Any]) -> None:
         """long_listing N: one message with so many records makes steps all along, so it is no standstill"""
         world = World(self.facts, [], 1)
-        node = Node(settings_of(world.facts), Tuning(), 0, 0)
+        node = Controller(settings_of(world.facts), Tuning(), 0, 0)
         raw = msgspec.Raw(msgspec.json.encode(JobRecord("done", 4, done=4)))
         items = [m.Item(f"q/job/req-{n:06d}", raw, n + 1) for n in range(int(plain[0]))]
-        node.handle(ViewReset(items, len(items), 0), 1)
+        node.handle(StoreListing(items, len(items), 0), 1)
         assert node.ctx.progress() >= 2 * len(items)
 
     def do_listing_in_pages(self, plain: list[str], named: dict[str, Any]) -> None:
         """listing_in_pages FIRST LAST: read over these ledgers; nothing is decided before the watch brings the last"""
-        node = Node(settings_of({**self.facts, "size": 1}), Tuning(), 0, 0)
+        node = Controller(settings_of({**self.facts, "size": 1}), Tuning(), 0, 0)
         claims, first, last = [0], int(plain[0]), int(plain[1])
 
         def gives(message: Any, now_us: int) -> None:
             for effect in node.handle(message, now_us):
-                if isinstance(effect, Call) and effect.path == m.PATH_HOLDS:
-                    gives(Answer(effect.id, 200, b'{"hold":1}'), now_us)
+                if isinstance(effect, Call) and effect.path == m.PATH_LEASES:
+                    gives(CallResult(effect.id, 200, b'{"hold":1}'), now_us)
                 claims[0] += isinstance(effect, Call) and b"q/shard/0" in msgspec.json.encode(effect.body)
 
         gives(Tick(), 1)
-        gives(ViewReset([], first, 1, last), 2)
+        gives(StoreListing([], first, 1, last), 2)
         gives(Tick(), 3)
-        gives(ViewChanges([], last - 1, 3), 4)
+        gives(StoreChanges([], last - 1, 3), 4)
         gives(Tick(), 5)
         assert not claims[0] and not node.ready()
-        gives(ViewChanges([], last, 5), 6)
+        gives(StoreChanges([], last, 5), 6)
         gives(Tick(), 7)
         assert claims[0] == 1 and node.ready()
 
     def on_hang_watch(self, args: list[str], named: dict[str, Any]) -> None:
         """hang_watch NAME S: a controller's watch brings nothing, while its other calls are answered."""
-        self.w().hosts[args[0]].watch_hung_until_us = self.w().trouble(float(args[1]))
+        self.w().machines[args[0]].watch_hung_until_us = self.w().trouble(float(args[1]))
 
     def on_deaf(self, args: list[str], named: dict[str, Any]) -> None:
         """deaf NAME S [in]: no frames to or from its peers; with `in`, none to it, while its own arrive."""
-        host, until_us = self.w().hosts[args[0]], self.w().trouble(float(args[1]))
+        host, until_us = self.w().machines[args[0]], self.w().trouble(float(args[1]))
         if "in" in args:
             host.deaf_in_until_us = until_us
         else:
@@ -655,7 +663,7 @@
 
     def on_isolate(self, args: list[str], named: dict[str, Any]) -> None:
         """isolate NAME S held|refused|reset: it loses the state service and its peers, but not its workers."""
-        host, until_us = self.w().hosts[args[0]], self.w().trouble(float(args[1]))
+        host, until_us = self.w().machines[args[0]], self.w().trouble(float(args[1]))
         host.deaf_peers_until_us = until_us
         if args[2] == "refused":
             self.w().state.refused[args[0]] = until_us
@@ -668,7 +676,7 @@
         if args[2] == "refused":
             self.w().state.refused[args[0]] = until_us
         else:
-            self.w().hosts[args[0]].state_cut = (until_us, args[2])
+            self.w().machines[args[0]].state_cut = (until_us, args[2])
 
     def on_mute(self, args: list[str], named: dict[str, Any]) -> None:
         """mute WORKER|... S [refused]: it reaches no controller, while direct commands reach it."""
@@ -691,7 +699,7 @@
     def on_token(self, args: list[str], named: dict[str, Any]) -> None:
         """token WORKER N: the worker has seen a higher token than its owner's."""
         for worker in self._workers(args):
-            worker.token, worker.changed = int(args[1]), True
+            worker.fencing_token, worker.changed = int(args[1]), True
 
     def on_cloud(self, args: list[str], named: dict[str, Any]) -> None:
         """cloud capacity|never_boot|lost_answers N"""
@@ -777,7 +785,7 @@
 
     def _looked(self) -> int:
         """Workers that placement has looked at, by all controllers."""
-        return sum(s.placement.workers_examined for h in self.w().hosts.values() if h.actor for s in h.actor.shards.values())
+        return sum(s.placement.workers_examined for h in self.w().machines.values() if h.actor for s in h.actor.shards.values())
 
     def check_all_done(self, args: list[str], named: dict[str, Any]) -> None:
         told = self.w().checker.told
@@ -785,10 +793,10 @@
         assert not left, left[:5]
 
     def check_looked_per_report(self, args: list[str], named: dict[str, Any]) -> None:
-        reports = self.w().reports - self.counted["reports"]
-        assert reports > int(named["reports"]), reports
+        heartbeats = self.w().heartbeats - self.counted["reports"]
+        assert heartbeats > int(named["reports"]), heartbeats
         looked = self._looked() - self.counted["looked"]
-        assert COMPARE[args[0]](looked / reports, float(args[1])), f"{looked} workers for {reports} reports"
+        assert COMPARE[args[0]](looked / heartbeats, float(args[1])), f"{looked} workers for {heartbeats} reports"
 
     def check_puts_per_job(self, args: list[str], named: dict[str, Any]) -> None:
         puts = self.w().state.puts - self.counted["puts"]
@@ -815,8 +823,8 @@
         self.obey("check_" + plain[0], plain[1:], {**named})
 
     def check_done(self, args: list[str], named: dict[str, Any]) -> None:
-        for uid in args:
-            assert self.w().checker.told.get(uid) == "done", f"{uid}: {self.w().checker.told.get(uid)}"
+        for job_id in args:
+            assert self.w().checker.told.get(job_id) == "done", f"{job_id}: {self.w().checker.told.get(job_id)}"
 
     def check_told(self, args: list[str], named: dict[str, Any]) -> None:
         assert self.w().checker.told.get(args[0]) == args[1]
@@ -903,13 +911,13 @@
         """told_something: refusals were seen and heard, strays written down, wants recorded"""
         kinds = {e.get("write", "").split("/")[1] for e in self.w().state.history if "write" in e}
         assert {"stray", "want", "load"} <= kinds, kinds
-        known = [h.actor.autoscaler.capacity.all_observations() for h in self.w().hosts.values() if h.actor is not None]
-        assert any(len(view) > 1 and any(view.values()) for view in known), known
+        known = [h.actor.autoscaler.capacity.all_observations() for h in self.w().machines.values() if h.actor is not None]
+        assert any(len(cache) > 1 and any(cache.values()) for cache in known), known
 
     def check_died_out(self, args: list[str], named: dict[str, Any]) -> None:
         """died_out: nothing told in the past is told or counted any more, at any controller"""
         world = self.w()
-        for host in world.hosts.values():
+        for host in world.machines.values():
             node = host.actor
             assert node is not None
             supply = node.autoscaler.capacity
@@ -918,7 +926,7 @@
             assert not node.connectivity.misrouted_counts() and not any(node.connectivity.recorded_misrouted(s) for s in range(self.facts["size"]))
             loads = {load.shard: load for load in node.load_balancer.peer_loads()}
             assert not any(load.waiting for load in [*loads.values(), *node.load_balancer.loads()])
-            for other in world.hosts.values():
+            for other in world.machines.values():
                 for shard in other.actor.shards.values() if other.actor is not None and other is not host else ():
                     assert abs(loads[shard.index].room - shard.free_slots()) <= 8, (loads, shard.free_slots())
                     assert abs(loads[shard.index].quick_room - shard.quick_room()) <= 16
@@ -926,12 +934,12 @@
         assert not left, left
 
     def check_roster(self, args: list[str], named: dict[str, Any]) -> None:
-        roster = [k for k in self.w().state.data if k.startswith("q/roster/")]
-        assert len(roster) == len(self.w().cloud.machines), (roster, list(self.w().cloud.machines))
+        machine_records = [k for k in self.w().state.data if k.startswith("q/roster/")]
+        assert len(machine_records) == len(self.w().cloud.machines), (machine_records, list(self.w().cloud.machines))
 
     def check_ready(self, args: list[str], named: dict[str, Any]) -> None:
         """ready NAME true|false, now"""
-        node = self.w().hosts[args[0]].actor
+        node = self.w().machines[args[0]].actor
         assert node is not None
         node.ctx.now_us = self.w().now_us
         assert node.ready() is (args[1] == "true")
@@ -1005,16 +1013,16 @@
 
     def do_foresee(self, plain: list[str], named: dict[str, Any]) -> None:
         """foresee CPUS_PER_S NAME:tasks:estimate:due,... late=NAME,...: jobs of 2 CPUs that are put back"""
-        chunks = []
+        partitions = []
         for place, part in enumerate(plain[1].split(",")):
             name, tasks, estimate, due = part.split(":")
             spec = msgspec.convert(job_spec("req-1", picks=int(tasks), expectS=float(estimate)), m.JobSpec)
-            chunk = Chunk(name, spec, submitted_us=place, due_us=[int(float(due) * US)] if due else [])
+            partition = JobPartition(name, spec, submitted_us=place, due_us=[int(float(due) * US)] if due else [])
             for index in range(int(tasks)):
-                chunk.pending.push(index)
-            chunks.append(chunk)
-        foresee(chunks, float(plain[0]), 0)
-        found = {c.uid for c in chunks if c.missed_due_times}
+                partition.pending.push(index)
+            partitions.append(partition)
+        order_by_deadline(partitions, float(plain[0]), 0)
+        found = {c.job_id for c in partitions if c.missed_due_times}
         assert found == set(str(named.get("late", "")).split(",")) - {""}, found
 
     def do_urgency(self, plain: list[str], named: dict[str, Any]) -> None:
@@ -1035,14 +1043,14 @@
 
     def do_memory_per_job(self, plain: list[str], named: dict[str, Any]) -> None:
         """memory_per_job BYTES: what a view keeps of a job that is over"""
-        view, count = View(), 5000
+        cache, count = StoreCache(), 5000
         raw = msgspec.Raw(msgspec.json.encode(JobRecord("done", 40, done=40)))
         tracemalloc.start()
         before = tracemalloc.get_traced_memory()[0]
-        view.apply_changes([m.Event(n + 1, put=f"q/job/req-{n:06d}", value=raw) for n in range(count)], count)
+        cache.apply_changes([m.Event(n + 1, put=f"q/job/req-{n:06d}", value=raw) for n in range(count)], count)
         used = (tracemalloc.get_traced_memory()[0] - before) / count
         tracemalloc.stop()
-        assert len(view.by_kind["job"]) == count and used < float(plain[0]), used
+        assert len(cache.by_kind["job"]) == count and used < float(plain[0]), used
 
     def do_standstill(self, plain: list[str], named: dict[str, Any]) -> None:
         """standstill KIND [limit=S] [gap=S] [share=P] [for=S] after=S|never: when an actor is judged to stand still
@@ -1052,7 +1060,7 @@
         `share`: its own processor time in a second. `gap`: the looks come so late, every time; `stop=S` once.
         """
         limit_us, share = int(named.get("limit", 3) * US), float(named.get("share", plain[0] != "waits"))
-        judge = Judge(limit_us, 0)
+        judge = StallDetector(limit_us, 0)
         now_us, cpu_us, found = 0, 0, None
         for number in range(100_000):
             passed_us = judge.period_us + int(named.get("gap", 0) * US)
@@ -1060,7 +1068,7 @@
             now_us += passed_us + (int(named.get("stop", 0) * US) if number == 10 else 0)
             turns = now_us // int(named["turn"] * US) if "turn" in named else 0
             place = (1, 1) if plain[0] == "waits" and now_us >= named.get("settles", 0) * US else (number, 2)
-            if judge.add(Look(now_us, turns, None if plain[0] == "blind" else cpu_us, place)):
+            if judge.add(Sample(now_us, turns, None if plain[0] == "blind" else cpu_us, place)):
                 found = now_us / US
                 break
             if now_us > named.get("for", 600) * US:
@@ -1073,14 +1081,14 @@
     def do_standstills_in(self, plain: list[str], named: dict[str, Any]) -> None:
         """standstills_in HOURS lease=S back=S ends=N: a process that stands still at once, each time it is started"""
         lease_us, now_us, ends = int(named["lease"] * US), 0, 0
-        note: StandstillRecord | None = None
+        note: StallRecord | None = None
         while (now_us := max(now_us + int(named["back"] * US), stall_records.next_end_us(note, lease_us))) < \
                 float(plain[0]) * 3600 * US:
             note, ends = stall_records.following(note, "levels", now_us, lease_us), ends + 1
             assert stall_records.rests(note, "levels", now_us + lease_us, lease_us)
             assert not stall_records.rests(note, "moves", now_us, lease_us)
             for part in ("moves", "rights", "machines", "Tick"):
-                other = StandstillRecord(part, 1, now_us)
+                other = StallRecord(part, 1, now_us)
                 assert stall_records.rests(other, part, now_us, lease_us) == (part == "moves")
         assert ends <= named["ends"], ends
         assert note is not None and note.times == ends
--- a/tests/test_supply_properties.py
+++ b/tests/test_supply_properties.py
@@ -10,7 +10,13 @@
 from hypothesis import strategies as st
 
 from quinceslip.coordination.actor.context import SECOND
-from quinceslip.coordination.autoscaling.capacity import LEAST_REST_US, MOST_REST_US, TURN_US, Kind, Supply
+from quinceslip.coordination.autoscaling.capacity import (
+    MAX_BACKOFF_US,
+    MIN_BACKOFF_US,
+    TURN_US,
+    CapacityObservations,
+    Kind,
+)
 from quinceslip.protocol import frames
 
 many = settings(max_examples=100, deadline=None, database=None, derandomize=True)
@@ -33,20 +39,20 @@
         #: by hearer, whom it is from, and kind: the newest version that came there, and its earliest moment
         self.reference: dict[tuple[int, str, Kind], tuple[tuple[int, int], int]] = {}
 
-    def made(self, label: str) -> Supply:
-        return Supply(label, self.labels, 1.0, self.now_us // 1000)
+    def made(self, label: str) -> CapacityObservations:
+        return CapacityObservations(label, self.labels, 1.0, self.now_us // 1000)
 
-    def beat(self, node: int) -> bytes:
-        return frames.pack_sightings(frames.Sightings(self.labels[node], self.nodes[node].own_observations(self.now_us)))
+    def heartbeat(self, node: int) -> bytes:
+        return frames.pack_observations(frames.PeerObservations(self.labels[node], self.nodes[node].own_observations(self.now_us)))
 
     def hear(self, node: int, data: bytes) -> None:
-        told = frames.read_sightings(data[frames.HEADER.size:])
-        self.nodes[node].observations_received(told.label, told.sightings, self.now_us)
-        for sighting in told.sightings if told.label != self.labels[node] else []:
-            place, version = (node, told.label, sighting.kind), (sighting.born, sighting.number)
+        told = frames.read_observations(data[frames.HEADER.size:])
+        self.nodes[node].observations_received(told.label, told.observations, self.now_us)
+        for observation in told.observations if told.label != self.labels[node] else []:
+            place, version = (node, told.label, observation.kind), (observation.born, observation.number)
             newest, at_us = self.reference.get(place, ((0, 0), 0))
             if version >= newest:
-                came_us = self.now_us - sighting.age_us
+                came_us = self.now_us - observation.age_us
                 self.reference[place] = (version, min(at_us, came_us) if version == newest else came_us)
 
     def step(self, verb: str, one: int, other: int, kind: Kind, amount: int) -> None:
@@ -66,7 +72,7 @@
             _, data = self.said[amount % len(self.said)]
             self.hear(one, data)
         else:
-            data = self.beat(one)
+            data = self.heartbeat(one)
             self.said.append((one, data))
             for _ in range(2 if verb == "again" else 1):
                 self.hear(other, data)
@@ -80,11 +86,11 @@
     for step in steps:
         fleet.step(*step)
     last_us = fleet.now_us
-    most_us = MOST_REST_US + MOST_REST_US // 4  # the longest rest, and the last turn after it
+    most_us = MAX_BACKOFF_US + MAX_BACKOFF_US // 4  # the longest rest, and the last turn after it
     # From here on nobody sees anything; all go on telling each other, each second, all to all or in a ring.
     while fleet.now_us <= last_us + most_us:
         for one in range(size):
-            data = fleet.beat(one)
+            data = fleet.heartbeat(one)
             for other in ({(one + 1) % size, (one + 7) % size, (one + 31) % size} - {one}):
                 fleet.hear(other, data)
         fleet.now_us += 3 * SECOND
@@ -124,13 +130,13 @@
             if not node.backs_off(kind, fleet.now_us):
                 asks.append(fleet.now_us)
                 node.request_answered(kind, 3, 0, fleet.now_us)
-                data = fleet.beat(one)
+                data = fleet.heartbeat(one)
                 for other in range(size):
                     fleet.hear(other, data)
         fleet.now_us += SECOND // 5
-    assert len(asks) <= 1 + (end_us - asks[0]) // LEAST_REST_US
+    assert len(asks) <= 1 + (end_us - asks[0]) // MIN_BACKOFF_US
     # And room that comes back is asked for within a rest and the turns of those who come first.
-    assert max(b - a for a, b in pairwise(asks)) <= LEAST_REST_US + 2 * TURN_US
+    assert max(b - a for a, b in pairwise(asks)) <= MIN_BACKOFF_US + 2 * TURN_US
 
 
 @given(st.integers(2, 64), st.integers(0, 63), st.integers(0, 63))
@@ -140,11 +146,11 @@
     one, other, kind = one % size, other % size, KINDS[0]
     fleet.nodes[one].request_answered(kind, 5, 1, fleet.now_us)
     for node in range(size):
-        fleet.hear(node, fleet.beat(one))
+        fleet.hear(node, fleet.heartbeat(one))
     assert all(node.backs_off(kind, fleet.now_us) for node in fleet.nodes)
     fleet.now_us += SECOND
     fleet.nodes[other].machines_returned(kind, 1, fleet.now_us)
     for node in range(size):
-        fleet.hear(node, fleet.beat(other))
-        fleet.hear(node, fleet.beat(one))  # what was seen before is told on, and changes nothing
+        fleet.hear(node, fleet.heartbeat(other))
+        fleet.hear(node, fleet.heartbeat(one))  # what was seen before is told on, and changes nothing
     assert not any(node.backs_off(kind, fleet.now_us) for node in fleet.nodes)
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from quinceslip.coordination.actor.context import DRIFT, SECOND, Timing
-from quinceslip.coordination.leadership.election import Ownership
+from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.protocol.settings import SettingsError
 from tests.test_scenarios import Runner
 from tests.world import settings_of
@@ -41,10 +41,10 @@
     slow = 1 + Fraction(DRIFT)  # a second by a clock that is slow lasts so long
     # The owner's clock: from its last proof of contact to the end of its grace. The worker's: its lease, from a report
     # that was sent before it was answered. A session ends within a report's time limit of its lease, when it looks.
-    ends = Fraction(found.owner_lease_us + found.grace_us, SECOND) * slow + lease * slow + 1
+    ends = Fraction(found.leader_lease_us + found.grace_us, SECOND) * slow + lease * slow + 1
     assert ends < cancel / slow
-    assert found.owner_lease_us >= SECOND and found.grace_us >= 0 and found.owner_lease_us <= 600 * SECOND
-    assert int(found.owner_lease_us * 0.95) - 50_000 > 0  # entitled for some time, and for less than the lease lasts
+    assert found.leader_lease_us >= SECOND and found.grace_us >= 0 and found.leader_lease_us <= 600 * SECOND
+    assert int(found.leader_lease_us * 0.95) - 50_000 > 0  # entitled for some time, and for less than the lease lasts
     assert found.lease_expiry_us > lease * slow * slow * SECOND  # a worker's lease by our clock: never over too early
 
 
@@ -53,7 +53,7 @@
     for report_s, lease_s, cancel_s in ((4, 26, 46), (2.5, 15.25, 40.25), (3, 26, 46), (1, 10, 35), (0.5, 5, 20),
                                         (30, 300, 900), (60, 3600, 10_000)):
         found = timing(report_s, lease_s, cancel_s)
-        assert found is not None and found.grace_us > found.owner_lease_us // 2, (report_s, lease_s, cancel_s)
+        assert found is not None and found.grace_us > found.leader_lease_us // 2, (report_s, lease_s, cancel_s)
 
 
 @given(st.integers(0, 60), st.integers(0, 60))
@@ -64,10 +64,10 @@
     assert found is not None
     now_us = 1000 * SECOND
     ctx: Any = SimpleNamespace(timing=found, now_us=now_us, settings=SimpleNamespace(facts=SimpleNamespace(size=1)))
-    rights = Ownership(ctx, 0, lambda *_: None, lambda _: None)
+    rights = LeaderElection(ctx, 0, lambda *_: None, lambda _: None)
     assert not rights.may_answer()  # one that has just started knows of no contact
     rights.leader_lease, rights.lease_sent_us = 7, now_us - renewed_s * SECOND
     rights.watch_sent_us = now_us - watched_s * SECOND
     ago_us = max(renewed_s, watched_s) * SECOND
-    assert rights.entitled() == (ago_us < int(found.owner_lease_us * 0.95) - 50_000)
-    assert rights.may_answer() == (ago_us < found.owner_lease_us + found.grace_us)
+    assert rights.may_launch() == (ago_us < int(found.leader_lease_us * 0.95) - 50_000)
+    assert rights.may_answer() == (ago_us < found.leader_lease_us + found.grace_us)
--- a/tests/troubles.py
+++ b/tests/troubles.py
@@ -5,7 +5,7 @@
 from tests.world import US, World
 
 #: hosts of cancelled jobs that hang, at the most
-MOST_HUNG = 8
+MAX_HUNG_MACHINES = 8
 
 
 class Troubles:
@@ -18,7 +18,7 @@
     def w(self) -> World:
         raise NotImplementedError
 
-    def ask(self, verb: str, uid: str, heard: Any, spec: Any = None, by: str = "") -> None:
+    def ask(self, verb: str, job_id: str, heard: Any, spec: Any = None, by: str = "") -> None:
         raise NotImplementedError
 
     def on_cancel(self, args: list[str], named: dict[str, Any]) -> None:
@@ -33,8 +33,8 @@
 
     # What users do.
 
-    def _cancel_in(self, uid: str, seconds: float, by: str = "") -> None:
-        self.w().after(seconds * US, lambda: self.on_cancel([uid], {"by": by} if by else {}))
+    def _cancel_in(self, job_id: str, seconds: float, by: str = "") -> None:
+        self.w().after(seconds * US, lambda: self.on_cancel([job_id], {"by": by} if by else {}))
 
     def on_close_looks(self, args: list[str], named: dict[str, Any]) -> None:
         """close_looks S [cancel=SHARE]: all nodes are asked within milliseconds after what a user was told of a job
@@ -44,18 +44,18 @@
         world, share = self.w(), float(named.get("cancel", 0))
         until_us = world.trouble(float(args[0]))
 
-        def news(uid: str, status: str) -> None:
-            if world.now_us >= until_us or uid in world.odd:
+        def news(job_id: str, status: str) -> None:
+            if world.now_us >= until_us or job_id in world.odd:
                 return
             self._meets("close_looks")
-            for label in world.hosts:
+            for label in world.machines:
                 for _ in range(2):
                     world.after(world.random.randint(1, 8000), lambda n=label: self.ask(
-                        "poll", uid, lambda s, b: world.checker.polled(uid, s, b), by=n))
+                        "poll", job_id, lambda s, b: world.checker.polled(job_id, s, b), by=n))
                 world.after(world.random.randint(1, 8000), lambda n=label: self.ask(
-                    "submit", uid, lambda s, b: world.checker.submitted(uid, s, b), world.jobs[uid], by=n))
+                    "submit", job_id, lambda s, b: world.checker.submitted(job_id, s, b), world.jobs[job_id], by=n))
             if status not in ("done", "withdrawn") and world.random.random() < share:
-                self._cancel_in(uid, 0.001)
+                self._cancel_in(job_id, 0.001)
 
         world.on_news.append(news)
 
@@ -81,26 +81,26 @@
             kind = world.random.choice(["repeat", "spoilt", "late", *(["new"] if jobs else [])])
             known = unfinished if kind in ("repeat", "spoilt") else done
             if kind == "new":
-                uid = f"req-{self.next_odd}"
+                job_id = f"req-{self.next_odd}"
                 self.next_odd += 1
-                world.odd[uid] = spec = spoilt({**next(iter(jobs.values())), "uid": uid})
-                self.ask("submit", uid, lambda s, b: self._refused(uid, s, b), spec)
+                world.odd[job_id] = spec = spoilt({**next(iter(jobs.values())), "uid": job_id})
+                self.ask("submit", job_id, lambda s, b: self._refused(job_id, s, b), spec)
             elif known and kind == "late":
-                uid = world.random.choice(known)
-                world.checker.cancel_asked.add(uid)
-                self.ask("cancel", uid, lambda s, b: world.checker.cancel_answer(uid, s, b))
+                job_id = world.random.choice(known)
+                world.checker.cancel_asked.add(job_id)
+                self.ask("cancel", job_id, lambda s, b: world.checker.cancel_answer(job_id, s, b))
             elif known:
-                uid = world.random.choice(known)
-                spec = jobs[uid] if kind == "repeat" else spoilt(jobs[uid])
-                self.ask("submit", uid, lambda s, b: world.checker.submitted(uid, s, b), spec)
+                job_id = world.random.choice(known)
+                spec = jobs[job_id] if kind == "repeat" else spoilt(jobs[job_id])
+                self.ask("submit", job_id, lambda s, b: world.checker.submitted(job_id, s, b), spec)
             else:
                 return
             self._meets(f"odd_{kind}")
 
         one()
 
-    def _refused(self, uid: str, status: int, body: Any) -> None:
-        self.w().checker.submitted(uid, status, body)
+    def _refused(self, job_id: str, status: int, body: Any) -> None:
+        self.w().checker.submitted(job_id, status, body)
         if status in (400, 422):
             self._meets("refused")
 
@@ -109,10 +109,10 @@
         world, share = self.w(), float(named.get("share", 1))
         until_us = world.trouble(float(args[0]))
 
-        def ends(uid: str) -> None:
+        def ends(job_id: str) -> None:
             if world.now_us < until_us and world.random.random() < share:
                 self._meets("cancel_at_end")
-                self._cancel_in(uid, world.random.choice([0.0, 0.003, 0.02, 0.3]))
+                self._cancel_in(job_id, world.random.choice([0.0, 0.003, 0.02, 0.3]))
 
         world.on_end.append(ends)
 
@@ -124,11 +124,11 @@
         running = sorted({t.rpartition("/")[0] for t, places in where.items() if places} - world.checker.cancel_asked,
                          key=lambda u: (world.jobs[u]["shape"] != "standing", -world.run_s.get(u, 0), u))
         hung: list[str] = []
-        for uid in running[: int(args[0])]:
+        for job_id in running[: int(args[0])]:
             self._meets("cancel_now")
-            self._cancel_in(uid, world.random.random() * within_s, by)
-            hung += sorted({n for t, places in where.items() if t.startswith(uid + "/") for n in places})
-        for name in list(dict.fromkeys(hung))[:MOST_HUNG] if hang_s else []:
+            self._cancel_in(job_id, world.random.random() * within_s, by)
+            hung += sorted({n for t, places in where.items() if t.startswith(job_id + "/") for n in places})
+        for name in list(dict.fromkeys(hung))[:MAX_HUNG_MACHINES] if hang_s else []:
             self._meets("hung")
             world.workers[name].hung_until_us = world.trouble(hang_s)
 
@@ -147,9 +147,9 @@
         """island ZONE NAME S [MODE]: a zone with its workers and that controller is cut off from all else"""
         world = self.w()
         until_us = world.trouble(float(args[2]))
-        for label, host in world.hosts.items():
+        for label, host in world.machines.items():
             host.cut_workers = (until_us, "!" + args[0] if label == args[1] else args[0])
-        inside = world.hosts[args[1]]
+        inside = world.machines[args[1]]
         inside.deaf_peers_until_us, inside.state_cut = until_us, (until_us, args[3] if args[3:] else "held")
 
     def on_hand_over_unanswered(self, args: list[str], named: dict[str, Any]) -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -15,11 +15,11 @@
 
 from quinceslip.coordination.actor import effects as fx
 from quinceslip.coordination.actor.context import SECOND
-from quinceslip.coordination.controller.controller import Node
+from quinceslip.coordination.controller.controller import Controller
 from quinceslip.protocol import frames
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import Settings, Tuning
-from quinceslip.subsystems import makers
+from quinceslip.subsystems import subsystem_factories
 from tests.checker import Checker
 from tests.tracing import Trace
 
@@ -51,12 +51,12 @@
         self.cloud = CloudStandIn(self)
         self.workers: dict[str, WorkerStandIn] = {}
         self.checker = Checker(self)
-        self.reports = 0
+        self.heartbeats = 0
         self.links_us, self.links_until_us = 0, 0  # links are slow until then: what a message takes at the most
         self.handed_over_us = 0  # a hand-over was carried out, and its answer lost
         self.kept_came = 0  # copies that arrived as a shard got an owner
         self.killed = 0  # tasks that a worker's own lease ended
-        self.hosts = {f"berth-{i}": Controller(self, f"berth-{i}") for i in range(facts["size"])}
+        self.machines = {f"berth-{i}": SimulatedController(self, f"berth-{i}") for i in range(facts["size"])}
         self.log: list[str] = []
         self.trace: Trace | None = None  # where what reaches and leaves the controllers is written down
         self._look()
@@ -75,11 +75,11 @@
 
     def claimed(self) -> None:
         """A shard has an owner anew: old reports that were kept for this arrive at every controller now."""
-        reports, self.for_next = self.for_next, []
-        self.kept_came += len(reports) * len(self.hosts)
-        for report in reports:
-            for host in self.hosts.values():
-                self.after(self.latency(), lambda h=host, r=report: h.worker_reports(
+        heartbeats, self.for_next = self.for_next, []
+        self.kept_came += len(heartbeats) * len(self.machines)
+        for heartbeat in heartbeats:
+            for host in self.machines.values():
+                self.after(self.latency(), lambda h=host, r=heartbeat: h.worker_reports(
                     r, lambda status, body: None, copy=True))
 
     def trouble(self, seconds: float) -> int:
@@ -94,8 +94,8 @@
         cpus = sum(w.type["vcpus"] for w in self.workers.values() if hasattr(w, "type")) or 16.0
         work_s = sum(j["picks"] * j["vcpus"] * self.run_s.get(u, 0) for u, j in jobs) / cpus
         way_s: dict[str, float] = {}  # of the longest chain that ends with a job; what it names was submitted before
-        for uid, job in jobs:
-            way_s[uid] = self.run_s.get(uid, 0) + job["picks"] * self.apart_s.get(uid, 0) + max(
+        for job_id, job in jobs:
+            way_s[job_id] = self.run_s.get(job_id, 0) + job["picks"] * self.apart_s.get(job_id, 0) + max(
                 (way_s.get(u, 0) + 3 for u in job["waitsOn"]), default=0)
         longest_s = max(way_s.values(), default=0)
         boot_s = max(t["startupS"] for t in self.types.values())
@@ -113,7 +113,7 @@
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.ledger = 0
+        self.revision = 0
         self.data: dict[str, tuple[Any, int, int | None]] = {}
         self.holds: dict[int, tuple[int, int]] = {}  # id -> (life, ends)
         self.next_hold = 1
@@ -149,9 +149,9 @@
     def _end(self, hold: int) -> None:
         self.holds.pop(hold, None)
         for key in [k for k, (_, _, h) in self.data.items() if h == hold]:
-            self.ledger += 1
+            self.revision += 1
             del self.data[key]
-            self.history.append({"drop": key, "stamp": self.ledger})
+            self.history.append({"drop": key, "stamp": self.revision})
 
     def reachable(self, who: str) -> bool:
         return self.world.now_us >= max(self.down_until_us, self.refused.get(who, 0))
@@ -178,14 +178,14 @@
             return 200, {"hold": hold}
         key = path[len("/kv/"):]
         if key in self.data:
-            value, stamp, _ = self.data[key]
-            return 200, {"k": key, "v": value, "stamp": stamp}
-        return 404, {"ledger": self.ledger}
+            value, mod_revision, _ = self.data[key]
+            return 200, {"k": key, "v": value, "stamp": mod_revision}
+        return 404, {"ledger": self.revision}
 
     def _txn(self, body: Any) -> tuple[int, Any]:
         failed = [c["k"] for c in body["if"] if self.data.get(c["k"], (0, 0, 0))[1] != c["stamp"]]
         if failed:
-            return 409, {"failed": failed, "ledger": self.ledger}
+            return 409, {"failed": failed, "ledger": self.revision}
         ops = body.get("then", [])
         if any(op.get("hold") is not None and op["hold"] not in self.holds for op in ops):
             return 400, {"error": "no such lease"}
@@ -199,7 +199,7 @@
             self.too_large.append(json.dumps(ops))
             return 400, {"error": "over the limits"}
         if ops:
-            self.ledger += 1
+            self.revision += 1
         kinds = [(op.get("write") or op["drop"]).split("/")[1] for op in ops]
         grants = sum(kind in ("grant", "want", "tree") for kind in kinds)
         self.grants += grants
@@ -213,12 +213,12 @@
         for op in ops:
             if "write" in op:
                 value = json.loads(json.dumps(op["v"]))
-                self.data[op["write"]] = (value, self.ledger, op.get("hold"))
-                self.history.append({"write": op["write"], "v": value, "stamp": self.ledger})
+                self.data[op["write"]] = (value, self.revision, op.get("hold"))
+                self.history.append({"write": op["write"], "v": value, "stamp": self.revision})
             elif op["drop"] in self.data:
                 del self.data[op["drop"]]
-                self.history.append({"drop": op["drop"], "stamp": self.ledger})
-        return 200, {"ledger": self.ledger}
+                self.history.append({"drop": op["drop"], "stamp": self.revision})
+        return 200, {"ledger": self.revision}
 
 
 class CloudStandIn:
@@ -227,7 +227,7 @@
     def __init__(self, world: World) -> None:
         self.world = world
         self.next = 1
-        self.hires: dict[str, list[str]] = {}
+        self.requests: dict[str, list[str]] = {}
         self.machines: dict[str, dict[str, Any]] = {}
         self.down_until_us = 0
         self.capacity = 10**6
@@ -270,17 +270,17 @@
             return 200, {"builds": list(world.types.values())}
         if path == "/hosts":
             self.asked += 1
-            if body["hire"] not in self.hires:
+            if body["hire"] not in self.requests:
                 room = min(body["howMany"], self.capacity - len(self.machines))
                 if room <= 0:
                     return 503, {"error": "no capacity"}
                 boot_us = self.boot_us or int(world.types[body["build"]]["startupS"] * US)
-                self.hires[body["hire"]] = [self.start(body["build"], body["yard"], body["loaners"], boot_us)
+                self.requests[body["hire"]] = [self.start(body["build"], body["yard"], body["loaners"], boot_us)
                                             for _ in range(room)]
             if self.lost_answers > 0:
                 self.lost_answers -= 1
                 return 0, {}
-            return 200, {"berths": self.hires[body["hire"]]}
+            return 200, {"berths": self.requests[body["hire"]]}
         if path == "/hosts/delete":
             for name in body["berths"]:
                 self.gone(name)
@@ -299,12 +299,12 @@
     def __init__(self, world: World, name: str, host: dict[str, Any]) -> None:
         self.world, self.name, self.host = world, name, host
         self.type = world.types[host["build"]]
-        self.session = 1
+        self.epoch = 1
         self.seq = 0
-        self.token = 0
+        self.fencing_token = 0
         self.tasks: dict[str, dict[str, Any]] = {}
         self.started_us = self.answered_us = world.now_us
-        self.node = world.random.choice(sorted(world.hosts))
+        self.node = world.random.choice(sorted(world.machines))
         self.dead = False
         self.life = 0
         self.cut_until_us = 0
@@ -322,7 +322,7 @@
         self.notice_us: int | None = None
         self.not_before_us = 0
         self.held: list[tuple[Any, Callable[[int, Any], None]]] = []
-        self._beat()
+        self._heartbeat()
 
     # Liveness.
 
@@ -336,7 +336,7 @@
         for task in list(self.tasks):
             self._end(task)
         self.tasks.clear()
-        self.session, self.token, self.busy, self.changed = self.session + 1, 0, False, True
+        self.epoch, self.fencing_token, self.busy, self.changed = self.epoch + 1, 0, False, True
         self.life += 1
         self.answered_us = self.world.now_us
         self.held.clear()
@@ -346,12 +346,12 @@
             self.tasks[name]["on"] = False
             self.world.checker.off(name, self.name)
 
-    def _beat(self) -> None:
+    def _heartbeat(self) -> None:
         if self.dead:
             return
         world = self.world
         now_us = world.now_us
-        world.after(50_000, self._beat)
+        world.after(50_000, self._heartbeat)
         past = now_us - self.answered_us > world.facts["workers"]["lease_s"] * US
         if past:
             # Also on a machine that hangs: it may resume within its lease, not after it.
@@ -362,7 +362,7 @@
             return
         if past:
             self.tasks.clear()
-            self.session += 1
+            self.epoch += 1
             self.answered_us = now_us
             self.changed = True
         if self.held and now_us >= max(self.cut_until_us, self.unheard_until_us):
@@ -375,19 +375,19 @@
                 gap_us >= period_us or (self.changed and gap_us >= US // 2)):
             self._report()
 
-    def report(self) -> dict[str, Any]:
+    def heartbeat(self) -> dict[str, Any]:
         self.seq += 1
         notice_s = None if self.notice_us is None else max(0.0, (self.notice_us - self.world.now_us) / US)
         picks = [{k: v for k, v in t.items() if k in ("pick", "try", "status", "cause", "saved")}
                  for t in self.tasks.values()]
         return {"berth": self.name, "endpoint": self.host["endpoint"], "build": self.host["build"],
-                "yard": self.host["yard"], "loaners": self.host["loaners"], "stint": self.session,
-                "tick": self.seq, "baton": self.token, "warningS": notice_s, "picks": picks}
+                "yard": self.host["yard"], "loaners": self.host["loaners"], "stint": self.epoch,
+                "tick": self.seq, "baton": self.fencing_token, "warningS": notice_s, "picks": picks}
 
     def _report(self) -> None:
         world = self.world
         self.busy, self.changed, self.last_report_us = True, False, world.now_us
-        sent_us, session, life = world.now_us, self.session, self.life
+        sent_us, epoch, life = world.now_us, self.epoch, self.life
         done = [False]
 
         def answer(status: int, body: Any) -> None:
@@ -398,11 +398,11 @@
             done[0] = True
             self.busy = False
             if status == 200:
-                if session == self.session and body.get("baton", 0) >= self.token:
+                if epoch == self.epoch and body.get("baton", 0) >= self.fencing_token:
                     self._see(body["baton"])
                     self.answered_us = max(self.answered_us, sent_us)
                     self._execute(body["orders"])
-            elif status == 421 and body.get("foreman") in world.hosts and body["foreman"] != self.node:
+            elif status == 421 and body.get("foreman") in world.machines and body["foreman"] != self.node:
                 self.node, self.changed = body["foreman"], True
             else:
                 self._next_node()
@@ -413,40 +413,40 @@
                 self.busy = False
                 self._next_node()
 
-        report = self.report()
+        heartbeat = self.heartbeat()
         if world.now_us < self.mute_until_us and self.mute_refused:
             world.after(world.latency(), timeout)
             return
         world.after(4 * US, timeout)
         if world.now_us < self.for_next_until_us:
-            world.for_next = [r for r in world.for_next if r["berth"] != self.name] + [report]
+            world.for_next = [r for r in world.for_next if r["berth"] != self.name] + [heartbeat]
         if world.now_us >= max(self.cut_until_us, self.mute_until_us):
-            node = world.hosts[self.node]
-            world.after(world.latency(), lambda: node.worker_reports(report, answer))
+            node = world.machines[self.node]
+            world.after(world.latency(), lambda: node.worker_reports(heartbeat, answer))
             until_us, times, late_us = self.copies
             for _ in range(times if world.now_us < until_us else 0):
                 # A copy comes by another connection: whatever it is answered, nobody takes it.
-                other = world.hosts[world.random.choice(sorted(world.hosts))]
+                other = world.machines[world.random.choice(sorted(world.machines))]
                 world.after(world.random.randint(US, late_us),
-                            lambda o=other: o.worker_reports(report, lambda status, body: None, copy=True))
+                            lambda o=other: o.worker_reports(heartbeat, lambda status, body: None, copy=True))
 
     def _next_node(self) -> None:
-        names = sorted(self.world.hosts)
+        names = sorted(self.world.machines)
         self.node = names[(names.index(self.node) + 1) % len(names)]
         self.not_before_us = self.world.now_us + US
 
-    def _see(self, token: int) -> None:
-        if token > self.token:
-            self.token, self.changed = token, True
+    def _see(self, fencing_token: int) -> None:
+        if fencing_token > self.fencing_token:
+            self.fencing_token, self.changed = fencing_token, True
 
     # Commands.
 
     def do(self, body: Any) -> tuple[int, Any]:
-        if body["baton"] < self.token or body["stint"] != self.session:
-            return 409, self.report()
+        if body["baton"] < self.fencing_token or body["stint"] != self.epoch:
+            return 409, self.heartbeat()
         self._see(body["baton"])
         self._execute(body["orders"])
-        return 200, self.report()
+        return 200, self.heartbeat()
 
     def _execute(self, orders: list[dict[str, Any]]) -> None:
         for order in orders:
@@ -471,8 +471,8 @@
             self.changed = True
 
     def _launch(self, name: str, number: int) -> None:
-        uid = name.rpartition("/")[0]
-        spec = self.world.jobs.get(uid)
+        job_id = name.rpartition("/")[0]
+        spec = self.world.jobs.get(job_id)
         task = {"pick": name, "try": number, "status": "pulling", "spec": spec, "on": False}
         self.tasks[name] = task
         if spec is None:
@@ -495,12 +495,12 @@
         self.changed = True
         world = self.world
         world.checker.on(name, self)
-        uid = name.rpartition("/")[0]
-        if world.failing.get(uid, 0) > 0:
-            world.failing[uid] -= 1
+        job_id = name.rpartition("/")[0]
+        if world.failing.get(job_id, 0) > 0:
+            world.failing[job_id] -= 1
             world.after(US, lambda: self._exit(name, number, "error"))
         elif task["spec"]["shape"] != "standing":
-            run_s = world.run_s[uid] + int(name.rpartition("/")[2]) * world.apart_s.get(uid, 0)
+            run_s = world.run_s[job_id] + int(name.rpartition("/")[2]) * world.apart_s.get(job_id, 0)
             world.after(run_s * US, lambda: self._complete(name, number))
 
     def _complete(self, name: str, number: int) -> None:
@@ -513,10 +513,10 @@
             self.world.checker.completed.add(name)
             self.world.checker.done_us.setdefault(name, self.world.now_us)
             self._exit(name, number, "done")
-            uid = name.rpartition("/")[0]
-            if all(f"{uid}/{i}" in self.world.checker.completed for i in range(task["spec"]["picks"])):
+            job_id = name.rpartition("/")[0]
+            if all(f"{job_id}/{i}" in self.world.checker.completed for i in range(task["spec"]["picks"])):
                 for ends in self.world.on_end:
-                    ends(uid)
+                    ends(job_id)
 
     def _exit(self, name: str, number: int, cause: str) -> None:
         task = self.tasks.get(name)
@@ -526,12 +526,12 @@
             self.changed = True
 
 
-class Controller:
+class SimulatedController:
     """Runs one real actor: carries its effects out over the stand-ins."""
 
     def __init__(self, world: World, label: str) -> None:
         self.world, self.label = world, label
-        self.actor: Node | None = None
+        self.actor: Controller | None = None
         self.old = False  # the version before this one, which says nothing of what it supports
         self.life = 0
         self.waiting: dict[int, Callable[[int, Any], None]] = {}
@@ -552,9 +552,9 @@
         settings = settings_of(self.world.facts, self.label)
         self.life += 1
         self.waiting.clear()
-        self.actor = Node(settings, Tuning(), self.world.now_us, self.world.now_us, makers(settings, self.operators))
+        self.actor = Controller(settings, Tuning(), self.world.now_us, self.world.now_us, subsystem_factories(settings, self.operators))
         self.actor.feature_gate.supported_level *= not self.old
-        self._beat(self.life)
+        self._heartbeat(self.life)
         self._list(self.life)
 
     def crash(self) -> None:
@@ -568,22 +568,22 @@
     def deliver(self, message: Any, life: int | None = None) -> None:
         if self.actor is None or (life is not None and life != self.life):
             return
-        for step in (message, fx.Settle()):
+        for step in (message, fx.BatchEnd()):
             for effect in self.actor.handle(step, self.world.now_us):
                 self._carry_out(effect)
 
-    def _beat(self, life: int) -> None:
+    def _heartbeat(self, life: int) -> None:
         if life == self.life and self.actor is not None:
             self.deliver(fx.Tick())
             self._nothing_is_lost()
             self._nothing_is_younger()
-            self.world.after(100_000, lambda: self._beat(life))
+            self.world.after(100_000, lambda: self._heartbeat(life))
 
     def _nothing_is_younger(self) -> None:
         """What is known of a peer's sightings is one of its own, as old as it is; hearsay is nobody's own."""
         supply = self.actor.autoscaler.capacity if self.actor is not None else None
         for origin, theirs in supply.all_observations().items() if supply is not None else ():
-            node = self.world.hosts[origin].actor
+            node = self.world.machines[origin].actor
             own = {} if node is None else node.autoscaler.capacity.all_observations().get(origin, {})
             for kind, known in theirs.items():
                 mine = own.get(kind)
@@ -597,13 +597,13 @@
     def _nothing_is_lost(self) -> None:
         """Every task of ours that is not done waits, runs, or is known to be in doubt: none that nobody will start."""
         for shard in self.actor.shards.values() if self.actor is not None else ():
-            for chunk in shard.chunks.values():
-                left = chunk.assigned - chunk.done - chunk.unrecorded_done - chunk.pending.members - chunk.attempts.keys() \
-                    - chunk.unreconciled - chunk.in_doubt - chunk.crash_loop.on_hold
+            for partition in shard.partitions.values():
+                left = partition.assigned - partition.done - partition.unrecorded_done - partition.pending.members - partition.attempts.keys() \
+                    - partition.unreconciled - partition.indeterminate - partition.crash_loop.on_hold
                 if left:
-                    self.world.checker.breach("stuck", f"{self.label} has lost {sorted(left)[:3]} of {chunk.uid}")
-                if chunk.crash_loop.on_hold and not chunk.pending and not (chunk.attempts or chunk.in_doubt or chunk.unreconciled):
-                    self.world.checker.breach("stuck", f"{self.label} tries nothing of {chunk.uid}")
+                    self.world.checker.breach("stuck", f"{self.label} has lost {sorted(left)[:3]} of {partition.job_id}")
+                if partition.crash_loop.on_hold and not partition.pending and not (partition.attempts or partition.indeterminate or partition.unreconciled):
+                    self.world.checker.breach("stuck", f"{self.label} tries nothing of {partition.job_id}")
 
     # The watch.
 
@@ -615,7 +615,7 @@
             world.after(300_000, lambda: self._list(life))
             return
         asked_us = world.now_us
-        first = state.ledger
+        first = state.revision
         kinds = sorted({k.split("/")[1] for k in state.data})
 
         def page(place: int, items: list[m.Item]) -> None:
@@ -630,21 +630,21 @@
             if place + 1 < len(kinds):
                 world.after(state.page_gap_us, lambda: page(place + 1, items))
                 return
-            ledger = state.ledger
-            self._reset(life, fx.ViewReset(items, first, asked_us, ledger))
+            revision = state.revision
+            self._reset(life, fx.StoreListing(items, first, asked_us, revision))
 
         if state.page_gap_us:
             page(0, [])
             return
         items = [m.Item(k, msgspec.Raw(msgspec.json.encode(v)), s) for k, (v, s, _) in sorted(state.data.items())]
-        self._reset(life, fx.ViewReset(items, first, asked_us, first))
+        self._reset(life, fx.StoreListing(items, first, asked_us, first))
 
     def _reset(self, life: int, listing: Any) -> None:
         """A listing, and the watch from there on: what comes of one connection after another comes in order."""
         comes_us, next_us = self.world.latency(), self.world.latency() + 80_000
-        self._trace("in", "state", "listing", comes_us, listing.ledger, listing.until, listing.items)
+        self._trace("in", "state", "listing", comes_us, listing.revision, listing.until, listing.items)
         self.world.after(comes_us, lambda: self.deliver(listing, life))
-        self.world.after(max(next_us, comes_us + 1), lambda: self._watch(life, listing.ledger))
+        self.world.after(max(next_us, comes_us + 1), lambda: self._watch(life, listing.revision))
 
     def _watch(self, life: int, since: int) -> None:
         if life != self.life:
@@ -657,12 +657,12 @@
         asked_us = world.now_us
         events = [msgspec.convert({**e, "v": msgspec.Raw(msgspec.json.encode(e.get("v")))}, m.Event)
                   for e in state.history if e["stamp"] > since]
-        ledger = state.ledger
+        revision = state.revision
         comes_us = world.latency()
-        self._trace("in", "state", "watch", comes_us, ledger, events)
-        world.after(comes_us, lambda: self.deliver(fx.ViewChanges(events, ledger, asked_us), life))
+        self._trace("in", "state", "watch", comes_us, revision, events)
+        world.after(comes_us, lambda: self.deliver(fx.StoreChanges(events, revision, asked_us), life))
         # The next one is asked for when this one has come: over slow links, too, a watch brings changes in order.
-        world.after(max(80_000 if events else 150_000, comes_us + 1), lambda: self._watch(life, ledger))
+        world.after(max(80_000 if events else 150_000, comes_us + 1), lambda: self._watch(life, revision))
 
     # Effects.
 
@@ -677,11 +677,11 @@
             return
         if isinstance(effect, fx.ToPeers):
             self._trace("out", "peers", effect.frames.hex())
-            for other in world.hosts.values():
+            for other in world.machines.values():
                 if other is not self and world.now_us >= max(
                         other.deaf_peers_until_us, other.deaf_in_until_us, self.deaf_peers_until_us):
                     for said in read_frames(effect.frames):
-                        world.after(world.latency(), lambda o=other, s=said: o.give(fx.PeerSaid(s)))
+                        world.after(world.latency(), lambda o=other, s=said: o.deliver(fx.PeerFrameReceived(s)))
             return
         body = json.loads(msgspec.json.encode(effect.body))
         self._trace("out", effect.target, effect.method, effect.path, body, effect.timeout_us, effect.writes,
@@ -690,7 +690,7 @@
         def back(status: int, answer: Any) -> None:
             data = json.dumps(answer).encode()
             self._trace("in", effect.target, effect.path, status, answer)
-            world.after(world.latency(), lambda: self.deliver(fx.Answer(effect.id, status, data), life))
+            world.after(world.latency(), lambda: self.deliver(fx.CallResult(effect.id, status, data), life))
 
         if effect.target in ("state", "lease"):
             cut_until_us, how = self.state_cut
@@ -765,7 +765,7 @@
             world.after(go_us + world.latency(), arrives)
             world.after(effect.timeout_us, lambda: back(fx.UNKNOWN, {}))
         elif effect.path == "/inspect":
-            world.after(world.latency(), lambda: back(200, worker.report()))
+            world.after(world.latency(), lambda: back(200, worker.heartbeat()))
         else:
             world.after(world.latency(), lambda: back(*worker.do(body)))
 
@@ -784,24 +784,24 @@
         self.waiting[self.next_request] = answer
         self.deliver(make(self.next_request))
 
-    def worker_reports(self, report: dict[str, Any], answer: Callable[[int, Any], None], copy: bool = False) -> None:
-        if self._is_cut_from(self.world.workers.get(report["berth"])) and not copy:
+    def worker_reports(self, heartbeat: dict[str, Any], answer: Callable[[int, Any], None], copy: bool = False) -> None:
+        if self._is_cut_from(self.world.workers.get(heartbeat["berth"])) and not copy:
             return
-        self.world.reports += 1
-        self._trace("in", "worker", report)
-        decoded = msgspec.json.decode(json.dumps(report), type=m.WorkerReport)
-        self._request(lambda n: fx.Reported(n, decoded), answer)
+        self.world.heartbeats += 1
+        self._trace("in", "worker", heartbeat)
+        decoded = msgspec.json.decode(json.dumps(heartbeat), type=m.WorkerHeartbeat)
+        self._request(lambda n: fx.HeartbeatReceived(n, decoded), answer)
 
-    def user(self, verb: str, uid: str, answer: Callable[[int, Any], None], spec: Any = None) -> None:
+    def user(self, verb: str, job_id: str, answer: Callable[[int, Any], None], spec: Any = None) -> None:
         decoded = None if spec is None else m.read_submission(json.dumps(spec).encode())
         if isinstance(decoded, m.Malformed):
             verb = "malformed"
-        self._trace("in", "user", verb, uid, spec)
-        self._request(lambda n: fx.UserRequest(n, verb, uid, decoded), answer)
+        self._trace("in", "user", verb, job_id, spec)
+        self._request(lambda n: fx.UserRequest(n, verb, job_id, decoded), answer)
 
     def ask(self, question: str, answer: Callable[[int, Any], None]) -> None:
         self._trace("in", "question", question)
-        self._request(lambda n: fx.Asked(n, question), answer)
+        self._request(lambda n: fx.SubsystemQuery(n, question), answer)
 
 
 def read_frames(data: bytes) -> list[Any]:
@@ -824,8 +824,8 @@
          "outside": {"cloud": "10.2.0.2:1", "state": "10.2.0.1:1"}, "known": others, "facts": facts}, Settings)
 
 
-def job_spec(uid: str, **changes: Any) -> dict[str, Any]:
-    spec = {"uid": uid, "lane": "batch", "crew": "team", "shape": "array", "rank": "normal", "picks": 1,
+def job_spec(job_id: str, **changes: Any) -> dict[str, Any]:
+    spec = {"uid": job_id, "lane": "batch", "crew": "team", "shape": "array", "rank": "normal", "picks": 1,
             "vcpus": 2.0, "gpus": 0.0, "memGb": 1.0, "kit": "img-1", "sizeGb": 1.0, "builds": None, "yard": None,
             "together": False, "spread": False, "loaners": True, "expectS": 5.0, "markEveryS": 0.0,
             "markCostS": 0.0, "dueS": None, "waitsOn": []}
