--- a/quinceslip/bench/capacity.py
+++ b/quinceslip/bench/capacity.py
@@ -58,17 +58,21 @@
                 seen = node.own_observations(now_us)
                 if seen:
                     frame = frames.pack_observations(frames.PeerObservations(node.label, seen))
-                    heard = frames.read_observations(frame[frames.HEADER.size:])
+                    heard = frames.read_observations(frame[frames.HEADER.size :])
                     sent += len(frame)
                     for other in nodes:
                         if other is not node and chance.random() >= LOSS:
                             other.observations_received(node.label, heard.observations, now_us)
     marks = statistics.quantiles(found, n=20) if len(found) > 1 else [0.0] * 19
-    return {"controllers": controllers, "told": told, "kinds": kinds, "seconds": seconds,
-            "vain_a_minute": round(vain / max(short_us / 60 / SECOND, 1e-9), 2),
-            "found_s": {"median": round(marks[9], 1), "p95": round(marks[18], 1),
-                        "most": round(max(found, default=0), 1)},
-            "bytes_a_second": round(sent / controllers / seconds, 1)}
+    return {
+        "controllers": controllers,
+        "told": told,
+        "kinds": kinds,
+        "seconds": seconds,
+        "vain_a_minute": round(vain / max(short_us / 60 / SECOND, 1e-9), 2),
+        "found_s": {"median": round(marks[9], 1), "p95": round(marks[18], 1), "most": round(max(found, default=0), 1)},
+        "bytes_a_second": round(sent / controllers / seconds, 1),
+    }
 
 
 def write_page(runs: Sequence[dict[str, Any]], target: Path) -> str:
--- a/quinceslip/bench/fleet.py
+++ b/quinceslip/bench/fleet.py
@@ -75,12 +75,23 @@
         self.requests: dict[int, Callable[[int, Any], None]] = {}
         self.jobs = self.launched = self.ended = self.writes = 0
         settings = msgspec.convert(
-            {"label": "one", "location": "a", "api_addr": "127.0.0.1:1", "peer_bind": "127.0.0.1:2",
-             "outside": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"},
-             "facts": {"size": 1, "zones": ZONES, "teams": [{"name": "team"}],
-                       "workers": {"report_s": REPORT_S, "lease_s": 26.0, "cancel_s": 46.0},
-                       "state": {"rps": 180.0, "write_rps": 60.0, "value_kb": 16.0, "txn_ops": 16},
-                       "cloud": {"rps": 9.0, "list_lag_s": 6.0}}}, Settings)
+            {
+                "label": "one",
+                "location": "a",
+                "api_addr": "127.0.0.1:1",
+                "peer_bind": "127.0.0.1:2",
+                "outside": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"},
+                "facts": {
+                    "size": 1,
+                    "zones": ZONES,
+                    "teams": [{"name": "team"}],
+                    "workers": {"report_s": REPORT_S, "lease_s": 26.0, "cancel_s": 46.0},
+                    "state": {"rps": 180.0, "write_rps": 60.0, "value_kb": 16.0, "txn_ops": 16},
+                    "cloud": {"rps": 9.0, "list_lag_s": 6.0},
+                },
+            },
+            Settings,
+        )
         self.type = m.MachineType("m", CPUS, 0.0, 64.0, 0.9, 50.0, ZONES, 0.36, 25.0)
         self.machines = [Machine(f"n-{n:06d}", ZONES[n % 2], n % 9 >= 5) for n in range(machines)]
         self.node = Controller(settings, Tuning(), 0, 0)
@@ -179,9 +190,17 @@
 
     def _report_of(self, machine: Machine) -> m.WorkerHeartbeat:
         machine.seq += 1
-        return m.WorkerHeartbeat(worker=machine.name, endpoint=self._endpoint(machine), type="m", zone=machine.zone,
-                              spot=machine.spot, epoch=1, seq=machine.seq, fencing_token=machine.fencing_token,
-                              tasks=list(machine.tasks.values()))
+        return m.WorkerHeartbeat(
+            worker=machine.name,
+            endpoint=self._endpoint(machine),
+            type="m",
+            zone=machine.zone,
+            spot=machine.spot,
+            epoch=1,
+            seq=machine.seq,
+            fencing_token=machine.fencing_token,
+            tasks=list(machine.tasks.values()),
+        )
 
     def heartbeat(self, machine: Machine) -> None:
         def heard(status: int, body: Any) -> None:
@@ -231,8 +250,10 @@
         self._soon(machine)
         spec = self.specs[task.rpartition("/")[0]]
         if not spec.service:
-            self.after(spec.estimate_s * self.random.uniform(0.5, 1.5) * SECOND,
-                       lambda: self._exit(machine, task, attempt, m.CAUSE_DONE))
+            self.after(
+                spec.estimate_s * self.random.uniform(0.5, 1.5) * SECOND,
+                lambda: self._exit(machine, task, attempt, m.CAUSE_DONE),
+            )
 
     def _exit(self, machine: Machine, task: str, attempt: int, why: str) -> None:
         known = machine.tasks.get(task)
@@ -247,20 +268,37 @@
         self.jobs += 1
         job_id = f"req-{self.jobs:06d}"
         spec = self.specs[job_id] = m.JobSpec(
-            job_id=job_id, job_class=priority_class, team="team", kind="standing" if service else "array",
+            job_id=job_id,
+            job_class=priority_class,
+            team="team",
+            kind="standing" if service else "array",
             priority_class=priority_class,  # type: ignore[arg-type]
-            tasks=tasks, cpus=1.0 if service else 2.0, gpus=0.0, memory_gb=3.0, image=f"img-{self.jobs % 10}",
-            image_gb=1.5, one_zone=False, spread=service, spot=not service, estimate_s=run_s,
-            checkpoint_s=15.0 if priority_class == "low" else 0.0, save_s=0.0)
-        self.message("submit", fx.UserRequest(self._request(lambda s, b: self._poll_later(job_id)), "submit", job_id, spec))
+            tasks=tasks,
+            cpus=1.0 if service else 2.0,
+            gpus=0.0,
+            memory_gb=3.0,
+            image=f"img-{self.jobs % 10}",
+            image_gb=1.5,
+            one_zone=False,
+            spread=service,
+            spot=not service,
+            estimate_s=run_s,
+            checkpoint_s=15.0 if priority_class == "low" else 0.0,
+            save_s=0.0,
+        )
+        self.message(
+            "submit", fx.UserRequest(self._request(lambda s, b: self._poll_later(job_id)), "submit", job_id, spec)
+        )
 
     def _poll_later(self, job_id: str) -> None:
         def heard(status: int, body: Any) -> None:
             if status != 200 or body["status"] not in (m.DONE, m.CANCELLED):
                 self._poll_later(job_id)
 
-        self.after(POLL_S * SECOND * self.random.uniform(0.8, 1.2), lambda: self.message(
-            "poll", fx.UserRequest(self._request(heard), "poll", job_id)))
+        self.after(
+            POLL_S * SECOND * self.random.uniform(0.8, 1.2),
+            lambda: self.message("poll", fx.UserRequest(self._request(heard), "poll", job_id)),
+        )
 
     def arrive(self, mean_s: float, make: Callable[[], None]) -> None:
         make()
@@ -288,12 +326,13 @@
         for _ in range(int(count * SERVICES_PER_MACHINE)):
             self.after(draw.uniform(1, 6) * SECOND, lambda: self.submit(True, draw.choice([2, 6, 9]), "production", 0))
         rate = ARRAYS_PER_S * count
-        self.after(START_US, lambda: self.arrive(2 / rate, lambda: self.submit(True, draw.choice([2, 6, 9]),
-                                                                               "production", 0)))
-        self.after(START_US, lambda: self.arrive(1 / rate, lambda: self.submit(False, draw.randint(5, 80), "normal",
-                                                                               30)))
-        self.after(START_US, lambda: self.arrive(3 / rate, lambda: self.submit(False, draw.randint(5, 150), "low",
-                                                                               60)))
+        self.after(
+            START_US, lambda: self.arrive(2 / rate, lambda: self.submit(True, draw.choice([2, 6, 9]), "production", 0))
+        )
+        self.after(
+            START_US, lambda: self.arrive(1 / rate, lambda: self.submit(False, draw.randint(5, 80), "normal", 30))
+        )
+        self.after(START_US, lambda: self.arrive(3 / rate, lambda: self.submit(False, draw.randint(5, 150), "low", 60)))
         while self.queue and self.queue[0][0] <= length_us:
             self.now_us, _, action = heapq.heappop(self.queue)
             action()
@@ -310,11 +349,22 @@
     kinds = {}
     for kind, cost in sorted(timed.costs.items()):
         calls = counted_run.costs[kind].calls
-        kinds[kind] = {"messages": cost.messages, "cpu_us_each": round(cost.cpu_us / cost.messages, 1),
-                       "calls_each": round(calls / max(counted_run.costs[kind].messages, 1), 1), "calls": calls}
-    return {"machines": machines, "simulated_s": length_s, "seed": seed,
-            "cpu_s": round(sum(c.cpu_us for c in timed.costs.values()) / 1e6, 2),
-            "calls": sum(c.calls for c in counted_run.costs.values()),
-            "jobs": timed.jobs, "launched": timed.launched, "ended": timed.ended, "writes": timed.writes,
-            "looked": sum(s.placement.workers_examined for s in timed.node.shards.values()), "kinds": kinds}
-
+        kinds[kind] = {
+            "messages": cost.messages,
+            "cpu_us_each": round(cost.cpu_us / cost.messages, 1),
+            "calls_each": round(calls / max(counted_run.costs[kind].messages, 1), 1),
+            "calls": calls,
+        }
+    return {
+        "machines": machines,
+        "simulated_s": length_s,
+        "seed": seed,
+        "cpu_s": round(sum(c.cpu_us for c in timed.costs.values()) / 1e6, 2),
+        "calls": sum(c.calls for c in counted_run.costs.values()),
+        "jobs": timed.jobs,
+        "launched": timed.launched,
+        "ended": timed.ended,
+        "writes": timed.writes,
+        "looked": sum(s.placement.workers_examined for s in timed.node.shards.values()),
+        "kinds": kinds,
+    }
--- a/quinceslip/cli.py
+++ b/quinceslip/cli.py
@@ -27,27 +27,33 @@
     commands = made.add_subparsers(dest="command", required=True, metavar="COMMAND")
     for name, text in (("run", "run one controller until it is ended"), ("check", "check the settings and exit")):
         command = commands.add_parser(name, help=text)
-        command.add_argument("--operator-config", type=Path, metavar="FILE",
-                             help="the operators' own settings (INI)")
-        command.add_argument("--config", type=Path, required=True, metavar="FILE",
-                             help="settings that the platform hands over (TOML)")
+        command.add_argument("--operator-config", type=Path, metavar="FILE", help="the operators' own settings (INI)")
+        command.add_argument(
+            "--config", type=Path, required=True, metavar="FILE", help="settings that the platform hands over (TOML)"
+        )
         command.set_defaults(act=run if name == "run" else check)
     _quota_commands(commands)
     model = commands.add_parser("model", help="explore a protocol's states exhaustively, with the service's own code")
     models = model.add_subparsers(dest="part", required=True, metavar="PROTOCOL")
     grants = models.add_parser("quota", help="the grants of quotas between shards")
-    for name, default, text in (("depth", 8, "steps from the start"), ("shards", 2, "shards that hold of one purse"),
-                                ("controllers", 2, "controllers; the first own a shard each"),
-                                ("total", 1, "tasks that the purse has room for"),
-                                ("most-states", 0, "end after so many states (0: never)")):
+    for name, default, text in (
+        ("depth", 8, "steps from the start"),
+        ("shards", 2, "shards that hold of one purse"),
+        ("controllers", 2, "controllers; the first own a shard each"),
+        ("total", 1, "tasks that the purse has room for"),
+        ("most-states", 0, "end after so many states (0: never)"),
+    ):
         grants.add_argument(f"--{name}", type=int, default=default, help=f"{text} ({default})")
     grants.add_argument("--without", default="", metavar="GUARD", help="leave one guard out: a breach must be found")
     grants.add_argument("--only", default="", metavar="STEP,...", help="only these kinds of steps, to reach deeper")
     grants.set_defaults(act=model_quota)
     takeover = models.add_parser("takeover", help="one shard's owner, its workers, and its successors")
-    for name, default, text in (("depth", 7, "steps from the start"), ("workers", 2, "machines on the roster"),
-                                ("tasks", 1, "tasks of one job"),
-                                ("most-states", 0, "end after so many states (0: never)")):
+    for name, default, text in (
+        ("depth", 7, "steps from the start"),
+        ("workers", 2, "machines on the roster"),
+        ("tasks", 1, "tasks of one job"),
+        ("most-states", 0, "end after so many states (0: never)"),
+    ):
         takeover.add_argument(f"--{name}", type=int, default=default, help=f"{text} ({default})")
     takeover.add_argument("--without", default="", metavar="GUARD", help="leave one guard out: a breach must be found")
     takeover.add_argument("--only", default="", metavar="STEP,...", help="only these kinds of steps, to reach deeper")
@@ -85,8 +91,15 @@
 
     logging.getLogger("quinceslip").setLevel(logging.CRITICAL)  # what it plays goes wrong on purpose
     try:
-        found = explore(arguments.depth, arguments.workers, arguments.tasks, arguments.without, arguments.most_states,
-                        frozenset(s for s in arguments.only.split(",") if s), read_steps(arguments.after))
+        found = explore(
+            arguments.depth,
+            arguments.workers,
+            arguments.tasks,
+            arguments.without,
+            arguments.most_states,
+            frozenset(s for s in arguments.only.split(",") if s),
+            read_steps(arguments.after),
+        )
     except ValueError as error:
         raise SettingsError(str(error)) from error
     print(f"{found.states} states, {found.depth} steps deep")
@@ -132,8 +145,11 @@
 
     from quinceslip.bench.capacity import measure, write_page
 
-    runs = [measure(count, told, arguments.kinds, arguments.seconds, arguments.seed, arguments.rps)
-            for count in arguments.controllers for told in (True, False)]
+    runs = [
+        measure(count, told, arguments.kinds, arguments.seconds, arguments.seed, arguments.rps)
+        for count in arguments.controllers
+        for told in (True, False)
+    ]
     for run in runs:
         print(json.dumps(run), flush=True)
     if arguments.output:
@@ -154,16 +170,26 @@
     parts = quota.add_subparsers(dest="part", required=True, metavar="COMMAND")
     checked = parts.add_parser("check", help="check the tree in an operators' file")
     checked.add_argument("file", type=Path, metavar="FILE")
-    checked.add_argument("--config", type=Path, metavar="FILE",
-                         help="the platform's settings, for its teams; else levels with none beneath them are teams")
+    checked.add_argument(
+        "--config",
+        type=Path,
+        metavar="FILE",
+        help="the platform's settings, for its teams; else levels with none beneath them are teams",
+    )
     checked.set_defaults(act=quota_check)
     show = parts.add_parser("show", help="the tree as a controller sees it")
     show.add_argument("--from", dest="address", required=True, metavar="ADDRESS", help="a controller's api_addr")
     show.add_argument("--json", action="store_true", help="one JSON object instead of a table")
     show.set_defaults(act=quota_show)
     record = parts.add_parser("record", help="write samples of the tree while a run goes on")
-    record.add_argument("--from", dest="address", required=True, action="append", metavar="ADDRESS",
-                        help="a controller's api_addr; give it once for each controller")
+    record.add_argument(
+        "--from",
+        dest="address",
+        required=True,
+        action="append",
+        metavar="ADDRESS",
+        help="a controller's api_addr; give it once for each controller",
+    )
     record.add_argument("--every", type=float, default=1.0, metavar="SECONDS")
     record.add_argument("--for", dest="length", type=float, default=60.0, metavar="SECONDS")
     record.add_argument("-o", "--output", type=Path, required=True, metavar="FILE")
@@ -226,8 +252,9 @@
         Timing(settings)
     except SettingsError as error:
         raise SettingsError(f"{arguments.config}: {error}") from error
-    made = subsystem_factories(settings, operators, str(arguments.operator_config or arguments.config),
-                  tuning.fair_teams)
+    made = subsystem_factories(
+        settings, operators, str(arguments.operator_config or arguments.config), tuning.fair_teams
+    )
     level = os.environ.get("LOG_LEVEL") or tuning.log_level or "error"
     if level not in LEVELS:
         raise SettingsError(f"LOG_LEVEL = {level}: must be error, info or debug")
@@ -242,8 +269,9 @@
 
 def run(arguments: argparse.Namespace) -> int:
     settings, tuning, level, made = _load(arguments)
-    logging.basicConfig(level=LEVELS[level], stream=sys.stderr,
-                        format="%(asctime)s %(levelname)s %(name)s: %(message)s")
+    logging.basicConfig(
+        level=LEVELS[level], stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
+    )
     from quinceslip.service import Service  # only now: checking needs no sockets
 
     try:
--- a/quinceslip/coordination/actor/context.py
+++ b/quinceslip/coordination/actor/context.py
@@ -47,13 +47,18 @@
 
     def __init__(self, settings: Settings) -> None:
         workers = settings.facts.workers
-        for name, given_s in (("report_s", workers.report_s), ("lease_s", workers.lease_s),
-                              ("cancel_s", workers.cancel_s)):
+        for name, given_s in (
+            ("report_s", workers.report_s),
+            ("lease_s", workers.lease_s),
+            ("cancel_s", workers.cancel_s),
+        ):
             if given_s > MAX_PERIOD_S:
                 raise SettingsError(f"facts.workers.{name} = {given_s:g}: more than {MAX_PERIOD_S} s")
         if workers.report_s * 1.25 >= workers.lease_s:
-            raise SettingsError(f"facts.workers.report_s = {workers.report_s:g}: a worker's lease (lease_s = "
-                                f"{workers.lease_s:g}) runs out between two reports")
+            raise SettingsError(
+                f"facts.workers.report_s = {workers.report_s:g}: a worker's lease (lease_s = "
+                f"{workers.lease_s:g}) runs out between two reports"
+            )
         self.heartbeat_period_us = micros(workers.report_s)
         self.worker_lease_us = micros(workers.lease_s)
         cancel_us = micros(workers.cancel_s)
@@ -63,10 +68,12 @@
         if left_us < MIN_LEASE_US:
             raise SettingsError(
                 f"facts.workers.cancel_s = {workers.cancel_s:g}: lease_s = {workers.lease_s:g} and margins of "
-                f"{2 * margin_us / SECOND:g} s leave no owner's lease of {MIN_LEASE_US // SECOND} s")
+                f"{2 * margin_us / SECOND:g} s leave no owner's lease of {MIN_LEASE_US // SECOND} s"
+            )
         # A third of the workers': a successor is up well before the workers of a dead owner give up.
-        self.leader_lease_us = min(max(self.worker_lease_us // 3, 2 * SECOND), max(cancel_us // 6, MIN_LEASE_US),
-                                  left_us, MAX_LEASE_US)
+        self.leader_lease_us = min(
+            max(self.worker_lease_us // 3, 2 * SECOND), max(cancel_us // 6, MIN_LEASE_US), left_us, MAX_LEASE_US
+        )
         # An owner that lost the state service answers its workers for this long past its own lease:
         # owner's lease + grace + worker's lease must end before a cancellation it cannot hear of falls due.
         self.grace_us = left_us - self.leader_lease_us
@@ -105,15 +112,28 @@
         self.active_part = ""  # of the tick, while it runs: where the actor is, for whoever sees it stand still
         self.records_applied = 0
         self.rejected_changes: dict[bytes, None] = {}  # digests of changes that the state service does not take
-        self.rejected_again: list[CompareAndSwapDone] = []  # who sent such changes again, and is told so at the next tick
+        self.rejected_again: list[
+            CompareAndSwapDone
+        ] = []  # who sent such changes again, and is told so at the next tick
 
     # What the graph of jobs asks: as it is before anything runs, by the estimates of the jobs' owners.
 
     def _urgency(self, spec: messages.JobSpec, at_us: int) -> JobUrgency:
         """A job's own; its due times that count from its submission alone, since the others start with it."""
-        dues = [] if spec.deadline_s is None else sorted({spec.deadline_s, *(
-            spec.deadline_s * o.times for o in self.settings.facts.objectives
-            if o.kind == "deadline" and o.job_class == spec.job_class)})
+        dues = (
+            []
+            if spec.deadline_s is None
+            else sorted(
+                {
+                    spec.deadline_s,
+                    *(
+                        spec.deadline_s * o.times
+                        for o in self.settings.facts.objectives
+                        if o.kind == "deadline" and o.job_class == spec.job_class
+                    ),
+                }
+            )
+        )
         return JobUrgency(spec.priority, tuple(at_us + micros(due_s) for due_s in dues))
 
     def expected_duration_us(self, spec: messages.JobSpec) -> int:
@@ -141,11 +161,22 @@
     def team(self, name: str) -> Team | None:
         return self.teams.get(name)
 
-    def call(self, target: str, method: str, path: str, body: Any, done: Done,
-             timeout_us: int = 0, writes: int = 0, urgency: Urgency = Urgency.USER) -> None:
+    def call(
+        self,
+        target: str,
+        method: str,
+        path: str,
+        body: Any,
+        done: Done,
+        timeout_us: int = 0,
+        writes: int = 0,
+        urgency: Urgency = Urgency.USER,
+    ) -> None:
         self.next_id += 1
         self.calls[self.next_id] = done
-        self.effects.append(Call(target, self.next_id, method, path, body, timeout_us or self.timeout_us, writes, urgency))
+        self.effects.append(
+            Call(target, self.next_id, method, path, body, timeout_us or self.timeout_us, writes, urgency)
+        )
 
     def handle_result(self, answer: CallResult) -> None:
         done = self.calls.pop(answer.id, None)
@@ -165,8 +196,14 @@
         elif status != 429:
             self.state_bad_us = self.now_us
 
-    def compare_and_swap(self, conditions: dict[str, int], puts: Mapping[str, tuple[Any, int | None]],
-            drops: list[str], done: CompareAndSwapDone, urgency: Urgency = Urgency.REST) -> None:
+    def compare_and_swap(
+        self,
+        conditions: dict[str, int],
+        puts: Mapping[str, tuple[Any, int | None]],
+        drops: list[str],
+        done: CompareAndSwapDone,
+        urgency: Urgency = Urgency.REST,
+    ) -> None:
         """One conditional write. On success the view has it before `done` runs.
 
         What the state service does not take for its size is answered 400, and logged as an error; the same changes
@@ -198,16 +235,20 @@
             done(status, failed)
             self.on_records_changed(keys)
 
-        self.call("state", "POST", messages.PATH_TXN, request, finish, writes=len(puts) + len(drops),
-                  urgency=urgency)
+        self.call("state", "POST", messages.PATH_TXN, request, finish, writes=len(puts) + len(drops), urgency=urgency)
 
     def _reject(self, request: dict[str, Any], why: bytes) -> None:
         changes = request["then"]
         keys = [change.get("write") or change["drop"] for change in changes]
         sizes = [len(msgspec.json.encode(change["v"])) for change in changes if "v" in change]
-        log.error("state service refused %d changes with %d conditions, the largest value of %d bytes: %s: %s",
-                  len(changes), len(request["if"]), max(sizes, default=0), ", ".join(keys),
-                  why[:200].decode("utf-8", "replace"))
+        log.error(
+            "state service refused %d changes with %d conditions, the largest value of %d bytes: %s: %s",
+            len(changes),
+            len(request["if"]),
+            max(sizes, default=0),
+            ", ".join(keys),
+            why[:200].decode("utf-8", "replace"),
+        )
         self.rejected_changes[_digest(request)] = None
         if len(self.rejected_changes) > MAX_REJECTED_CHANGES:
             del self.rejected_changes[next(iter(self.rejected_changes))]
@@ -227,7 +268,7 @@
         Once: what fails is left behind, and costs its bytes alone.
         """
         for start in range(0, len(keys), self.limits.txn_ops):
-            batch = keys[start: start + self.limits.txn_ops]
+            batch = keys[start : start + self.limits.txn_ops]
             self.compare_and_swap({k: self.cache.mod_revision(k) for k in batch}, {}, batch, lambda s, f: None)
 
 
--- a/quinceslip/coordination/actor/effects.py
+++ b/quinceslip/coordination/actor/effects.py
@@ -118,4 +118,14 @@
     said: Any  # a heartbeat, or sightings of the cloud's room
 
 
-Message = Tick | BatchEnd | CallResult | UserRequest | SubsystemQuery | HeartbeatReceived | StoreListing | StoreChanges | PeerFrameReceived
+Message = (
+    Tick
+    | BatchEnd
+    | CallResult
+    | UserRequest
+    | SubsystemQuery
+    | HeartbeatReceived
+    | StoreListing
+    | StoreChanges
+    | PeerFrameReceived
+)
--- a/quinceslip/coordination/autoscaling/autoscaler.py
+++ b/quinceslip/coordination/autoscaling/autoscaler.py
@@ -94,7 +94,9 @@
             mod_revision = self.ctx.cache.mod_revision(records.TYPES)
             # More types than fit a record are not kept, for a part of them would tell users that jobs never run.
             if (first or mod_revision == 0) and self.ctx.fits_record(types):
-                self.ctx.compare_and_swap({records.TYPES: mod_revision}, {records.TYPES: (types, None)}, [], lambda s, f: None)
+                self.ctx.compare_and_swap(
+                    {records.TYPES: mod_revision}, {records.TYPES: (types, None)}, [], lambda s, f: None
+                )
 
         self.ctx.call("cloud", "GET", m.PATH_MACHINE_TYPES, None, done, timeout_us=3 * SECOND, urgency=Urgency.REST)
 
@@ -129,16 +131,21 @@
         coming: list[tuple[str, bool, m.MachineType, list[float]]] = []
         for worker in shard.workers.values():
             # Boots take up to half as long again; one that takes longer may never end.
-            if not worker.last_contact_us and worker.type and not worker.deleting and \
-                    self.ctx.now_us - worker.registered_us < LATE_BOOT * micros(worker.type.boot_s):
+            if (
+                not worker.last_contact_us
+                and worker.type
+                and not worker.deleting
+                and self.ctx.now_us - worker.registered_us < LATE_BOOT * micros(worker.type.boot_s)
+            ):
                 room = [worker.type.cpus, worker.type.gpus, worker.type.memory_gb]
                 coming.append((worker.zone, worker.spot, worker.type, room))
         for request in self.scale_out.requests.values():
             kind = self.ctx.types.get(request.record.type)
             if request.shard == shard.index and kind:
                 for _ in range(request.expected_machines()):
-                    coming.append((request.record.zone, request.record.spot, kind,
-                                   [kind.cpus, kind.gpus, kind.memory_gb]))
+                    coming.append(
+                        (request.record.zone, request.record.spot, kind, [kind.cpus, kind.gpus, kind.memory_gb])
+                    )
         lacking: dict[tuple[str, bool, bool], tuple[JobPartition, float, int]] = {}
         spoken_for: dict[int, tuple[int, int, int, int]] = {}
         for partition in shard.waiting_in_order():
@@ -152,9 +159,12 @@
             if zones is not None and not zones:
                 continue
             for zone, spot, kind, room in coming:
-                if (spot and not spec.spot) or (spec.zone not in (None, zone)) or (
-                        zones is not None and zone not in zones) or (
-                        spec.types is not None and kind.label not in spec.types):
+                if (
+                    (spot and not spec.spot)
+                    or (spec.zone not in (None, zone))
+                    or (zones is not None and zone not in zones)
+                    or (spec.types is not None and kind.label not in spec.types)
+                ):
                     continue
                 # Bound: the tasks that wait, also where one of them takes nothing.
                 while waiting and fits((room[0], room[1], room[2]), spec):
@@ -165,8 +175,11 @@
             if waiting:
                 key = (spec.zone or "", spec.spot, spec.service or spec.gang)
                 known = lacking.get(key)
-                lacking[key] = (known[0] if known else partition, (known[1] if known else 0.0) + waiting * max(
-                    spec.cpus, 0.01), (known[2] if known else 0) + waiting)
+                lacking[key] = (
+                    known[0] if known else partition,
+                    (known[1] if known else 0.0) + waiting * max(spec.cpus, 0.01),
+                    (known[2] if known else 0) + waiting,
+                )
         for (_, spot, service), (partition, cpus, count) in lacking.items():
             if not service:
                 cpus = cpus * self.ctx.tuning.hire_fraction - self._absorbed(shard, self._spare_part())
@@ -210,8 +223,9 @@
         """Which types fetch a usual image of the services at hand within the wait that users accept."""
         placement = next(iter(self.shards.values())).placement
         specs = [j.spec for j in self.ctx.cache.open_services.values() if j.spec is not None]
-        self.ctx.quick_types = {t.label for t in self.ctx.types.values()
-                                if 2 * sum(placement.quick_type(t, s) for s in specs) > len(specs)}
+        self.ctx.quick_types = {
+            t.label for t in self.ctx.types.values() if 2 * sum(placement.quick_type(t, s) for s in specs) > len(specs)
+        }
 
     def _spare_part(self) -> float:
         """The part of what slots set free that new arrivals will not take themselves: 1 - rate / total m u."""
@@ -229,8 +243,9 @@
         cpus, _ = shard.mean_task()
         return part * slots * cpus * rate * min(kinds) if kinds else 0.0
 
-    def _scale_out_for(self, shard: Shard, partition: JobPartition, spot: bool, cpus: float, count: int,
-                  anywhere: bool = False) -> None:
+    def _scale_out_for(
+        self, shard: Shard, partition: JobPartition, spot: bool, cpus: float, count: int, anywhere: bool = False
+    ) -> None:
         spec = partition.spec
         zones = None if anywhere else shard.placement.eligible_zones(partition)
         in_zone: dict[str, int] = defaultdict(int)
@@ -243,8 +258,9 @@
                 continue
             if anywhere and not self.ctx.starts_quickly(kind):
                 continue
-            per_machine = max(1, int(min(kind.cpus / max(spec.cpus, 0.01),
-                                         kind.memory_gb / max(spec.memory_gb, 0.001), count)))
+            per_machine = max(
+                1, int(min(kind.cpus / max(spec.cpus, 0.01), kind.memory_gb / max(spec.memory_gb, 0.001), count))
+            )
             machines = max(1, math.ceil(cpus / max(per_machine * spec.cpus, 0.01) - 0.2))
             dear = machines
             if spot and kind.spot_price > 0 and not partition.spec.whole:
@@ -254,7 +270,7 @@
             for zone in kind.zones:
                 if (spec.zone not in (None, zone)) or (zones is not None and zone not in zones):
                     continue
-                for cheap in ([True, False] if spot else [False]):
+                for cheap in [True, False] if spot else [False]:
                     if not cheap and dear <= 0:
                         continue
                     if self.capacity.backs_off((kind.label, zone, cheap), self.ctx.now_us):
@@ -278,7 +294,11 @@
         now_us = self.ctx.now_us
         names: list[str] = []
         # Where most are silent, it is this node's network or a takeover, not the machines.
-        known = [w for w in shard.workers.values() if (w.last_contact_us or w.delivery.unanswered_probes) and not w.lease_expired]
+        known = [
+            w
+            for w in shard.workers.values()
+            if (w.last_contact_us or w.delivery.unanswered_probes) and not w.lease_expired
+        ]
         heard = sum(bool(w.last_contact_us) and not w.delivery.unanswered_probes for w in known)
         mostly_heard = 2 * heard >= len(known) or (len(known) <= 2 and self.election.may_launch())
         # At the moment of a cut the first machines count as silent while the others were heard just before it: one is
@@ -292,9 +312,12 @@
                 continue
             boot_us = micros(worker.type.boot_s)
             host = self.inventory.listed.get(worker.name)
-            deaf = worker.delivery.unanswered_probes >= MAX_UNANSWERED_PROBES and mostly_heard and worker.zone not in dark and (
-                len(known) <= 2
-                or newest_us > max(worker.delivery.first_missed_us, shard.led_since_us) + ASKED_US)
+            deaf = (
+                worker.delivery.unanswered_probes >= MAX_UNANSWERED_PROBES
+                and mostly_heard
+                and worker.zone not in dark
+                and (len(known) <= 2 or newest_us > max(worker.delivery.first_missed_us, shard.led_since_us) + ASKED_US)
+            )
             if worker.name in shard.unreconciled and deaf:
                 # Deleted, it is certain to be gone, and what it may have held can start elsewhere.
                 if not worker.draining:  # else it was asked for before, and the cloud did not answer
@@ -316,8 +339,11 @@
                 log.info("worker %s is silent for %.1f s: replaced", worker.name, silent_us / SECOND)
                 names.append(worker.name)
                 continue
-            if worker.delivery.unanswered_probes >= MAX_UNANSWERED_PROBES and not worker.attempts and \
-                    now_us - worker.delivery.first_missed_us > self.ctx.timing.lease_expiry_us:
+            if (
+                worker.delivery.unanswered_probes >= MAX_UNANSWERED_PROBES
+                and not worker.attempts
+                and now_us - worker.delivery.first_missed_us > self.ctx.timing.lease_expiry_us
+            ):
                 # Its reports arrive, so it would neither be used nor ever be found idle. Like one that is silent for
                 # so long it holds nothing, so a cut zone loses nothing by it.
                 if not worker.draining:
@@ -344,8 +370,14 @@
     @staticmethod
     def _awaited_by_gang(shard: Shard, worker: Worker) -> bool:
         """Whether a gang waits that this machine may be a part of: it starts on all of them at once or on none."""
-        return any(c.spec.gang and c.startable() and not c.on_hold and fits(worker.free(), c.spec)
-                   and shard.placement.satisfies_constraints(worker, c.spec, None) for c in shard.queued.values())
+        return any(
+            c.spec.gang
+            and c.startable()
+            and not c.on_hold
+            and fits(worker.free(), c.spec)
+            and shard.placement.satisfies_constraints(worker, c.spec, None)
+            for c in shard.queued.values()
+        )
 
     @staticmethod
     def _unreachable_zones(shard: Shard) -> set[str]:
@@ -369,8 +401,13 @@
             if worker.service_tasks or worker.name in shard.unreconciled:
                 asked[worker.zone] += 1
                 silent[worker.zone] += worker.delivery.unanswered_probes > 0
-        return {zone for zone, count in silent.items() if count >= MIN_UNREACHABLE_MACHINES and 2 * count >= asked[zone]
-                and alive_us[zone] <= last_us[zone] + UNREACHABLE_PROBE_US}
+        return {
+            zone
+            for zone, count in silent.items()
+            if count >= MIN_UNREACHABLE_MACHINES
+            and 2 * count >= asked[zone]
+            and alive_us[zone] <= last_us[zone] + UNREACHABLE_PROBE_US
+        }
 
     def _idle_limit_us(self, boot_us: int) -> int:
         return max(10 * SECOND, int(self.ctx.tuning.idle_return_factor * boot_us))
@@ -414,7 +451,9 @@
                 for name in names:
                     worker = shard.workers.get(name)
                     if worker is not None and worker.type is not None:
-                        self.capacity.machines_returned((worker.type.label, worker.zone, worker.spot), 1, self.ctx.now_us)
+                        self.capacity.machines_returned(
+                            (worker.type.label, worker.zone, worker.spot), 1, self.ctx.now_us
+                        )
                     self.inventory.machine_gone(shard, name, "returned")
             else:
                 self.next_delete_us = self.ctx.now_us + SECOND
--- a/quinceslip/coordination/autoscaling/capacity.py
+++ b/quinceslip/coordination/autoscaling/capacity.py
@@ -101,7 +101,10 @@
         for observation in observations:
             at_us, before = now_us - observation.age_us, theirs.get(observation.kind)
             if before is not None:
-                version, known = (observation.born, observation.number), (before.observation.born, before.observation.number)
+                version, known = (
+                    (observation.born, observation.number),
+                    (before.observation.born, before.observation.number),
+                )
                 # Guard: the same sighting heard again, or an older one that was late, moves nothing later.
                 if version < known or (version == known and at_us >= before.at_us):
                     continue
--- a/quinceslip/coordination/autoscaling/consolidation.py
+++ b/quinceslip/coordination/autoscaling/consolidation.py
@@ -85,8 +85,12 @@
         for attempt in worker.live_attempts():
             if moved >= most:
                 break
-            if not attempt.spec.service or attempt.stopping or not attempt.observed or \
-                    self.ctx.now_us - attempt.running_us < SETTLED_US:
+            if (
+                not attempt.spec.service
+                or attempt.stopping
+                or not attempt.observed
+                or self.ctx.now_us - attempt.running_us < SETTLED_US
+            ):
                 continue
             target = self._target(shard, attempt, workers, room, patient)
             if target is not None:
@@ -96,14 +100,24 @@
                 moved += 1
         return moved
 
-    def _target(self, shard: Shard, attempt: Attempt, workers: list[Worker],
-                room: dict[str, tuple[float, float, float]], patient: bool) -> Worker | None:
+    def _target(
+        self,
+        shard: Shard,
+        attempt: Attempt,
+        workers: list[Worker],
+        room: dict[str, tuple[float, float, float]],
+        patient: bool,
+    ) -> Worker | None:
         """A machine of the same zone that has room and the image: `spread` stays as it is."""
         spec = attempt.spec
         fetching: Worker | None = None
         for worker in workers:
-            if worker.name in room and worker.running and fits(room[worker.name], spec) \
-                    and shard.placement.satisfies_constraints(worker, spec, None):
+            if (
+                worker.name in room
+                and worker.running
+                and fits(room[worker.name], spec)
+                and shard.placement.satisfies_constraints(worker, spec, None)
+            ):
                 if spec.image in worker.images:
                     return worker
                 if patient and fetching is None and not shard.placement.slow_fetch(worker, spec):
--- a/quinceslip/coordination/autoscaling/inventory.py
+++ b/quinceslip/coordination/autoscaling/inventory.py
@@ -21,8 +21,13 @@
 class MachineInventory:
     """Owns the list and the way off the roster; `delete` asks the cloud to delete machines of a shard."""
 
-    def __init__(self, ctx: Context, election: LeaderElection, shards: dict[int, Shard],
-                 delete: Callable[[Shard, list[str]], None]) -> None:
+    def __init__(
+        self,
+        ctx: Context,
+        election: LeaderElection,
+        shards: dict[int, Shard],
+        delete: Callable[[Shard, list[str]], None],
+    ) -> None:
         self.ctx = ctx
         self.election = election
         self.shards = shards
@@ -38,7 +43,9 @@
         self.next_deregister_us = 0
         self.next_adopt_us = 0
         self.deregistered_us: dict[str, int] = {}  # when a machine left the roster
-        self.adoption_probed_until_us: dict[str, int] = {}  # machines that were asked whether they exist, and until when not again
+        self.adoption_probed_until_us: dict[
+            str, int
+        ] = {}  # machines that were asked whether they exist, and until when not again
         # Our part of the cloud's calls, leaving half for rentals and deletions.
         rate = ctx.settings.facts.cloud.rps / ctx.settings.facts.size
         self.list_period_us = max(int(SECOND / max(rate / 4, 0.05)), 2 * SECOND)
@@ -70,8 +77,9 @@
         found: dict[str, m.CloudMachine] = {}
 
         def page(after: str) -> None:
-            self.ctx.call("cloud", "GET", m.machines_path(after), None, done, timeout_us=3 * SECOND,
-                          urgency=Urgency.REST)
+            self.ctx.call(
+                "cloud", "GET", m.machines_path(after), None, done, timeout_us=3 * SECOND, urgency=Urgency.REST
+            )
 
         def done(status: int, body: bytes) -> None:
             try:
@@ -123,7 +131,9 @@
         the roster held up the next takeover, which waits for every machine on it.
         """
         machine_records = self.ctx.cache.by_kind["roster"]
-        for name in [n for n, index in self.to_deregister.items() if n not in machine_records or not self.election.leads(index)]:
+        for name in [
+            n for n, index in self.to_deregister.items() if n not in machine_records or not self.election.leads(index)
+        ]:
             del self.to_deregister[name]
         if not self.to_deregister or self.deregistering or self.ctx.now_us < self.next_deregister_us:
             return
@@ -150,8 +160,13 @@
                 done(503, [])
             return
         key = records.machine_key(name)
-        self.ctx.compare_and_swap({**self.election.fencing_condition(record.shard), key: 0}, {key: (record, None)}, [],
-                     done or (lambda s, f: None), Urgency.LAUNCH)
+        self.ctx.compare_and_swap(
+            {**self.election.fencing_condition(record.shard), key: 0},
+            {key: (record, None)},
+            [],
+            done or (lambda s, f: None),
+            Urgency.LAUNCH,
+        )
 
     def adopt_from_heartbeat(self, heartbeat: m.WorkerHeartbeat, index: int, done: CompareAndSwapDone) -> None:
         """Put a machine that reports, and that nobody expected, on the roster of a shard.
@@ -167,7 +182,9 @@
             del self.adoption_probed_until_us[known]
         # Copies of one that is gone come by the hundred: it is not asked again for a while.
         self.adoption_probed_until_us[name] = now_us + self.ctx.timing.worker_lease_us // 2
-        record = records.MachineRecord(index, heartbeat.type, heartbeat.zone, heartbeat.spot, heartbeat.endpoint, used=True)
+        record = records.MachineRecord(
+            index, heartbeat.type, heartbeat.zone, heartbeat.spot, heartbeat.endpoint, used=True
+        )
 
         def asked(status: int, body: bytes) -> None:
             if status == 200 and m.names(body, name):
@@ -198,6 +215,7 @@
                 continue
             self.next_adopt_us = self.ctx.now_us + 2 * SECOND
             log.info("machine %s is unexpected: adopted by shard %d", name, shard.index)
-            self.adopt(name, records.MachineRecord(shard.index, host.type, host.zone, host.spot,
-                                                  host.endpoint, used=True))
+            self.adopt(
+                name, records.MachineRecord(shard.index, host.type, host.zone, host.spot, host.endpoint, used=True)
+            )
             return
--- a/quinceslip/coordination/autoscaling/scale_out.py
+++ b/quinceslip/coordination/autoscaling/scale_out.py
@@ -41,8 +41,9 @@
 class ScaleOut:
     """Owns the requests on their way; `answered` is told of each answer, so that what still lacks is asked for."""
 
-    def __init__(self, ctx: Context, election: LeaderElection, shards: dict[int, Shard],
-                 answered: Callable[[], None]) -> None:
+    def __init__(
+        self, ctx: Context, election: LeaderElection, shards: dict[int, Shard], answered: Callable[[], None]
+    ) -> None:
         self.ctx = ctx
         self.election = election
         self.shards = shards
@@ -50,8 +51,13 @@
         self.requests: dict[str, ScaleOutRequest] = {}
         self.counter = 0
         settings = ctx.settings
-        self.capacity = CapacityObservations(settings.label, [settings.label, *(p.label for p in settings.known)],
-                             settings.facts.cloud.rps, ctx.wall_us // 1000, ctx.tuning.tell_supply)
+        self.capacity = CapacityObservations(
+            settings.label,
+            [settings.label, *(p.label for p in settings.known)],
+            settings.facts.cloud.rps,
+            ctx.wall_us // 1000,
+            ctx.tuning.tell_supply,
+        )
 
     def has_unrecorded(self, shard: int) -> bool:
         """Whether a request of this shard is not durable yet."""
@@ -63,7 +69,9 @@
             if name not in self.requests and record.shard in self.shards:
                 self.requests[name] = ScaleOutRequest(name, record.shard, record, recorded=True)
         for request in list(self.requests.values()):
-            if request.shard not in self.shards or (request.recorded and request.name not in self.ctx.cache.by_kind["hire"]):
+            if request.shard not in self.shards or (
+                request.recorded and request.name not in self.ctx.cache.by_kind["hire"]
+            ):
                 del self.requests[request.name]
             elif request.recorded and not request.asking and self.ctx.now_us >= request.next_us:
                 if request.machines is None:
@@ -89,9 +97,18 @@
                 pass
             else:
                 return  # 429, trouble or no answer: the same name again later
-            self.capacity.request_answered((record.type, record.zone, record.spot), record.count, len(names), self.ctx.now_us)
-            log.info("hire %s: %d of %d %s in %s%s", request.name, len(names), record.count, record.type,
-                     record.zone, " (spot)" if record.spot else "")
+            self.capacity.request_answered(
+                (record.type, record.zone, record.spot), record.count, len(names), self.ctx.now_us
+            )
+            log.info(
+                "hire %s: %d of %d %s in %s%s",
+                request.name,
+                len(names),
+                record.count,
+                record.type,
+                record.zone,
+                " (spot)" if record.spot else "",
+            )
             request.machines = names
             self.on_answer()
             self._register(request)
@@ -127,8 +144,7 @@
                 if rest:
                     request.next_us = self.ctx.now_us
 
-        self.ctx.compare_and_swap(conditions, puts, [] if rest else [key], done,
-                     Urgency.LAUNCH)
+        self.ctx.compare_and_swap(conditions, puts, [] if rest else [key], done, Urgency.LAUNCH)
 
     def start(self, shard: Shard, machine_type: str, zone: str, spot: bool, count: int) -> None:
         self.counter += 1
@@ -143,5 +159,10 @@
             else:
                 self.requests.pop(name, None)
 
-        self.ctx.compare_and_swap({**self.election.fencing_condition(shard.index), records.scale_out_key(name): 0},
-                     {records.scale_out_key(name): (record, None)}, [], done, Urgency.LAUNCH)
+        self.ctx.compare_and_swap(
+            {**self.election.fencing_condition(shard.index), records.scale_out_key(name): 0},
+            {records.scale_out_key(name): (record, None)},
+            [],
+            done,
+            Urgency.LAUNCH,
+        )
--- a/quinceslip/coordination/controller/controller.py
+++ b/quinceslip/coordination/controller/controller.py
@@ -39,8 +39,14 @@
 
 
 class Controller:
-    def __init__(self, settings: Settings, tuning: Tuning, now_us: int, wall_us: int,
-                 subsystem_factories: Sequence[SubsystemFactory] = ()) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        tuning: Tuning,
+        now_us: int,
+        wall_us: int,
+        subsystem_factories: Sequence[SubsystemFactory] = (),
+    ) -> None:
         self.ctx = Context(settings, tuning, now_us, wall_us)
         self.ctx.on_records_changed = self._records_changed
         self.labels = sorted([settings.label, *(p.label for p in settings.known)])
@@ -78,8 +84,9 @@
             else:
                 self.user_requests.handle(message)
         elif isinstance(message, SubsystemQuery):
-            answers = [s.answer(message.question, message.after) for s in self.subsystems
-                       if message.question in s.questions]
+            answers = [
+                s.answer(message.question, message.after) for s in self.subsystems if message.question in s.questions
+            ]
             ctx.reply(message.request, 200 if answers else 404, answers[0] if answers else {"error": "no such path"})
         elif isinstance(message, StoreChanges):
             self.election.watch_sent_us = max(self.election.watch_sent_us, message.asked_us)
@@ -107,7 +114,9 @@
     def _records_changed(self, keys: Iterable[str]) -> None:
         keys = list(keys)
         # First who waits for whom: whether a job may start rests on the records of others in the same batch.
-        pipelines = self.ctx.graph.records_changed([name for kind, name in map(records.StoreCache.split, keys) if kind == "job"])
+        pipelines = self.ctx.graph.records_changed(
+            [name for kind, name in map(records.StoreCache.split, keys) if kind == "job"]
+        )
         for key in keys:
             self.ctx.records_applied += 1
             kind, name = records.StoreCache.split(key)
@@ -164,12 +173,19 @@
 
     def _tick(self) -> None:
         """Every part on its own: a defect in one of them costs that part its turn and nothing else."""
-        for name, part in (("refused", self.ctx.answer_rejected_again), ("rights", self.election.tick),
-                           ("rollout", self.feature_gate.tick), ("shards", self._tick_shards),
-                           ("machines", self.autoscaler.tick), ("beat", self._tick_heartbeat),
-                           ("balance", self.load_balancer.tick), ("peers", self._tick_periodic),
-                           *((type(s).__name__, s.tick) for s in self.subsystems), ("users", self.user_requests.tick),
-                           ("withdrawals", self.cancellation_propagator.tick)):
+        for name, part in (
+            ("refused", self.ctx.answer_rejected_again),
+            ("rights", self.election.tick),
+            ("rollout", self.feature_gate.tick),
+            ("shards", self._tick_shards),
+            ("machines", self.autoscaler.tick),
+            ("beat", self._tick_heartbeat),
+            ("balance", self.load_balancer.tick),
+            ("peers", self._tick_periodic),
+            *((type(s).__name__, s.tick) for s in self.subsystems),
+            ("users", self.user_requests.tick),
+            ("withdrawals", self.cancellation_propagator.tick),
+        ):
             self.ctx.active_part = name
             try:
                 part()
@@ -205,8 +221,14 @@
     # Peers.
 
     def _heartbeat(self) -> None:
-        heartbeat = frames.PeerHeartbeat(self.ctx.settings.label, self.ctx.store_available(), self.ctx.cache.revision,
-                           self.load_balancer.loads(), self.connectivity.yielding, self.connectivity.misrouted_counts())
+        heartbeat = frames.PeerHeartbeat(
+            self.ctx.settings.label,
+            self.ctx.store_available(),
+            self.ctx.cache.revision,
+            self.load_balancer.loads(),
+            self.connectivity.yielding,
+            self.connectivity.misrouted_counts(),
+        )
         said = frames.pack_heartbeat(heartbeat)
         seen = self.autoscaler.capacity.own_observations(self.ctx.now_us)
         if seen:
@@ -225,8 +247,10 @@
             return True
         if len(self.labels) > 1 and not any(map(self.load_balancer.is_alive, self.load_balancer.peers)):
             return False
-        return not any(self.load_balancer.is_alive(label) and peer.heartbeat.state_ok
-                       for label, peer in self.load_balancer.peers.items())
+        return not any(
+            self.load_balancer.is_alive(label) and peer.heartbeat.state_ok
+            for label, peer in self.load_balancer.peers.items()
+        )
 
     def _hand_shards_home(self) -> None:
         """A shard goes home once its home has been back long enough and nothing is in doubt."""
@@ -238,9 +262,16 @@
                 continue
             peer = self.load_balancer.peers[label]
             steady_us = self.ctx.now_us - max(peer.since_us, shard.led_since_us)
-            calm = not shard.unreconciled and all(w.fenced or w.lease_expired or not w.last_contact_us or w.delivery.unreachable
-                                                for w in shard.workers.values())
-            if peer.heartbeat.state_ok and not peer.heartbeat.yielding and steady_us > 2 * self.ctx.timing.worker_lease_us and calm:
+            calm = not shard.unreconciled and all(
+                w.fenced or w.lease_expired or not w.last_contact_us or w.delivery.unreachable
+                for w in shard.workers.values()
+            )
+            if (
+                peer.heartbeat.state_ok
+                and not peer.heartbeat.yielding
+                and steady_us > 2 * self.ctx.timing.worker_lease_us
+                and calm
+            ):
                 self.election.hand_over(shard.index)
                 return
 
@@ -249,8 +280,13 @@
         if not self.election.may_launch():
             return
         for index, shard in self.shards.items():
-            misrouted = sum(count for label, peer in self.load_balancer.peers.items() if self.load_balancer.is_alive(label)
-                         for s, count in peer.heartbeat.misrouted if s == index) + self.connectivity.recorded_misrouted(index)
+            misrouted = sum(
+                count
+                for label, peer in self.load_balancer.peers.items()
+                if self.load_balancer.is_alive(label)
+                for s, count in peer.heartbeat.misrouted
+                if s == index
+            ) + self.connectivity.recorded_misrouted(index)
             if misrouted and self.connectivity.lost_contact(shard.workers.values(), misrouted):
                 self.connectivity.start_yielding(index)
                 self.election.hand_over(index)
--- a/quinceslip/coordination/controller/user_requests.py
+++ b/quinceslip/coordination/controller/user_requests.py
@@ -39,8 +39,9 @@
 
 
 class UserRequests:
-    def __init__(self, ctx: Context, shards: dict[int, Shard], load_balancer: LoadBalancer,
-                 subsystems: Sequence[Subsystem]) -> None:
+    def __init__(
+        self, ctx: Context, shards: dict[int, Shard], load_balancer: LoadBalancer, subsystems: Sequence[Subsystem]
+    ) -> None:
         self.ctx = ctx
         self.shards = shards
         self.load_balancer = load_balancer
@@ -95,11 +96,18 @@
         if self.ctx.team(spec.team) is None:
             return f"unknown team {spec.team}"
         kinds = [t for t in self.ctx.types.values() if spec.types is None or t.label in spec.types]
-        if not any(t.cpus >= spec.cpus and t.gpus >= spec.gpus and t.memory_gb >= spec.memory_gb
-                   and (spec.zone is None or spec.zone in t.zones) for t in kinds):
+        if not any(
+            t.cpus >= spec.cpus
+            and t.gpus >= spec.gpus
+            and t.memory_gb >= spec.memory_gb
+            and (spec.zone is None or spec.zone in t.zones)
+            for t in kinds
+        ):
             where = "" if spec.zone is None else f" in {spec.zone}"
-            return (f"a task of {spec.cpus:g} CPUs, {spec.gpus:g} GPUs and {spec.memory_gb:g} GB fits no allowed "
-                    f"machine type{where}: {', '.join(sorted(t.label for t in kinds)) or 'there is none'}")
+            return (
+                f"a task of {spec.cpus:g} CPUs, {spec.gpus:g} GPUs and {spec.memory_gb:g} GB fits no allowed "
+                f"machine type{where}: {', '.join(sorted(t.label for t in kinds)) or 'there is none'}"
+            )
         return next((why for s in self.subsystems if (why := s.never_runs_reason(spec)) is not None), None)
 
     def _is_final(self, job_id: str, job: records.JobRecord | None) -> bool:
@@ -138,7 +146,9 @@
         everything = task_sets.encode(set(range(spec.tasks)))
         last = ctx.settings.facts.size - 1  # of the shards, the longest to write
         job = records.JobRecord(m.QUEUED, spec.tasks, spec, last, records.PartitionRecord(everything), ctx.wall_us)
-        why = self._never_runs_reason(spec) if ctx.fits_record(job) else "its description is larger than a record may be"
+        why = (
+            self._never_runs_reason(spec) if ctx.fits_record(job) else "its description is larger than a record may be"
+        )
         if why is not None:
             # Not before it is sure that the job is not known: an accepted job never gets 422.
             self._poll(request, job_id, absent=(422, {"error": why}))
@@ -169,16 +179,26 @@
                 if not spec.waits_on:
                     self.load_balancer.tasks_arrived(spec)
                 log.debug("accepted %s: %d tasks of %s for shard %d", job_id, spec.tasks, spec.job_class, shard)
-                ctx.reply(request, 201, m.job_answer(job_id, m.CANCELLED if self._depends_on_cancelled(spec) else m.QUEUED))
+                ctx.reply(
+                    request, 201, m.job_answer(job_id, m.CANCELLED if self._depends_on_cancelled(spec) else m.QUEUED)
+                )
             elif status == 409:
                 self._poll(request, job_id)
             else:
                 self._unavailable(request)
 
-        ctx.compare_and_swap({records.job_key(job_id): 0}, {records.job_key(job_id): (job, None)}, [], done, Urgency.USER)
-
-    def _poll(self, request: int, job_id: str, then: str = "status",
-              absent: tuple[int, object] = (404, {"error": "no such job"}), spec: m.JobSpec | None = None) -> None:
+        ctx.compare_and_swap(
+            {records.job_key(job_id): 0}, {records.job_key(job_id): (job, None)}, [], done, Urgency.USER
+        )
+
+    def _poll(
+        self,
+        request: int,
+        job_id: str,
+        then: str = "status",
+        absent: tuple[int, object] = (404, {"error": "no such job"}),
+        spec: m.JobSpec | None = None,
+    ) -> None:
         job = self.ctx.cache.job(job_id)
         if job is not None and self._is_final(job_id, job):
             self.ctx.reply(request, 200, self._status(job_id, job))
@@ -221,8 +241,14 @@
             # Bound: each is called by an answer of the state service, so none is within another.
             self._start_read_barrier()
 
-        self.ctx.call("state", "GET", f"{m.PATH_KV}/{records.NOTHING}", None, done,
-                      timeout_us=min(SECOND, max(READ_WAIT_US, left_us)))
+        self.ctx.call(
+            "state",
+            "GET",
+            f"{m.PATH_KV}/{records.NOTHING}",
+            None,
+            done,
+            timeout_us=min(SECOND, max(READ_WAIT_US, left_us)),
+        )
 
     def cache_advanced(self) -> None:
         behind, self.awaiting_cache = self.awaiting_cache, []
@@ -267,7 +293,11 @@
             else:
                 self._unavailable(request)
             return
-        parts = [records.partition_key(s, job_id) for s in job.parts if ctx.cache.mod_revision(records.partition_key(s, job_id))]
+        parts = [
+            records.partition_key(s, job_id)
+            for s in job.parts
+            if ctx.cache.mod_revision(records.partition_key(s, job_id))
+        ]
         most = ctx.limits.txn_ops - 1  # nobody reads the parts of a job that is over
         key = records.job_key(job_id)
         final = records.final_record(job, m.CANCELLED, records.done_count(ctx.cache, job_id))
--- a/quinceslip/coordination/jobs/persistence.py
+++ b/quinceslip/coordination/jobs/persistence.py
@@ -46,7 +46,9 @@
         self.ctx = state.ctx
         self.dirty_jobs: set[str] = set()  # chunks that may have something to record
         self.jobs_arrived = 0
-        self.urgency_rises_us: dict[str, int] = {}  # jobs that are treated as what needs them from then on, by wall clock
+        self.urgency_rises_us: dict[
+            str, int
+        ] = {}  # jobs that are treated as what needs them from then on, by wall clock
         self.result_writes_per_s = RESULT_WRITE_PART * self.ctx.limits.write_rps / self.ctx.settings.facts.size
 
     # From the records.
@@ -66,8 +68,13 @@
             return
         if partition is None:
             spec, due_us = self._with_urgency(job_id, job.spec, job.at_us)
-            partition = state.partitions[job_id] = JobPartition(job_id, spec, max(job.at_us, self.ctx.graph.ready_us(job_id)), due_us=due_us,
-                                              crash_loop=CrashLoopDetector(self.ctx.tuning.suspect_mistakes))
+            partition = state.partitions[job_id] = JobPartition(
+                job_id,
+                spec,
+                max(job.at_us, self.ctx.graph.ready_us(job_id)),
+                due_us=due_us,
+                crash_loop=CrashLoopDetector(self.ctx.tuning.suspect_mistakes),
+            )
             if not inherited:
                 self.jobs_arrived += 1
         own, done = task_sets.decode(record.assigned), task_sets.decode(record.done)
@@ -84,7 +91,9 @@
             partition.unreconciled.discard(index)
             partition.crash_loop.on_hold.discard(index)
         if partition.crash_loop.on_hold and not partition.pending and not partition.attempts:
-            state.add_pending(partition, sorted(partition.crash_loop.on_hold))  # what was tried is here no more: the next one
+            state.add_pending(
+                partition, sorted(partition.crash_loop.on_hold)
+            )  # what was tried is here no more: the next one
         mod_revision = cache.mod_revision(self._key(job_id))
         if partition.indeterminate and mod_revision > partition.indeterminate_revision:
             # The record changed since, so the move was either applied or never can be.
@@ -170,7 +179,9 @@
             if partition.unrecorded_done and (whole or now_us >= partition.next_result_us):
                 self._write_partition(partition, pause_us, whole)
             elif partition.indeterminate and not partition.moving:
-                self._write_partition(partition, pause_us, False)  # settles an open move: the same chunk under a new stamp
+                self._write_partition(
+                    partition, pause_us, False
+                )  # settles an open move: the same chunk under a new stamp
             elif whole and not partition.unrecorded_done:
                 partition.next_write_us = now_us + SECOND
                 self._finish_if_complete(partition.job_id)
@@ -193,14 +204,25 @@
         if value is None:
             partition.next_write_us = partition.next_result_us
             return
-        self._write(partition, {key: cache.mod_revision(key)}, {key: (value, None)}, [],
-                    Urgency.USER if whole else Urgency.RESULT)
-
-    def _record_value(self, partition: JobPartition, job: records.JobRecord, done: set[int]) -> records.JobRecord | records.PartitionRecord:
-        record = records.PartitionRecord(task_sets.encode(partition.assigned), task_sets.encode(done), sorted(partition.zones))
+        self._write(
+            partition,
+            {key: cache.mod_revision(key)},
+            {key: (value, None)},
+            [],
+            Urgency.USER if whole else Urgency.RESULT,
+        )
+
+    def _record_value(
+        self, partition: JobPartition, job: records.JobRecord, done: set[int]
+    ) -> records.JobRecord | records.PartitionRecord:
+        record = records.PartitionRecord(
+            task_sets.encode(partition.assigned), task_sets.encode(done), sorted(partition.zones)
+        )
         return msgspec.structs.replace(job, partition=record) if job.shard == self.state.index else record
 
-    def _largest_fitting_value(self, partition: JobPartition, job: records.JobRecord) -> records.JobRecord | records.PartitionRecord | None:
+    def _largest_fitting_value(
+        self, partition: JobPartition, job: records.JobRecord
+    ) -> records.JobRecord | records.PartitionRecord | None:
         """The chunk's record with its results, or with as many as fit; the others wait on their workers.
 
         None where none fits and nothing else is to be settled: the last result may make the set short again.
@@ -217,10 +239,21 @@
                 few = half
             else:
                 many = half
-        return self._record_value(partition, job, partition.done | set(fresh[:few])) if few or partition.indeterminate else None
-
-    def _write(self, partition: JobPartition, conditions: dict[str, int], puts: dict[str, tuple[Any, int | None]],
-               drops: list[str], urgency: Urgency, later: Sequence[str] = ()) -> None:
+        return (
+            self._record_value(partition, job, partition.done | set(fresh[:few]))
+            if few or partition.indeterminate
+            else None
+        )
+
+    def _write(
+        self,
+        partition: JobPartition,
+        conditions: dict[str, int],
+        puts: dict[str, tuple[Any, int | None]],
+        drops: list[str],
+        urgency: Urgency,
+        later: Sequence[str] = (),
+    ) -> None:
         """`later` names what may be dropped once this is written."""
         partition.writing = True
 
@@ -232,8 +265,9 @@
                 log.info("job %s is done", partition.job_id)
                 self.ctx.delete_unneeded(list(later))
 
-        self.ctx.compare_and_swap({**self.state.election.fencing_condition(self.state.index), **conditions}, puts, drops, finish,
-                     urgency)
+        self.ctx.compare_and_swap(
+            {**self.state.election.fencing_condition(self.state.index), **conditions}, puts, drops, finish, urgency
+        )
 
     def _finish_if_complete(self, job_id: str) -> None:
         """A job in several chunks is done when all of them are; its home shard says so."""
@@ -254,7 +288,9 @@
         drops = [p for p in parts if cache.mod_revision(p)]
         most = self.ctx.limits.txn_ops - 1  # nobody reads the parts of a job that is over
         final = records.final_record(job, m.DONE, count, self.ctx.wall_us)
-        self._write(partition, conditions, {records.job_key(job_id): (final, None)}, drops[:most], Urgency.USER, drops[most:])
+        self._write(
+            partition, conditions, {records.job_key(job_id): (final, None)}, drops[:most], Urgency.USER, drops[most:]
+        )
 
     # Moves between shards.
 
@@ -264,8 +300,16 @@
         The two never meet, so each shard can keep to the spread by counting its own tasks.
         """
         spec = partition.spec
-        if not (spec.service and spec.spread) or spec.one_zone or spec.zone or partition.writing or partition.moving \
-                or partition.indeterminate or partition.unreconciled or not partition.pending:
+        if (
+            not (spec.service and spec.spread)
+            or spec.one_zone
+            or spec.zone
+            or partition.writing
+            or partition.moving
+            or partition.indeterminate
+            or partition.unreconciled
+            or not partition.pending
+        ):
             return None
         used = set()
         for attempt in self.state.attempts_by_job.get(partition.job_id, ()):
@@ -279,16 +323,26 @@
     def movable(self, partition: JobPartition) -> list[int]:
         """Tasks certain not to be running; all or nothing where zones bind the tasks together."""
         # What is suspected of a mistake stays where that is known.
-        if partition.writing or partition.moving or partition.indeterminate or partition.unreconciled or partition.crash_loop.suspected:
+        if (
+            partition.writing
+            or partition.moving
+            or partition.indeterminate
+            or partition.unreconciled
+            or partition.crash_loop.suspected
+        ):
             return []
         if partition.spec.whole:
-            whole = len(partition.pending) == len(partition.assigned) - len(partition.done) and not partition.unrecorded_done
+            whole = (
+                len(partition.pending) == len(partition.assigned) - len(partition.done)
+                and not partition.unrecorded_done
+            )
             if not whole:
                 return []
         return list(partition.pending)
 
-    def move(self, partition: JobPartition, indices: list[int], target: int,
-             split: tuple[set[str], set[str]] | None = None) -> None:
+    def move(
+        self, partition: JobPartition, indices: list[int], target: int, split: tuple[set[str], set[str]] | None = None
+    ) -> None:
         """Hand waiting tasks to another shard in one transaction; not where records would become too large."""
         state, cache, job_id = self.state, self.ctx.cache, partition.job_id
         job = cache.job(job_id)
@@ -296,12 +350,17 @@
             return
         moved = set(indices)
         stay, go = split or (partition.zones, partition.zones)
-        mine = records.PartitionRecord(task_sets.encode(partition.assigned - moved), task_sets.encode(partition.done | partition.unrecorded_done),
-                             sorted(stay))
+        mine = records.PartitionRecord(
+            task_sets.encode(partition.assigned - moved),
+            task_sets.encode(partition.done | partition.unrecorded_done),
+            sorted(stay),
+        )
         theirs = cache.partition(target, job_id) or records.PartitionRecord("")
         if theirs.assigned and theirs.zones and go:
             go = go | set(theirs.zones)
-        theirs = records.PartitionRecord(task_sets.encode(task_sets.decode(theirs.assigned) | moved), theirs.done, sorted(go))
+        theirs = records.PartitionRecord(
+            task_sets.encode(task_sets.decode(theirs.assigned) | moved), theirs.done, sorted(go)
+        )
         partitions = {state.index: mine, target: theirs}
         parts = sorted({*job.parts, *(s for s in partitions if s != job.shard)})
         record = msgspec.structs.replace(job, parts=parts, partition=partitions.get(job.shard, job.partition))
@@ -313,12 +372,17 @@
             return
         key = self._key(job_id)
         puts: dict[str, tuple[Any, int | None]] = {
-            records.partition_key(s, job_id): (c, None) for s, c in partitions.items() if s != job.shard}
+            records.partition_key(s, job_id): (c, None) for s, c in partitions.items() if s != job.shard
+        }
         puts[records.job_key(job_id)] = (record, None)
         conditions = {**state.election.fencing_condition(state.index), **{k: cache.mod_revision(k) for k in puts}}
         for index in moved:
             partition.pending.discard(index)
-        partition.indeterminate, partition.indeterminate_revision, partition.moving = moved, cache.mod_revision(key), True
+        partition.indeterminate, partition.indeterminate_revision, partition.moving = (
+            moved,
+            cache.mod_revision(key),
+            True,
+        )
         self.dirty_jobs.add(job_id)
 
         def done(status: int, failed: list[str]) -> None:
--- a/quinceslip/coordination/leadership/connectivity.py
+++ b/quinceslip/coordination/leadership/connectivity.py
@@ -95,7 +95,9 @@
 
         # Conditional, so that one that is late does not come back after it was taken back.
         puts = {key: (records.MisroutedRecord(misrouted), None)} if misrouted else {}
-        self.ctx.compare_and_swap({key: cache.mod_revision(key)}, puts, [] if misrouted else [key], done, Urgency.LAUNCH)
+        self.ctx.compare_and_swap(
+            {key: cache.mod_revision(key)}, puts, [] if misrouted else [key], done, Urgency.LAUNCH
+        )
 
     def peer_record_changed(self, label: str) -> None:
         """The record of a peer has changed."""
@@ -104,9 +106,13 @@
     def recorded_misrouted(self, shard: int) -> int:
         """How many workers of a shard came to peers in vain, by their records; the clock is that of the reader."""
         since_us = self.ctx.now_us - 2 * WRITE_US
-        return sum(count for label, record in self.ctx.cache.by_kind["stray"].items()
-                   if label != self.ctx.settings.label and self._read_us.get(label, 0) > since_us
-                   for s, count in record.misrouted if s == shard)
+        return sum(
+            count
+            for label, record in self.ctx.cache.by_kind["stray"].items()
+            if label != self.ctx.settings.label and self._read_us.get(label, 0) > since_us
+            for s, count in record.misrouted
+            if s == shard
+        )
 
     def lost_contact(self, workers: Iterable[Worker], misrouted: int) -> bool:
         """Whether peers hear of most of these workers while this controller hears of none."""
@@ -137,7 +143,9 @@
             if status == 200:
                 self._contact_restored()
 
-        self.ctx.call(endpoints[self.probes_sent % len(endpoints)], "GET", m.PATH_INSPECT, None, done, timeout_us=SECOND)
+        self.ctx.call(
+            endpoints[self.probes_sent % len(endpoints)], "GET", m.PATH_INSPECT, None, done, timeout_us=SECOND
+        )
 
     def _contact_restored(self) -> None:
         if self.yielding:
--- a/quinceslip/coordination/leadership/election.py
+++ b/quinceslip/coordination/leadership/election.py
@@ -19,8 +19,9 @@
 
 
 class LeaderElection:
-    def __init__(self, ctx: Context, home: int,
-                 gained: Callable[[int, int, int], None], lost: Callable[[int], None]) -> None:
+    def __init__(
+        self, ctx: Context, home: int, gained: Callable[[int, int, int], None], lost: Callable[[int], None]
+    ) -> None:
         self.ctx = ctx
         self.home = home
         self.size = ctx.settings.facts.size
@@ -55,7 +56,11 @@
         it. What was there before, the next owner inherits as unknown.
         """
         lasts = int(self.ctx.timing.leader_lease_us * 0.95) - 50_000
-        return shard not in self.handing_over and self.leader_lease is not None and self.ctx.now_us < self._last_contact_us() + lasts
+        return (
+            shard not in self.handing_over
+            and self.leader_lease is not None
+            and self.ctx.now_us < self._last_contact_us() + lasts
+        )
 
     def may_answer(self) -> bool:
         """May still answer the workers of its shards (grace)."""
@@ -79,12 +84,19 @@
                 self._renew_lease()
         if not self.claiming:
             # A claim whose answer never came may have been applied: its stamp is not ours.
-            for shard in [s for s in self.mod_revisions if ctx.cache.mod_revision(records.shard_key(s)) != self.mod_revisions[s]]:
+            for shard in [
+                s for s in self.mod_revisions if ctx.cache.mod_revision(records.shard_key(s)) != self.mod_revisions[s]
+            ]:
                 self._drop_shard(shard)
             if self.handing_over and ctx.now_us >= self.next_hand_over_us:
                 self.hand_over(next(iter(self.handing_over)))  # until its outcome is certain
-        if self.leader_lease is not None and ctx.cache.synced and not self.claiming \
-                and ctx.now_us >= self.next_claim_us and self.may_launch():
+        if (
+            self.leader_lease is not None
+            and ctx.cache.synced
+            and not self.claiming
+            and ctx.now_us >= self.next_claim_us
+            and self.may_launch()
+        ):
             self._claim_next()
 
     def _create_lease(self) -> None:
@@ -101,8 +113,9 @@
             else:
                 self.next_lease_us = self.ctx.now_us + SECOND // 2
 
-        self.ctx.call("lease", "POST", messages.PATH_LEASES,
-                      messages.lease_request(self.ctx.timing.leader_lease_us), done)
+        self.ctx.call(
+            "lease", "POST", messages.PATH_LEASES, messages.lease_request(self.ctx.timing.leader_lease_us), done
+        )
 
     def _renew_lease(self) -> None:
         sent_us = self.ctx.now_us
@@ -187,15 +200,19 @@
             else:
                 self.next_claim_us = self.ctx.now_us + 150_000
 
-        self.ctx.compare_and_swap(conditions, {records.TERM: (records.TermRecord(term), None), key: (record, lease)},
-                     [], done, Urgency.USER)
+        self.ctx.compare_and_swap(
+            conditions, {records.TERM: (records.TermRecord(term), None), key: (record, lease)}, [], done, Urgency.USER
+        )
 
     def shard_record_changed(self, shard: int) -> None:
         """The view has news of a shard record."""
         record = self.ctx.cache.shard(shard)
         mod_revision = self.ctx.cache.mod_revision(records.shard_key(shard))
-        if shard in self.mod_revisions and mod_revision != self.mod_revisions[shard] and not (
-                self.claiming and record is not None and record.owner == self.ctx.settings.label):
+        if (
+            shard in self.mod_revisions
+            and mod_revision != self.mod_revisions[shard]
+            and not (self.claiming and record is not None and record.owner == self.ctx.settings.label)
+        ):
             log.info("shard %d was taken from us by %s", shard, record.owner if record else "nobody yet")
             self._drop_shard(shard)
 
--- a/quinceslip/coordination/load_balancing/load_balancer.py
+++ b/quinceslip/coordination/load_balancing/load_balancer.py
@@ -86,8 +86,17 @@
         found = []
         for shard in self.shards.values():
             slots, rate = shard.queueing_station()
-            found.append(frames.ShardLoad(shard.index, shard.waiting_tasks(), slots, shard.free_slots(), rate,
-                                          shard.service_room(), shard.quick_room()))
+            found.append(
+                frames.ShardLoad(
+                    shard.index,
+                    shard.waiting_tasks(),
+                    slots,
+                    shard.free_slots(),
+                    rate,
+                    shard.service_room(),
+                    shard.quick_room(),
+                )
+            )
         return found
 
     # Balance.
@@ -110,8 +119,13 @@
             room[shard.index] = shard.free_slots()
         return stations, waiting, room
 
-    def _add_load(self, shard: int, load: records.LoadRecord | frames.ShardLoad, stations: dict[int, queueing_model.Station],
-              waiting: dict[int, int]) -> bool:
+    def _add_load(
+        self,
+        shard: int,
+        load: records.LoadRecord | frames.ShardLoad,
+        stations: dict[int, queueing_model.Station],
+        waiting: dict[int, int],
+    ) -> bool:
         """Take what was told of a shard's load; what nobody can have measured counts as a shard without machines."""
         station = queueing_model.Station(load.slots, load.rate)
         if not 0 <= shard < self.election.size:
@@ -137,11 +151,19 @@
             if self.ctx.cache.by_kind["load"].get(str(shard.index)) != record:
                 key = records.load_key(shard.index)
                 # Carried out late it undoes no newer one.
-                writes.append((key, record, {**self.election.fencing_condition(shard.index), key: self.ctx.cache.mod_revision(key)}))
+                writes.append(
+                    (
+                        key,
+                        record,
+                        {**self.election.fencing_condition(shard.index), key: self.ctx.cache.mod_revision(key)},
+                    )
+                )
         most = self.ctx.limits.txn_ops
-        for batch in (writes[start: start + most] for start in range(0, len(writes), most)):
+        for batch in (writes[start : start + most] for start in range(0, len(writes), most)):
             conditions = {key: mod_revision for *_, each in batch for key, mod_revision in each.items()}
-            self.ctx.compare_and_swap(conditions, {key: (record, None) for key, record, _ in batch}, [], lambda s, f: None)
+            self.ctx.compare_and_swap(
+                conditions, {key: (record, None) for key, record, _ in batch}, [], lambda s, f: None
+            )
 
     def _balance(self) -> None:
         stations, _, _ = self._stations()
@@ -150,14 +172,18 @@
             return
         resting, self.levels_suspended = self.levels_suspended, self.ctx.is_suspended("levels")
         if resting != self.levels_suspended:
-            log.info("this controller stood still in the levels: %s",
-                     "the levels rest for a while, each is m" if self.levels_suspended else "the levels are solved again")
+            log.info(
+                "this controller stood still in the levels: %s",
+                "the levels rest for a while, each is m" if self.levels_suspended else "the levels are solved again",
+            )
         if self.levels_suspended:
             # The same records would be solved again at once: for a while each level is m, as without an answer.
             self.levels = {i: s.slots for i, s in stations.items()}
             return
         self.ctx.active_part = "levels"
-        total = sum(r.arrivals for r in self.ctx.cache.by_kind["load"].values() if queueing_model.credible_rate(r.arrivals))
+        total = sum(
+            r.arrivals for r in self.ctx.cache.by_kind["load"].values() if queueing_model.credible_rate(r.arrivals)
+        )
         order = sorted(stations)
         levels = queueing_model.fair_levels([stations[i] for i in order], total)
         self.levels = dict(zip(order, levels, strict=True))
@@ -196,8 +222,12 @@
         order = self.ctx.settings.facts.zones
         for partition in shard.waiting_in_order():
             spec = partition.spec
-            if not spec.service or not partition.pending or partition.on_hold or \
-                    self.ctx.now_us < shard.moved_us.get(partition.job_id, 0) + MOVE_AGAIN_US:
+            if (
+                not spec.service
+                or not partition.pending
+                or partition.on_hold
+                or self.ctx.now_us < shard.moved_us.get(partition.job_id, 0) + MOVE_AGAIN_US
+            ):
                 continue
             whole = bool(shard.persistence.movable(partition))
             split = None if whole else shard.persistence.split_zones(partition)
@@ -207,11 +237,17 @@
             most = (spec.tasks + 1) // 2 if spec.spread else len(partition.pending)
             best: tuple[int, frames.ShardLoad] | None = None
             for other_load in reported.values():
-                rooms = [room for zone, room in zip(order, other_load.service_room, strict=False)
-                         if zone in allowed and spec.zone in (None, zone)]
+                rooms = [
+                    room
+                    for zone, room in zip(order, other_load.service_room, strict=False)
+                    if zone in allowed and spec.zone in (None, zone)
+                ]
                 fit = sum(min(most, int(room // max(spec.cpus, 0.01))) for room in rooms)
-                if fit >= len(partition.pending) and self.election.leader(other_load.shard) and (
-                        best is None or sum(rooms) > best[0]):
+                if (
+                    fit >= len(partition.pending)
+                    and self.election.leader(other_load.shard)
+                    and (best is None or sum(rooms) > best[0])
+                ):
                     best = (sum(rooms), other_load)
             if best is None:
                 continue
--- a/quinceslip/coordination/load_balancing/queueing_model.py
+++ b/quinceslip/coordination/load_balancing/queueing_model.py
@@ -165,8 +165,11 @@
         """Log-odds of each shard."""
         for _ in range(HALVINGS):
             v = math.sqrt(self.low_v) * math.sqrt(self.high_v)
-            if not self.low_v < v < self.high_v or self.terms >= MAX_SERIES_TERMS or (
-                    max(b - a for a, b in zip(self.low, self.high, strict=True)) <= CLOSE):
+            if (
+                not self.low_v < v < self.high_v
+                or self.terms >= MAX_SERIES_TERMS
+                or (max(b - a for a, b in zip(self.low, self.high, strict=True)) <= CLOSE)
+            ):
                 break
             low, high = self.low.copy(), self.high.copy()
             for _ in range(NARROWINGS):
@@ -272,8 +275,7 @@
     return (waiting + station.slots) / station.capacity
 
 
-def choose_shard(home: int, stations: dict[int, Station], waiting: dict[int, int],
-                 levels: dict[int, int]) -> int:
+def choose_shard(home: int, stations: dict[int, Station], waiting: dict[int, int], levels: dict[int, int]) -> int:
     """Where a new job goes: home below its level, else the least loaded as the paper says."""
     if home in stations and waiting.get(home, 0) < levels.get(home, 0):
         return home
--- a/quinceslip/coordination/reconciliation/commands.py
+++ b/quinceslip/coordination/reconciliation/commands.py
@@ -21,8 +21,9 @@
 
 
 class CommandSender:
-    def __init__(self, state: ShardState, persistence: JobPersistence,
-                 reported: Callable[[m.WorkerHeartbeat, bool], object]) -> None:
+    def __init__(
+        self, state: ShardState, persistence: JobPersistence, reported: Callable[[m.WorkerHeartbeat, bool], object]
+    ) -> None:
         self.state = state
         self.ctx = state.ctx
         self.persistence = persistence
@@ -40,7 +41,9 @@
         launches: list[m.Command] = []
         acknowledgements: list[m.Command] = []
         for name, attempt in list(worker.attempts.items()):
-            if not may_launch and not (attempt.stopping and not attempt.end_cause and self._job_finished(attempt.job_id)):
+            if not may_launch and not (
+                attempt.stopping and not attempt.end_cause and self._job_finished(attempt.job_id)
+            ):
                 continue
             if not attempt.observed:
                 if attempt.stopping:
@@ -72,7 +75,9 @@
             if task.state == m.EXITED:
                 if may_launch and worker.fenced and not self._holds_unrecorded_result(name, task):
                     acknowledgements.append(m.acknowledge_result(name, task.attempt))
-            elif self._job_finished(name.rpartition("/")[0]) or (may_launch and self._unwanted(worker, name, task.attempt)):
+            elif self._job_finished(name.rpartition("/")[0]) or (
+                may_launch and self._unwanted(worker, name, task.attempt)
+            ):
                 stops.append(m.stop(name, task.attempt, 0.0))
         return stops + launches + acknowledgements
 
@@ -80,8 +85,13 @@
         """Whether it is the only place of a result that is not recorded yet."""
         job_id, _, number = name.rpartition("/")
         partition = self.state.partitions.get(job_id)
-        return partition is not None and number.isdigit() and task.why == m.CAUSE_DONE \
-            and int(number) in partition.assigned and int(number) not in partition.done
+        return (
+            partition is not None
+            and number.isdigit()
+            and task.why == m.CAUSE_DONE
+            and int(number) in partition.assigned
+            and int(number) not in partition.done
+        )
 
     def _job_finished(self, job_id: str) -> bool:
         """Whether its job is done or withdrawn, for ever."""
@@ -96,8 +106,10 @@
         other = partition.attempts.get(int(number))
         # Of two attempts the lower number goes: the task was launched again only after that was over.
         return int(number) in partition.done or (
-            other is not None and other.worker != worker.name
-            and (other.number > attempt or "higher" not in self.state.guards))
+            other is not None
+            and other.worker != worker.name
+            and (other.number > attempt or "higher" not in self.state.guards)
+        )
 
     def send_direct(self) -> None:
         """Tell workers at once what cannot wait for their next report."""
@@ -154,8 +166,13 @@
         """
         log.info("%s executed what was meant for another machine at its address: called back", heartbeat.worker)
         stops = [m.stop(a.name, a.number, 0.0) for a in launches]
-        self.ctx.call(endpoint, "POST", m.PATH_DO, m.DirectCommands(self.state.term, heartbeat.epoch, stops),
-                      lambda status, answer: None)
+        self.ctx.call(
+            endpoint,
+            "POST",
+            m.PATH_DO,
+            m.DirectCommands(self.state.term, heartbeat.epoch, stops),
+            lambda status, answer: None,
+        )
 
     def probe(self, worker: Worker) -> None:
         """Ask a silent worker itself: it may only be between two nodes."""
@@ -172,13 +189,21 @@
             heartbeat = self._decode_heartbeat(worker, body) if status == 200 else None
             if heartbeat is None or not self._receive_direct_heartbeat(worker, heartbeat):
                 if asked_us >= worker.last_contact_us:
-                    worker.delivery.probe_missed(asked_us)  # one that was asked during a cut may report before this fails
+                    worker.delivery.probe_missed(
+                        asked_us
+                    )  # one that was asked during a cut may report before this fails
                 if worker.service_tasks:
                     worker.next_probe_us = self.ctx.now_us
-                self.state.worker_failed = self.state.worker_failed or worker.delivery.unanswered_probes >= MAX_UNANSWERED_PROBES
+                self.state.worker_failed = (
+                    self.state.worker_failed or worker.delivery.unanswered_probes >= MAX_UNANSWERED_PROBES
+                )
             else:
                 state = self.state
-                if worker.fencing_token < state.term and not worker.command_open and state.election.may_launch(state.index):
+                if (
+                    worker.fencing_token < state.term
+                    and not worker.command_open
+                    and state.election.may_launch(state.index)
+                ):
                     # An empty command shows it our term now; its report would take seconds.
                     self._send_now(worker, [], [])
 
--- a/quinceslip/coordination/reconciliation/delivery.py
+++ b/quinceslip/coordination/reconciliation/delivery.py
@@ -42,7 +42,10 @@
 
     def answer_sent(self, heartbeat: m.WorkerHeartbeat, fencing_token: int, commands: Iterable[m.Command]) -> None:
         """Its report is answered."""
-        self.epoch, self.fencing_token = heartbeat.epoch, fencing_token if fencing_token > heartbeat.fencing_token else 0
+        self.epoch, self.fencing_token = (
+            heartbeat.epoch,
+            fencing_token if fencing_token > heartbeat.fencing_token else 0,
+        )
         self.launches = frozenset((c.task, c.attempt) for c in commands if c.op == "launch")
 
     def heartbeat_received(self, heartbeat: m.WorkerHeartbeat) -> bool:
@@ -56,7 +59,9 @@
         self.fencing_token, self.launches = 0, frozenset()
         if not fencing_token and not launches:
             return False
-        if (fencing_token and heartbeat.fencing_token >= fencing_token) or any((t.task, t.attempt) in launches for t in heartbeat.tasks):
+        if (fencing_token and heartbeat.fencing_token >= fencing_token) or any(
+            (t.task, t.attempt) in launches for t in heartbeat.tasks
+        ):
             self.acknowledged()
             return True
         if fencing_token or heartbeat.epoch == epoch:
--- a/quinceslip/coordination/reconciliation/reconciler.py
+++ b/quinceslip/coordination/reconciliation/reconciler.py
@@ -26,7 +26,9 @@
 
     def __init__(self, ctx: Context, election: LeaderElection, index: int, term: int) -> None:
         super().__init__(ctx, election, index, term)
-        self.previous_own_term = 0  # the term that this controller held before it ended, where nobody has had the shard since
+        self.previous_own_term = (
+            0  # the term that this controller held before it ended, where nobody has had the shard since
+        )
         self.first_own_term = term  # a worker that shows it, or a later one, is past its earlier owners
         self.retrying: set[str] = set()  # jobs with tasks that pause after a failure
 
@@ -77,8 +79,11 @@
         Each answer of ours before its last report had no effect, or that would show our term, and to its last there was
         none. So nothing has renewed its lease since the earlier owner's last answer; what began later nobody else knew.
         """
-        return worker.name in self.unreconciled and worker.unanswered and \
-            self.ctx.now_us > worker.predecessor_renewed_us + self.ctx.timing.lease_expiry_us
+        return (
+            worker.name in self.unreconciled
+            and worker.unanswered
+            and self.ctx.now_us > worker.predecessor_renewed_us + self.ctx.timing.lease_expiry_us
+        )
 
     def apply_heartbeat(self, worker: Worker, heartbeat: m.WorkerHeartbeat) -> bool:
         """Take what a worker says of itself, unless that is `over`; False where it is older than what is known."""
@@ -146,8 +151,7 @@
             if attempt.observed and name not in worker.reported_tasks:
                 if not attempt.end_cause:
                     # Until it has shown our term, a worker may have told of itself as it was long before.
-                    log.log(logging.ERROR if worker.fenced else logging.INFO, "%s vanished from %s", name,
-                            worker.name)
+                    log.log(logging.ERROR if worker.fenced else logging.INFO, "%s vanished from %s", name, worker.name)
                     self.requeue(worker, attempt)
                 self.detach(worker, name)
         if self.quota is not None:
@@ -175,8 +179,9 @@
                 other = self.workers.get(known.worker)
                 # The same attempt came here by the address that both had, one after the other.
                 sure = worker.fenced and other is not None and other.fenced and task.attempt != known.number
-                log.log(logging.ERROR if sure else logging.INFO, "%s is on %s and on %s", name, worker.name,
-                        known.worker)
+                log.log(
+                    logging.ERROR if sure else logging.INFO, "%s is on %s and on %s", name, worker.name, known.worker
+                )
             if task.attempt < known.number or "higher" not in self.guards:
                 return None
         elif index not in partition.unreconciled and not final:
@@ -200,7 +205,9 @@
             self.task_started(worker, attempt)
             if attempt.spec.service:
                 partition = self.partitions.get(attempt.job_id)
-                if partition is not None and partition.crash_loop.clears_by_running(self.ctx.now_us - attempt.running_us):
+                if partition is not None and partition.crash_loop.clears_by_running(
+                    self.ctx.now_us - attempt.running_us
+                ):
                     self.release_from_hold(partition)
         attempt.state = task.state
         if task.state != m.EXITED:
--- a/quinceslip/coordination/scheduling/ageing.py
+++ b/quinceslip/coordination/scheduling/ageing.py
@@ -42,7 +42,10 @@
         self.reserved_for: JobPartition | None = None  # room is kept for this one
         self.reserved_machines: frozenset[str] = frozenset()  # on these machines
         self.typical_run_us = 0  # of a usual task
-        self.grants_available, self.grants_updated_us = 1.0, ctx.now_us  # beginnings that may be called now, and as of when
+        self.grants_available, self.grants_updated_us = (
+            1.0,
+            ctx.now_us,
+        )  # beginnings that may be called now, and as of when
 
     def update(self, queue: list[JobPartition], run_s: float, slots: int) -> None:
         """Set `first` of every waiting chunk. Asked for with each new foresight."""
@@ -63,7 +66,9 @@
         go before all that others have; so beginnings get a part of what the shard starts.
         """
         passed_us, self.grants_updated_us = self.ctx.now_us - self.grants_updated_us, self.ctx.now_us
-        self.grants_available = min(self.grants_available + GRANTED_PART * starts_per_s * passed_us / SECOND, max(1.0, starts_per_s))
+        self.grants_available = min(
+            self.grants_available + GRANTED_PART * starts_per_s * passed_us / SECOND, max(1.0, starts_per_s)
+        )
         waiting = []
         for partition in queue:
             partition.start_granted = partition.start_granted and partition.awaits_start
@@ -89,14 +94,20 @@
 
     def is_reserved_from(self, worker: Worker, partition: JobPartition) -> bool:
         """Whether that machine is kept from this chunk."""
-        return worker.name in self.reserved_machines and self.reserved_for is not None and partition is not self.reserved_for \
-            and bool(self.reserved_for.pending) and partition.priority >= self.reserved_for.priority
+        return (
+            worker.name in self.reserved_machines
+            and self.reserved_for is not None
+            and partition is not self.reserved_for
+            and bool(self.reserved_for.pending)
+            and partition.priority >= self.reserved_for.priority
+        )
 
     def release_stale(self, partitions: dict[str, JobPartition]) -> None:
         """Let go of what is kept for a chunk that waits no more, or not first."""
         known = self.reserved_for
-        if known is not None and (not known.precedence or not known.startable() or known.on_hold
-                                  or partitions.get(known.job_id) is not known):
+        if known is not None and (
+            not known.precedence or not known.startable() or known.on_hold or partitions.get(known.job_id) is not known
+        ):
             self.reserved_for, self.reserved_machines = None, frozenset()
 
     def reserve(self, partition: JobPartition, machines: Iterable[Worker]) -> None:
@@ -110,25 +121,43 @@
             return
         # What goes first takes the next place that is large enough; within a usual run each place comes free once.
         if self.ctx.now_us < partition.precedence_since_us + self.typical_run_us or (
-                known is not None and known is not partition and known.sort_key() <= partition.sort_key()):
+            known is not None and known is not partition and known.sort_key() <= partition.sort_key()
+        ):
             return
         found = self._soonest_machines(partition, list(machines))
         if self.reserved_for is not partition and found:
-            log.info("%s has waited for %.0f s: %s kept for it", partition.job_id,
-                     (self.ctx.wall_us - partition.submitted_us) / SECOND, ", ".join(sorted(found)))
+            log.info(
+                "%s has waited for %.0f s: %s kept for it",
+                partition.job_id,
+                (self.ctx.wall_us - partition.submitted_us) / SECOND,
+                ", ".join(sorted(found)),
+            )
         self.reserved_for, self.reserved_machines = (partition, found) if found else (None, frozenset())
 
     def _soonest_machines(self, partition: JobPartition, machines: list[Worker]) -> frozenset[str]:
         """The machines that will have the room soonest; none where all of them together never have it."""
         spec = partition.spec
         need = partition.startable() if spec.gang or spec.service else 1
-        ways = [[w for w in machines if w.zone == zone] for zone in sorted({w.zone for w in machines})] \
-            if spec.one_zone else [machines]
+        ways = (
+            [[w for w in machines if w.zone == zone] for zone in sorted({w.zone for w in machines})]
+            if spec.one_zone
+            else [machines]
+        )
         best: tuple[int, frozenset[str]] | None = None
         for way in ways:
             # What is kept already stays so while it serves: work there was let run out for it.
-            ranked = sorted((not (self.reserved_for is partition and w.name in self.reserved_machines), free_us, w.name, places, w.zone)
-                            for w in way for free_us, places in [_free_in(w, partition, self.ctx.now_us)] if places)
+            ranked = sorted(
+                (
+                    not (self.reserved_for is partition and w.name in self.reserved_machines),
+                    free_us,
+                    w.name,
+                    places,
+                    w.zone,
+                )
+                for w in way
+                for free_us, places in [_free_in(w, partition, self.ctx.now_us)]
+                if places
+            )
             names, left, last_us = set(), need, 0
             most = (spec.tasks + 1) // 2 if spec.spread else need
             zones: dict[str, int] = {}
@@ -147,8 +176,11 @@
 def _free_in(worker: Worker, partition: JobPartition, now_us: int) -> tuple[int, int]:
     """In how many microseconds a task of it may fit there, and how many will once all that ends has ended."""
     room, soonest_us = worker.free(), 0 if fits(worker.free(), partition.spec) else -1
-    ends = sorted((max(0, (a.running_us or now_us) + micros(a.spec.estimate_s) - now_us), a.name, a.spec)
-                  for a in worker.live_attempts() if not a.spec.service)
+    ends = sorted(
+        (max(0, (a.running_us or now_us) + micros(a.spec.estimate_s) - now_us), a.name, a.spec)
+        for a in worker.live_attempts()
+        if not a.spec.service
+    )
     for ends_us, _, spec in ends:
         room = (room[0] + spec.cpus, room[1] + spec.gpus, room[2] + spec.memory_gb)
         if soonest_us < 0 and fits(room, partition.spec):
--- a/quinceslip/coordination/scheduling/candidates.py
+++ b/quinceslip/coordination/scheduling/candidates.py
@@ -35,7 +35,10 @@
         """Those with so many CPUs free."""
         if self._all is not None:
             return [w for w in self._all if w.type is not None and w.type.cpus - w.used_cpus >= cpus]
-        found = [w for w in self.workers if w.type is not None and w.type.cpus - w.used_cpus >= cpus
-                 and self.placement.usable(w)]
+        found = [
+            w
+            for w in self.workers
+            if w.type is not None and w.type.cpus - w.used_cpus >= cpus and self.placement.usable(w)
+        ]
         self.placement.workers_examined += len(found)
         return found
--- a/quinceslip/coordination/scheduling/deadline_order.py
+++ b/quinceslip/coordination/scheduling/deadline_order.py
@@ -33,8 +33,9 @@
     return partition.due_us[level] if level < len(partition.due_us) else None
 
 
-def _on_time(partitions: list[JobPartition], level: int, cpus_per_s: float, wall_us: int,
-             ahead: float) -> tuple[list[JobPartition], list[JobPartition], float]:
+def _on_time(
+    partitions: list[JobPartition], level: int, cpus_per_s: float, wall_us: int, ahead: float
+) -> tuple[list[JobPartition], list[JobPartition], float]:
     """Those that can make their due time of this level, those put back, and the CPUs ahead after."""
     last = all(level >= len(c.due_us) for c in partitions)
     partitions = sorted(partitions, key=lambda c: (_due(c, level) is None, _due(c, level) or c.submitted_us, c.job_id))
--- a/quinceslip/coordination/scheduling/placement.py
+++ b/quinceslip/coordination/scheduling/placement.py
@@ -37,7 +37,9 @@
         self.heartbeat_silence_us, self.fresh_us = timing.worker_lease_us // 2, timing.fresh_us
         self.wait_s = {o.job_class: o.within_s for o in state.ctx.settings.facts.objectives if o.kind == "wait"}
         self.all_zones = set(state.ctx.settings.facts.zones)
-        self.preferred_machines: dict[tuple[object, ...], deque[Worker]] = {}  # machines for a shape of tasks, in this pass
+        self.preferred_machines: dict[
+            tuple[object, ...], deque[Worker]
+        ] = {}  # machines for a shape of tasks, in this pass
         self.ageing = Ageing(state.ctx)
         self.launched = 0
         self.workers_examined = 0  # workers looked at so far: the work of placement, for tests and profiles
@@ -45,18 +47,32 @@
     # Who may get what.
 
     def usable(self, worker: Worker) -> bool:
-        if not worker.fenced or not worker.registered or worker.lease_expired or worker.delivery.suspect or worker.draining \
-                or worker.deleting or worker.notice_us or worker.type is None:
+        if (
+            not worker.fenced
+            or not worker.registered
+            or worker.lease_expired
+            or worker.delivery.suspect
+            or worker.draining
+            or worker.deleting
+            or worker.notice_us
+            or worker.type is None
+        ):
             return False
         now_us = self.ctx.now_us
         # One that answers probes while its own reports do not arrive is about to lose its lease.
         return now_us - worker.last_contact_us <= self.fresh_us and (
-            now_us - worker.last_heartbeat_us < self.heartbeat_silence_us or now_us - self.state.led_since_us < self.heartbeat_silence_us)
+            now_us - worker.last_heartbeat_us < self.heartbeat_silence_us
+            or now_us - self.state.led_since_us < self.heartbeat_silence_us
+        )
 
     def satisfies_constraints(self, worker: Worker, spec: m.JobSpec, zones: set[str] | None) -> bool:
-        return (worker.type is not None and (spec.types is None or worker.type.label in spec.types)
-                and (spec.zone is None or worker.zone == spec.zone) and (spec.spot or not worker.spot)
-                and (zones is None or worker.zone in zones))
+        return (
+            worker.type is not None
+            and (spec.types is None or worker.type.label in spec.types)
+            and (spec.zone is None or worker.zone == spec.zone)
+            and (spec.spot or not worker.spot)
+            and (zones is None or worker.zone in zones)
+        )
 
     def eligible_zones(self, partition: JobPartition) -> set[str] | None:
         """Zones that `together` and `spread` leave for one more task; None: any.
@@ -68,11 +84,21 @@
             return None
         state = self.state
         job = self.ctx.cache.job(partition.job_id)
-        others = [] if job is None or (not job.parts and job.shard == state.index) else [
-            c for s, c in self.ctx.cache.partitions(partition.job_id).items()
-            if s != state.index and task_sets.decode(c.assigned) - task_sets.decode(c.done)]
+        others = (
+            []
+            if job is None or (not job.parts and job.shard == state.index)
+            else [
+                c
+                for s, c in self.ctx.cache.partitions(partition.job_id).items()
+                if s != state.index and task_sets.decode(c.assigned) - task_sets.decode(c.done)
+            ]
+        )
         # Where others hold a part of it, only disjoint zones keep both from meeting.
-        apart = not spec.one_zone and partition.zones and all(c.zones and not partition.zones & set(c.zones) for c in others)
+        apart = (
+            not spec.one_zone
+            and partition.zones
+            and all(c.zones and not partition.zones & set(c.zones) for c in others)
+        )
         if partition.unreconciled or partition.indeterminate or (others and not apart):
             return set()  # some may be anywhere: wait until it is known
         counts: dict[str, int] = {}
@@ -108,7 +134,11 @@
 
     def place_on(self, worker: Worker) -> None:
         """Place waiting tasks on one worker that has room again."""
-        if self.state.needs_placement or not self.state.election.may_launch(self.state.index) or not self.usable(worker):
+        if (
+            self.state.needs_placement
+            or not self.state.election.may_launch(self.state.index)
+            or not self.usable(worker)
+        ):
             return
         if worker.name in self.ageing.reserved_machines:
             self.state.needs_placement = True  # whom it is kept for may need more than this machine
@@ -137,7 +167,11 @@
             if not self._quota_admits_whole(partition, whole, machines):
                 continue
             before = self.launched
-            offered = [w for w in roomy if not self.ageing.is_reserved_from(w, partition)] if self.ageing.reserved_machines else roomy
+            offered = (
+                [w for w in roomy if not self.ageing.is_reserved_from(w, partition)]
+                if self.ageing.reserved_machines
+                else roomy
+            )
             if partition.spec.gang:
                 if whole:
                     self._place_gang(partition, offered)
@@ -149,7 +183,11 @@
                 self.state.quota.not_placed(partition)
             if partition.precedence and whole:
                 self._after_precedence(partition, machines, before == self.launched)
-            if partition.pending and not partition.spec.gang and self._known_to_fail(partition, self.all_zones, failed, False):
+            if (
+                partition.pending
+                and not partition.spec.gang
+                and self._known_to_fail(partition, self.all_zones, failed, False)
+            ):
                 nowhere.add(partition.shape)
             if partition.priority > 0 and roomy and self.launched != launched:
                 launched = self.launched
@@ -165,18 +203,25 @@
         elif nowhere and partition.startable() and not partition.on_hold and self._quota_allows(partition, False):
             zones = self.eligible_zones(partition)
             if zones is None or zones:
-                self.ageing.reserve(partition, (w for w in machines.all() if self.satisfies_constraints(w, partition.spec, zones)))
+                self.ageing.reserve(
+                    partition, (w for w in machines.all() if self.satisfies_constraints(w, partition.spec, zones))
+                )
 
     def _known_to_fail(self, partition: JobPartition, zones: set[str] | None, failed: Failed, note: bool) -> bool:
         """Whether a task no larger, bound alike and to no fewer zones, has found no place in this pass."""
         spec = partition.spec
         if note:
             failed.setdefault(partition.constraints, []).append(
-                (None if zones is None else frozenset(zones), spec.cpus, spec.gpus, spec.memory_gb))
+                (None if zones is None else frozenset(zones), spec.cpus, spec.gpus, spec.memory_gb)
+            )
             return True
-        return any((there is None or (zones is not None and zones <= there))
-                   and spec.cpus >= c and spec.gpus >= g and spec.memory_gb >= b
-                   for there, c, g, b in failed.get(partition.constraints, ()))
+        return any(
+            (there is None or (zones is not None and zones <= there))
+            and spec.cpus >= c
+            and spec.gpus >= g
+            and spec.memory_gb >= b
+            for there, c, g, b in failed.get(partition.constraints, ())
+        )
 
     def _paused(self, partition: JobPartition) -> list[int]:
         """Tasks that pause after a failure, taken out of the queue for this pass."""
@@ -188,13 +233,16 @@
             partition.pending.discard(index)
         return paused
 
-    def _place_free(self, partition: JobPartition, roomy: list[Worker], machines: CandidateMachines, failed: Failed,
-                    whole: bool) -> None:
+    def _place_free(
+        self, partition: JobPartition, roomy: list[Worker], machines: CandidateMachines, failed: Failed, whole: bool
+    ) -> None:
         """Tasks that nothing binds together: the machines in order of preference, each filled in turn.
 
         Of two machines best fit takes the fuller one, and it stays the best as it fills up.
         """
-        if self._known_to_fail(partition, None, failed, False) or not self._quota_allows(partition, whole, machines, not roomy):
+        if self._known_to_fail(partition, None, failed, False) or not self._quota_allows(
+            partition, whole, machines, not roomy
+        ):
             return
         spec = partition.spec
         paused = self._paused(partition)
@@ -204,7 +252,9 @@
             for worker in self._preferred(partition, roomy):
                 # Bound: the tasks that wait; each turn takes one out of them, and those put aside come back after it.
                 while partition.pending and fits(worker.free(), spec):
-                    if not self._quota_allows(partition, whole) or (partition.precedence == ONE and self.launched > before):
+                    if not self._quota_allows(partition, whole) or (
+                        partition.precedence == ONE and self.launched > before
+                    ):
                         return
                     index = partition.pending.peek()
                     partition.pending.discard(index)
@@ -216,8 +266,12 @@
                 if not partition.pending:
                     return
             # Bound: the same.
-            while whole and partition.pending and self._quota_allows(partition, whole, machines, True) and not (
-                    partition.precedence == ONE and self.launched > before):
+            while (
+                whole
+                and partition.pending
+                and self._quota_allows(partition, whole, machines, True)
+                and not (partition.precedence == ONE and self.launched > before)
+            ):
                 spare = self._preempt_for(partition, machines, None, False)
                 if spare is None:
                     stuck = True
@@ -232,8 +286,9 @@
             if stuck:
                 self._known_to_fail(partition, None, failed, True)
 
-    def _place_bound(self, partition: JobPartition, roomy: list[Worker], machines: CandidateMachines, failed: Failed,
-                     whole: bool) -> None:
+    def _place_bound(
+        self, partition: JobPartition, roomy: list[Worker], machines: CandidateMachines, failed: Failed, whole: bool
+    ) -> None:
         """Tasks bound by zones: each is placed by what those before it left."""
         spec = partition.spec
         if self._known_to_fail(partition, self.all_zones, failed, False):
@@ -261,8 +316,9 @@
     def _place_gang(self, partition: JobPartition, roomy: list[Worker]) -> None:
         """Place all tasks of a gang or none; nothing is sent before all have a place."""
         now_us = self.ctx.now_us
-        if len(partition.pending) != len(partition.assigned) - len(partition.done) - len(partition.unrecorded_done) or any(
-                t > now_us for t in partition.not_before.values()):
+        if len(partition.pending) != len(partition.assigned) - len(partition.done) - len(
+            partition.unrecorded_done
+        ) or any(t > now_us for t in partition.not_before.values()):
             return  # some of an earlier try are still there
         placed: list[Attempt] = []
         for index in list(partition.pending):
@@ -287,24 +343,46 @@
 
     # The choice of the machine.
 
-    def _by_preference(self, partition: JobPartition, workers: Iterable[Worker], zones: set[str] | None) -> list[Worker]:
+    def _by_preference(
+        self, partition: JobPartition, workers: Iterable[Worker], zones: set[str] | None
+    ) -> list[Worker]:
         """Best fit among the machines that reported room, those with the image first."""
-        found = [(self._machine_sort_key(partition, w), w) for w in workers
-                 if fits(w.free(), partition.spec) and self.satisfies_constraints(w, partition.spec, zones)]
+        found = [
+            (self._machine_sort_key(partition, w), w)
+            for w in workers
+            if fits(w.free(), partition.spec) and self.satisfies_constraints(w, partition.spec, zones)
+        ]
         found.sort(key=lambda f: f[0])
         return [worker for _, worker in found]
 
-    def _best(self, partition: JobPartition, workers: Iterable[Worker], zones: set[str] | None, name: str) -> Worker | None:
+    def _best(
+        self, partition: JobPartition, workers: Iterable[Worker], zones: set[str] | None, name: str
+    ) -> Worker | None:
         """The first of them on which nothing of that task is left."""
         spec = partition.spec
-        return min((w for w in workers if fits(w.free(), spec) and self.satisfies_constraints(w, spec, zones)
-                    and name not in w.attempts and name not in w.reported_tasks),
-                   key=lambda w: self._machine_sort_key(partition, w), default=None)
+        return min(
+            (
+                w
+                for w in workers
+                if fits(w.free(), spec)
+                and self.satisfies_constraints(w, spec, zones)
+                and name not in w.attempts
+                and name not in w.reported_tasks
+            ),
+            key=lambda w: self._machine_sort_key(partition, w),
+            default=None,
+        )
 
     def _machine_sort_key(self, partition: JobPartition, worker: Worker) -> tuple[object, ...]:
         room, spec = worker.free(), partition.spec
-        return (worker.task_failures > 1, worker.name in partition.crash_loop.blamed_machines, *self._preference(worker, spec),
-                room[0] - spec.cpus, room[2] - spec.memory_gb, worker.name)
+        return (
+            worker.task_failures > 1,
+            worker.name in partition.crash_loop.blamed_machines,
+            *self._preference(worker, spec),
+            room[0] - spec.cpus,
+            room[2] - spec.memory_gb,
+            worker.name,
+        )
 
     def _preferred(self, partition: JobPartition, workers: Iterable[Worker]) -> Iterable[Worker]:
         """The same, found once a pass for all chunks of one shape where quotas give few tasks to many teams.
@@ -314,8 +392,17 @@
         spec = partition.spec
         if self.state.quota is None or partition.crash_loop.blamed_machines:
             return self._by_preference(partition, workers, None)
-        shape = (spec.image, spec.cpus, spec.gpus, spec.memory_gb, tuple(spec.types or ()), spec.zone, spec.spot,
-                 spec.service, spec.job_class)
+        shape = (
+            spec.image,
+            spec.cpus,
+            spec.gpus,
+            spec.memory_gb,
+            tuple(spec.types or ()),
+            spec.zone,
+            spec.spot,
+            spec.service,
+            spec.job_class,
+        )
         order = self.preferred_machines.get(shape)
         if order is None:
             order = self.preferred_machines[shape] = deque(self._by_preference(partition, workers, None))
@@ -333,13 +420,21 @@
             # runs there now, the other machines can be returned. But not where the fetch alone
             # takes longer than users want to wait.
             size = worker.type.cpus if worker.type else 0.0
-            return (float(self.slow_fetch(worker, spec)), uncached, float(size > LARGE * (resident + spec.cpus)),
-                    size - resident - spec.cpus)
+            return (
+                float(self.slow_fetch(worker, spec)),
+                uncached,
+                float(size > LARGE * (resident + spec.cpus)),
+                size - resident - spec.cpus,
+            )
         # Work that may use spot machines leaves the others to work that may not, and of those
         # prefers the ones that services keep rented anyway. Idle machines stay idle while others
         # have room, so that they can be returned.
-        return (float(spec.spot and not worker.spot), float(not resident and not worker.spot),
-                float(not worker.running), uncached)
+        return (
+            float(spec.spot and not worker.spot),
+            float(not resident and not worker.spot),
+            float(not worker.running),
+            uncached,
+        )
 
     def slow_fetch(self, worker: Worker, spec: m.JobSpec) -> bool:
         """Whether the fetch of its image alone takes longer than users want to wait for a start."""
@@ -351,7 +446,9 @@
         within_s = self.wait_s.get(spec.job_class)
         return within_s is None or spec.image_gb <= FETCH_PART * within_s * kind.fetch_gb_per_s
 
-    def _preempt_for(self, partition: JobPartition, machines: CandidateMachines, zones: set[str] | None, quick: bool) -> Worker | None:
+    def _preempt_for(
+        self, partition: JobPartition, machines: CandidateMachines, zones: set[str] | None, quick: bool
+    ) -> Worker | None:
         """Preempt lower priorities, `quick`: not where the fetch is slow. Production takes the place at once."""
         spec, quota = partition.spec, self.state.quota
         guaranteed = quota is not None and bool(quota.guarantees_covering(spec))
@@ -362,8 +459,11 @@
             # What is looked up at a glance goes first: on most machines nothing would give way.
             if not worker.running or (not guaranteed and worker.service_room() < spec.cpus - EPSILON):
                 continue
-            if not self.usable(worker) or not self.satisfies_constraints(worker, spec, zones) or (
-                    quick and self.slow_fetch(worker, spec)):
+            if (
+                not self.usable(worker)
+                or not self.satisfies_constraints(worker, spec, zones)
+                or (quick and self.slow_fetch(worker, spec))
+            ):
                 continue
             room = list(worker.free())
             for attempt in worker.live_attempts():
@@ -373,8 +473,17 @@
                     room[1] += attempt.spec.gpus
                     room[2] += attempt.spec.memory_gb
             search = quota.preemption_policy(spec) if quota is not None else None
-            victims = [a for a in worker.live_attempts() if a.observed and not a.stopping and (
-                search.may_preempt(a) if search is not None else partition.priority <= 1 and a.priority > partition.priority)]
+            victims = [
+                a
+                for a in worker.live_attempts()
+                if a.observed
+                and not a.stopping
+                and (
+                    search.may_preempt(a)
+                    if search is not None
+                    else partition.priority <= 1 and a.priority > partition.priority
+                )
+            ]
             victims.sort(key=lambda a: (-a.priority, a.spec.checkpoint_s == 0, -a.running_us))
             chosen: list[Attempt] = []
             lost = 0.0
@@ -392,8 +501,7 @@
                 ran_s = (self.ctx.now_us - victim.running_us) / SECOND if victim.running_us else 0.0
                 at_risk_s = min(ran_s, victim.spec.checkpoint_s) if victim.spec.checkpoint_s else ran_s
                 lost += at_risk_s * victim.spec.cpus
-            cost = lost + UNCACHED_COST * (spec.image not in worker.images) \
-                + SLOW_COST * self.slow_fetch(worker, spec)
+            cost = lost + UNCACHED_COST * (spec.image not in worker.images) + SLOW_COST * self.slow_fetch(worker, spec)
             if fits((room[0], room[1], room[2]), spec) and (best is None or cost < best[0]):
                 best = (cost, worker, chosen)
         if best is None:
@@ -406,7 +514,9 @@
 
     # Quotas.
 
-    def _quota_allows(self, partition: JobPartition, whole: bool, machines: CandidateMachines | None = None, full: bool = False) -> bool:
+    def _quota_allows(
+        self, partition: JobPartition, whole: bool, machines: CandidateMachines | None = None, full: bool = False
+    ) -> bool:
         """Whether one more task may start by its quotas; if not, they are told so in a whole pass.
 
         `full`: none of the machines has room.
@@ -416,7 +526,12 @@
             return True
         if whole and not quota.deferred_to_next_round():
             there = machines.all() if machines is not None else []
-            quota.blocked_by_quota(partition, 1, not (full and there), (w for w in there if self.satisfies_constraints(w, partition.spec, None)))
+            quota.blocked_by_quota(
+                partition,
+                1,
+                not (full and there),
+                (w for w in there if self.satisfies_constraints(w, partition.spec, None)),
+            )
         return False
 
     def _quota_admits_whole(self, partition: JobPartition, whole: bool, machines: CandidateMachines) -> bool:
@@ -428,5 +543,7 @@
         if quota.allows(spec, count):
             return True
         if whole and not quota.deferred_to_next_round():
-            quota.blocked_by_quota(partition, count, True, (w for w in machines.all() if self.satisfies_constraints(w, spec, None)))
+            quota.blocked_by_quota(
+                partition, count, True, (w for w in machines.all() if self.satisfies_constraints(w, spec, None))
+            )
         return False
--- a/quinceslip/coordination/shard/shard.py
+++ b/quinceslip/coordination/shard/shard.py
@@ -106,8 +106,9 @@
             worker.last_heartbeat_us = now_us
             worker.lease_renewed_us = max(worker.lease_renewed_us, now_us)
             return m.CommandReply(self.term, self.command_sender.commands_for(worker, may_launch=False))
-        if self.placement.usable(worker) != usable or (direct and (
-                worker.used_cpus < used_cpus or self.quota is not None or self._preemptors_waiting())):
+        if self.placement.usable(worker) != usable or (
+            direct and (worker.used_cpus < used_cpus or self.quota is not None or self._preemptors_waiting())
+        ):
             self.needs_placement = True
         if direct:
             return None
@@ -122,7 +123,9 @@
         if not worker.registered:
             self.to_register.add(worker.name)
         self.placement.place_on(worker)
-        reply = m.CommandReply(self.term, self.command_sender.commands_for(worker, self.election.may_launch(self.index)))
+        reply = m.CommandReply(
+            self.term, self.command_sender.commands_for(worker, self.election.may_launch(self.index))
+        )
         worker.delivery.answer_sent(heartbeat, self.term, reply.commands)
         return reply
 
@@ -136,8 +139,11 @@
         Machines of one rental come up together, so as many as a transaction takes go at once.
         """
         machine_records, cache = self.ctx.cache.by_kind["roster"], self.ctx.cache
-        workers = [w for w in (self.workers.get(n) for n in sorted(self.to_register))
-                   if w is not None and not w.registered and w.name in machine_records]
+        workers = [
+            w
+            for w in (self.workers.get(n) for n in sorted(self.to_register))
+            if w is not None and not w.registered and w.name in machine_records
+        ]
         self.to_register = {w.name for w in workers}
         fresh = [w for w in workers if not w.registering][: self.ctx.limits.txn_ops]
         if not fresh or not self.election.may_launch(self.index):
@@ -149,15 +155,29 @@
             for worker in fresh:
                 worker.registering = False
 
-        keys = {records.machine_key(w.name): msgspec.structs.replace(machine_records[w.name], endpoint=w.endpoint, used=True)
-                for w in fresh}
-        self.ctx.compare_and_swap({**self.election.fencing_condition(self.index), **{k: cache.mod_revision(k) for k in keys}},
-                     {k: (entry, None) for k, entry in keys.items()}, [], done, Urgency.LAUNCH)
+        keys = {
+            records.machine_key(w.name): msgspec.structs.replace(
+                machine_records[w.name], endpoint=w.endpoint, used=True
+            )
+            for w in fresh
+        }
+        self.ctx.compare_and_swap(
+            {**self.election.fencing_condition(self.index), **{k: cache.mod_revision(k) for k in keys}},
+            {k: (entry, None) for k, entry in keys.items()},
+            [],
+            done,
+            Urgency.LAUNCH,
+        )
 
     def task_started(self, worker: Worker, attempt: Attempt) -> None:
         if attempt.running_us == self.ctx.now_us:
-            log.debug("%s runs on %s (%s) after %.1f s", attempt.name, worker.name,
-                      worker.type.label if worker.type else "?", (self.ctx.now_us - attempt.sent_us) / SECOND)
+            log.debug(
+                "%s runs on %s (%s) after %.1f s",
+                attempt.name,
+                worker.name,
+                worker.type.label if worker.type else "?",
+                (self.ctx.now_us - attempt.sent_us) / SECOND,
+            )
         worker.images.pop(attempt.spec.image, None)
         worker.images[attempt.spec.image] = attempt.spec.image_gb
         # Bound: the images on the machine; each turn forgets one.
@@ -172,8 +192,13 @@
             if name in self.workers:
                 self.workers[name].task_failures += 1
         partition.crash_loop.blamed_machines -= {worker.name}
-        log.debug("%s is done on %s: sent %.1f s, running %.1f s ago", attempt.name, worker.name,
-                  (self.ctx.now_us - attempt.sent_us) / SECOND, (self.ctx.now_us - attempt.running_us) / SECOND)
+        log.debug(
+            "%s is done on %s: sent %.1f s, running %.1f s ago",
+            attempt.name,
+            worker.name,
+            (self.ctx.now_us - attempt.sent_us) / SECOND,
+            (self.ctx.now_us - attempt.running_us) / SECOND,
+        )
         if attempt.running_us:
             self.run_times_s.append((self.ctx.now_us - attempt.running_us) / SECOND)
             del self.run_times_s[:-200]
@@ -220,8 +245,19 @@
             silent_us = now_us - max(worker.last_contact_us, self.led_since_us)
             inherited = worker.name in self.unreconciled
             starvation_bound_us = self.silence_limit_us(worker)
-            if not worker.probing and worker.endpoint and now_us >= worker.next_probe_us and (inherited or (
-                    worker.attempts and worker.last_contact_us and (silent_us > starvation_bound_us or worker.delivery.suspect))):
+            if (
+                not worker.probing
+                and worker.endpoint
+                and now_us >= worker.next_probe_us
+                and (
+                    inherited
+                    or (
+                        worker.attempts
+                        and worker.last_contact_us
+                        and (silent_us > starvation_bound_us or worker.delivery.suspect)
+                    )
+                )
+            ):
                 self.command_sender.probe(worker)
 
     def silence_limit_us(self, worker: Worker) -> int:
@@ -229,15 +265,22 @@
         if worker.name in self.unreconciled:
             return 0
         # Replicas that stand still are noticed at once, so their machines are asked early.
-        return min(self.ctx.timing.probe_after_us, SERVICE_PROBE_US) if worker.service_tasks else self.ctx.timing.probe_after_us
+        return (
+            min(self.ctx.timing.probe_after_us, SERVICE_PROBE_US)
+            if worker.service_tasks
+            else self.ctx.timing.probe_after_us
+        )
 
     def _update_deadline_order(self) -> None:
         queue = [c for c in self.waiting_in_order() if not c.on_hold]
         if queue:
             slots, rate = self.queueing_station()
             cpus, _ = self.mean_task()
-            booting = sum(w.type.cpus for w in self.workers.values()
-                          if w.type is not None and not w.last_contact_us and not w.deleting)
+            booting = sum(
+                w.type.cpus
+                for w in self.workers.values()
+                if w.type is not None and not w.last_contact_us and not w.deleting
+            )
             # Of what is still booting, half is there in time for the usual job.
             order_by_deadline(queue, max((slots * cpus + booting / 2) * rate, 0.01), self.ctx.wall_us)
             self.placement.ageing.update(queue, 1 / rate, slots)
--- a/quinceslip/coordination/shard/state.py
+++ b/quinceslip/coordination/shard/state.py
@@ -121,13 +121,15 @@
     def free(self) -> tuple[float, float, float]:
         if self.type is None:
             return (0.0, 0.0, 0.0)
-        return (self.type.cpus - self.used_cpus, self.type.gpus - self.used_gpus,
-                self.type.memory_gb - self.used_memory_gb)
+        return (
+            self.type.cpus - self.used_cpus,
+            self.type.gpus - self.used_gpus,
+            self.type.memory_gb - self.used_memory_gb,
+        )
 
 
 def fits(free: tuple[float, float, float], spec: m.JobSpec) -> bool:
-    return free[0] >= spec.cpus - EPSILON and free[1] >= spec.gpus - EPSILON \
-        and free[2] >= spec.memory_gb - EPSILON
+    return free[0] >= spec.cpus - EPSILON and free[1] >= spec.gpus - EPSILON and free[2] >= spec.memory_gb - EPSILON
 
 
 class TaskQueue:
@@ -203,7 +205,14 @@
         self.spec, self.due_us = spec, due_us
         self.priority = spec.priority
         self.constraints = (self.priority, spec.team, spec.spot, spec.zone, tuple(spec.types) if spec.types else None)
-        self.shape = (*self.constraints, spec.service, spec.one_zone or spec.spread, spec.cpus, spec.gpus, spec.memory_gb)
+        self.shape = (
+            *self.constraints,
+            spec.service,
+            spec.one_zone or spec.spread,
+            spec.cpus,
+            spec.gpus,
+            spec.memory_gb,
+        )
 
     @property
     def awaits_start(self) -> bool:
@@ -254,11 +263,15 @@
 
     # May it start, and what gives way to it.
     def allows(self, spec: m.JobSpec, count: int = 1) -> bool: ...
-    def blocked_by_quota(self, partition: JobPartition, count: int, placeable: bool, workers: Iterable[Worker] = ()) -> None: ...
+    def blocked_by_quota(
+        self, partition: JobPartition, count: int, placeable: bool, workers: Iterable[Worker] = ()
+    ) -> None: ...
     def not_placed(self, partition: JobPartition) -> None: ...
     def startable(self, spec: m.JobSpec, most: int, spoken_for: dict[int, tuple[int, int, int, int]]) -> int: ...
     def guarantees_covering(self, spec: m.JobSpec, count: int = 1) -> set[int]: ...
-    def preemption_policy(self, spec: m.JobSpec, count: int = 1, rests_on: set[int] | None = None) -> PreemptionPolicy: ...
+    def preemption_policy(
+        self, spec: m.JobSpec, count: int = 1, rests_on: set[int] | None = None
+    ) -> PreemptionPolicy: ...
 
 
 #: what keeps a task from being in two places, each left out once by `quinceslip model takeover`
@@ -363,10 +376,19 @@
         worker (exited, lost, refused), but a newer attempt may live on one that has not spoken yet.
         """
         for index in indices:
-            if index not in partition.attempts and index not in partition.done and index not in partition.unrecorded_done \
-                    and index not in partition.indeterminate and index in partition.assigned \
-                    and (index not in partition.unreconciled or "unknown" not in self.guards):
-                if partition.crash_loop.suspected and not partition.spec.gang and (partition.attempts or partition.pending):
+            if (
+                index not in partition.attempts
+                and index not in partition.done
+                and index not in partition.unrecorded_done
+                and index not in partition.indeterminate
+                and index in partition.assigned
+                and (index not in partition.unreconciled or "unknown" not in self.guards)
+            ):
+                if (
+                    partition.crash_loop.suspected
+                    and not partition.spec.gang
+                    and (partition.attempts or partition.pending)
+                ):
                     # Guard: of a job that is suspected of a mistake one task is tried at a time; gangs run whole or
                     # not at all.
                     partition.crash_loop.on_hold.add(index)
@@ -374,7 +396,11 @@
                 partition.crash_loop.on_hold.discard(index)
                 partition.pending.push(index)
                 self.needs_placement = True
-        if partition.pending and self.partitions.get(partition.job_id) is partition and self.queued.get(partition.job_id) is not partition:
+        if (
+            partition.pending
+            and self.partitions.get(partition.job_id) is partition
+            and self.queued.get(partition.job_id) is not partition
+        ):
             self.queued[partition.job_id] = partition
             self.queue_order = None
 
--- a/quinceslip/crash_loops/detector.py
+++ b/quinceslip/crash_loops/detector.py
@@ -33,7 +33,11 @@
 
     @property
     def suspected(self) -> bool:
-        return self.enabled and not self.sound and (len(self.blamed_machines) >= MACHINES or self.most_task_failures >= IN_A_ROW)
+        return (
+            self.enabled
+            and not self.sound
+            and (len(self.blamed_machines) >= MACHINES or self.most_task_failures >= IN_A_ROW)
+        )
 
     def task_failed(self, worker: str, times: int, ran_us: int) -> bool:
         """A task failed on that worker, `times` times in all; returns whether the job is suspected from now on."""
@@ -56,4 +60,6 @@
 
     def reason(self) -> str:
         """For the job's user."""
-        return f"all {self.failures} attempts failed, on {len(self.blamed_machines)} machines: one task is tried at a time"
+        return (
+            f"all {self.failures} attempts failed, on {len(self.blamed_machines)} machines: one task is tried at a time"
+        )
--- a/quinceslip/dependencies/cancellation.py
+++ b/quinceslip/dependencies/cancellation.py
@@ -49,4 +49,6 @@
 
         key = records.job_key(job_id)
         final = records.final_record(job, CANCELLED, 0)
-        self.ctx.compare_and_swap({key: self.ctx.cache.mod_revision(key)}, {key: (final, None)}, [], done, Urgency.RESULT)
+        self.ctx.compare_and_swap(
+            {key: self.ctx.cache.mod_revision(key)}, {key: (final, None)}, [], done, Urgency.RESULT
+        )
--- a/quinceslip/dependencies/graph.py
+++ b/quinceslip/dependencies/graph.py
@@ -57,8 +57,12 @@
 
 
 class Graph:
-    def __init__(self, job: Callable[[str], JobRecord | None], urgency: Callable[[JobSpec, int], Urgency],
-                 run_us: Callable[[JobSpec], int]) -> None:
+    def __init__(
+        self,
+        job: Callable[[str], JobRecord | None],
+        urgency: Callable[[JobSpec, int], Urgency],
+        run_us: Callable[[JobSpec], int],
+    ) -> None:
         self._job = job
         self._urgency = urgency
         self._run_us = run_us
@@ -109,8 +113,10 @@
                 self._job_finished(job_id, record)
         ready, self._ready = self._ready, []
         # Two of a batch may be a job and what it needed last: it may be over by now, or withdrawn by another's record.
-        return Changes([u for u in dict.fromkeys(ready) if u in self.entries and not self.entries[u].unfinished],
-                       self._propagate_urgency())
+        return Changes(
+            [u for u in dict.fromkeys(ready) if u in self.entries and not self.entries[u].unfinished],
+            self._propagate_urgency(),
+        )
 
     def _entry_for(self, job_id: str, record: JobRecord) -> Entry:
         """An open job that others need, or that needs others."""
@@ -184,7 +190,8 @@
             return
         asked = after.urgency.before(after.run_us)
         if asked.priority <= entry.urgency.priority or any(
-                mine == due for mine, due in zip(entry.urgency.dues_us, asked.dues_us, strict=False)):
+            mine == due for mine, due in zip(entry.urgency.dues_us, asked.dues_us, strict=False)
+        ):
             self._stale.add(job_id)
 
     def _propagate_urgency(self) -> list[str]:
--- a/quinceslip/feature_gate/gate.py
+++ b/quinceslip/feature_gate/gate.py
@@ -75,7 +75,9 @@
         lacking = self._controllers_without_support()
         if lacking != self.missing:
             self.missing = lacking
-            log.info("level %d: %s", self.supported_level, f"waits for {', '.join(lacking)}" if lacking else "all support it")
+            log.info(
+                "level %d: %s", self.supported_level, f"waits for {', '.join(lacking)}" if lacking else "all support it"
+            )
 
     def _publish_supported(self, key: str, lease: int) -> None:
         """Guard: on condition of what it replaces, so one that is carried out late undoes no later life's."""
@@ -85,24 +87,43 @@
                 self.published = (lease, self.ctx.cache.mod_revision(key))
             self._answered(status)
 
-        self._write({key: self.ctx.cache.mod_revision(key)}, key, records.SupportsRecord(self.supported_level), lease, done)
+        self._write(
+            {key: self.ctx.cache.mod_revision(key)}, key, records.SupportsRecord(self.supported_level), lease, done
+        )
 
     def _activate(self) -> None:
         """Guard: each controller's word must stand as it was seen when this is carried out, however late."""
         mod_revision = self.ctx.cache.mod_revision
         conditions = {key: mod_revision(key) for key in (records.ROLLOUT, *map(records.supports_key, self.labels))}
         if len(conditions) > 4 * self.ctx.limits.txn_ops:
-            log.error("level %d stays shut: %d controllers are more than a transaction of %d changes can check",
-                      self.supported_level, len(self.labels), self.ctx.limits.txn_ops)
+            log.error(
+                "level %d stays shut: %d controllers are more than a transaction of %d changes can check",
+                self.supported_level,
+                len(self.labels),
+                self.ctx.limits.txn_ops,
+            )
             self.supported_level = 0
             return
-        self._write(conditions, records.ROLLOUT, records.LevelRecord(self.supported_level), None,
-                    lambda status, failed: self._answered(status))
-
-    def _write(self, conditions: dict[str, int], key: str, record: records.SupportsRecord | records.LevelRecord,
-               lease: int | None, done: CompareAndSwapDone) -> None:
+        self._write(
+            conditions,
+            records.ROLLOUT,
+            records.LevelRecord(self.supported_level),
+            None,
+            lambda status, failed: self._answered(status),
+        )
+
+    def _write(
+        self,
+        conditions: dict[str, int],
+        key: str,
+        record: records.SupportsRecord | records.LevelRecord,
+        lease: int | None,
+        done: CompareAndSwapDone,
+    ) -> None:
         self.writing = True
-        self.ctx.compare_and_swap(conditions, {key: (record, lease)}, [], done, Urgency.LAUNCH)  # submissions may wait for it
+        self.ctx.compare_and_swap(
+            conditions, {key: (record, lease)}, [], done, Urgency.LAUNCH
+        )  # submissions may wait for it
 
     def _answered(self, status: int) -> None:
         self.writing = False
--- a/quinceslip/liveness/stall_detector.py
+++ b/quinceslip/liveness/stall_detector.py
@@ -62,6 +62,9 @@
         worked_us, in_time = seen.cpu_us - self.first_without_turn.cpu_us, self.counted_us >= self.limit_us
         if worked_us >= (WORKS if in_time else 1.0) * self.limit_us:
             return f"has worked for {worked_us / 1e6:.1f} s on one turn"
-        if self.counted_us - self.first_at_place_us >= self.limit_us and seen.cpu_us - self.first_at_place.cpu_us <= IDLES * self.limit_us:
+        if (
+            self.counted_us - self.first_at_place_us >= self.limit_us
+            and seen.cpu_us - self.first_at_place.cpu_us <= IDLES * self.limit_us
+        ):
             return "waits at one place"
         return ""
--- a/quinceslip/models/gap.py
+++ b/quinceslip/models/gap.py
@@ -62,13 +62,23 @@
     def __init__(self, unit_us: int, lease: int, cancel: int, guards: frozenset[str]) -> None:
         self.unit_us, self.lease, self.cancel, self.guards = unit_us, lease, cancel, guards
         unit_s = unit_us / SECOND
-        self.settings = msgspec.convert({
-            "label": "a", "location": "z", "api_addr": "10.0.0.1:1", "peer_bind": "10.0.0.1:2",
-            "outside": {"cloud": "10.0.0.2:1", "state": "10.0.0.3:1"},
-            "facts": {"size": 1, "zones": ["z"], "cloud": {"rps": 4.0, "list_lag_s": 5.0},
-                      "state": {"rps": 100.0, "write_rps": 50.0, "value_kb": 16.0, "txn_ops": 8},
-                      "workers": {"report_s": unit_s / 2, "lease_s": lease * unit_s, "cancel_s": cancel * unit_s}}},
-            Settings)
+        self.settings = msgspec.convert(
+            {
+                "label": "a",
+                "location": "z",
+                "api_addr": "10.0.0.1:1",
+                "peer_bind": "10.0.0.1:2",
+                "outside": {"cloud": "10.0.0.2:1", "state": "10.0.0.3:1"},
+                "facts": {
+                    "size": 1,
+                    "zones": ["z"],
+                    "cloud": {"rps": 4.0, "list_lag_s": 5.0},
+                    "state": {"rps": 100.0, "write_rps": 50.0, "value_kb": 16.0, "txn_ops": 8},
+                    "workers": {"report_s": unit_s / 2, "lease_s": lease * unit_s, "cancel_s": cancel * unit_s},
+                },
+            },
+            Settings,
+        )
         self.timing = Timing(self.settings)
         if "grace" not in guards:
             self.timing.grace_us += 2 * (self.timing.margin_us + unit_us)
@@ -79,8 +89,14 @@
         """What the owner may do, of contacts that are so old."""
         now_us = 2 * self.oldest * self.unit_us
         job = JobRecord(m.CANCELLED if state.knows else m.QUEUED, 1)
-        ctx: Any = SimpleNamespace(settings=self.settings, timing=self.timing, now_us=now_us, started_us=0, types={},
-                                   cache=SimpleNamespace(job=lambda job_id: job))
+        ctx: Any = SimpleNamespace(
+            settings=self.settings,
+            timing=self.timing,
+            now_us=now_us,
+            started_us=0,
+            types={},
+            cache=SimpleNamespace(job=lambda job_id: job),
+        )
         found = LeaderElection(ctx, 0, lambda *_: None, lambda _: None)
         found.leader_lease, found.claiming = 1, True
         found.lease_sent_us = now_us - state.owner * self.unit_us
@@ -109,9 +125,14 @@
 
     def passes(self, state: State) -> State:
         """One unit of time."""
-        later = replace(state, owner=min(state.owner + 1, self.oldest), watch=min(state.watch + 1, self.oldest),
-                        asked=min(state.asked + 1, self.oldest), lease=state.lease + 1,
-                        told=state.told + 1 if state.told >= 0 else -1)
+        later = replace(
+            state,
+            owner=min(state.owner + 1, self.oldest),
+            watch=min(state.watch + 1, self.oldest),
+            asked=min(state.asked + 1, self.oldest),
+            lease=state.lease + 1,
+            told=state.told + 1 if state.told >= 0 else -1,
+        )
         if later.lease > self.lease:
             return replace(later, lease=self.lease, runs=False, flies=False)  # the session is over
         return later
@@ -125,10 +146,14 @@
         # It shows all that was told before its answer, and proves contact from its sending; the next is sent at once.
         sent = state.asked if "sent" in self.guards else 0
         yield "watch answered", replace(state, watch=min(state.watch, sent), asked=0, shows=told, knows=told)
-        yield "open watch ends", replace(state, watch=min(state.watch, sent), asked=0, shows=told,
-                                         knows=state.knows or state.shows)
-        yield "back at once", replace(state, owner=self.oldest, watch=self.oldest, knows=False, owns=False, asked=0,
-                                      shows=told)
+        yield (
+            "open watch ends",
+            replace(state, watch=min(state.watch, sent), asked=0, shows=told, knows=state.knows or state.shows),
+        )
+        yield (
+            "back at once",
+            replace(state, owner=self.oldest, watch=self.oldest, knows=False, owns=False, asked=0, shows=told),
+        )
         rights = self.rights(state)
         if not state.owns and rights.may_launch():
             yield "claimed", replace(state, owns=True)
@@ -136,8 +161,10 @@
             yield "launch arrives", replace(state, flies=False, runs=True)
         if state.owns and rights.may_answer():
             ends = self.ends(rights, state)
-            yield "report answered", replace(state, lease=0, runs=state.runs and not ends,
-                                             flies=state.flies and (state.runs or not ends))
+            yield (
+                "report answered",
+                replace(state, lease=0, runs=state.runs and not ends, flies=state.flies and (state.runs or not ends)),
+            )
         yield "time", self.passes(state)
 
 
@@ -162,8 +189,12 @@
             came[after] = (state, what)
             if after.told > cancel:
                 history = _history(came, after)
-                return Found(len(came), len(history), f"the task is there {after.told} units after its user was told",
-                             [(step, 0, 0) for step in history])
+                return Found(
+                    len(came),
+                    len(history),
+                    f"the task is there {after.told} units after its user was told",
+                    [(step, 0, 0) for step in history],
+                )
             longest = max(longest, after.told)
             todo.append(after)
     return Found(len(came), longest)
--- a/quinceslip/models/takeover.py
+++ b/quinceslip/models/takeover.py
@@ -34,9 +34,31 @@
 JOB_ID = "req-1"
 Step = tuple[str, int, int]
 #: every kind of step; a number names a worker, a message on its way, or a task
-STEPS = ("launch", "halt", "raise", "record", "sweep", "gone", "crash", "report", "unheard", "unasked", "probe", "late",
-         "arrive", "copy", "do", "give up",
-         "finish", "fail", "expire", "outlived", "write", "carry out", "watch")
+STEPS = (
+    "launch",
+    "halt",
+    "raise",
+    "record",
+    "sweep",
+    "gone",
+    "crash",
+    "report",
+    "unheard",
+    "unasked",
+    "probe",
+    "late",
+    "arrive",
+    "copy",
+    "do",
+    "give up",
+    "finish",
+    "fail",
+    "expire",
+    "outlived",
+    "write",
+    "carry out",
+    "watch",
+)
 #: what can be left out: the guards of `custody` and `commands`, and that a write is conditional
 GUARDS = ALL_GUARDS | {"conditional"}
 #: writes on their way at the same time
@@ -46,9 +68,25 @@
 #: rounds without trouble in which everything must be done
 CALM_ROUNDS = 14
 
-SPEC = m.JobSpec(job_id=JOB_ID, job_class="c", team="t", kind="array", priority_class="normal", tasks=1, cpus=1.0, gpus=0.0,
-                 memory_gb=0.0, image="i", image_gb=0.0, one_zone=False, spread=False, spot=True, estimate_s=1.0,
-                 checkpoint_s=0.0, save_s=0.0)
+SPEC = m.JobSpec(
+    job_id=JOB_ID,
+    job_class="c",
+    team="t",
+    kind="array",
+    priority_class="normal",
+    tasks=1,
+    cpus=1.0,
+    gpus=0.0,
+    memory_gb=0.0,
+    image="i",
+    image_gb=0.0,
+    one_zone=False,
+    spread=False,
+    spot=True,
+    estimate_s=1.0,
+    checkpoint_s=0.0,
+    save_s=0.0,
+)
 
 
 class Breach(Exception):
@@ -68,8 +106,16 @@
 
     def heartbeat(self) -> m.WorkerHeartbeat:
         self.seq += 1
-        return m.WorkerHeartbeat(worker=self.name, endpoint=self.name, type="t", zone="z", epoch=self.epoch,
-                              seq=self.seq, fencing_token=self.fencing_token, tasks=list(self.tasks.values()))
+        return m.WorkerHeartbeat(
+            worker=self.name,
+            endpoint=self.name,
+            type="t",
+            zone="z",
+            epoch=self.epoch,
+            seq=self.seq,
+            fencing_token=self.fencing_token,
+            tasks=list(self.tasks.values()),
+        )
 
 
 @dataclass(slots=True)
@@ -116,18 +162,25 @@
         self.wants_term = 0
         self.seen_revision = self.mod_revision
         # Nothing is final in the view before the job is; a recorded task stands in its chunk.
-        ctx: Any = SimpleNamespace(now_us=0, types={}, call=self._call,
-                                   cache=SimpleNamespace(job=lambda job_id: JobRecord(m.QUEUED, self.tasks)))
+        ctx: Any = SimpleNamespace(
+            now_us=0,
+            types={},
+            call=self._call,
+            cache=SimpleNamespace(job=lambda job_id: JobRecord(m.QUEUED, self.tasks)),
+        )
         rights: Any = SimpleNamespace(may_launch=lambda shard: True, claim=self._claim)
         owner = self.owner = Reconciler(ctx, rights, 0, self.term)
         owner.guards = self.guards
-        self.partition = owner.partitions[JOB_ID] = JobPartition(JOB_ID, SPEC, 0, assigned=set(range(self.tasks)), done=set(self.recorded))
+        self.partition = owner.partitions[JOB_ID] = JobPartition(
+            JOB_ID, SPEC, 0, assigned=set(range(self.tasks)), done=set(self.recorded)
+        )
         self.partition.unreconciled = self.partition.assigned - self.partition.done
         for machine in self.machines:
             machine.lapsed, machine.known = False, machine.epoch
             if not machine.gone:
-                worker = owner.workers[machine.name] = Worker(machine.name, None, "z", False, endpoint=machine.name,
-                                                              registered=True)
+                worker = owner.workers[machine.name] = Worker(
+                    machine.name, None, "z", False, endpoint=machine.name, registered=True
+                )
                 owner.inherit_worker(worker)
         self.command_sender = CommandSender(owner, SimpleNamespace(recorded=self._is_recorded), self._hears)  # type: ignore[arg-type]
         owner.release_unreconciled()
@@ -138,8 +191,9 @@
     def _claim(self, shard: int, above: int) -> None:
         self.wants_term = max(self.wants_term, above, 1)
 
-    def _call(self, target: str, method: str, path: str, body: Any, done: Callable[[int, bytes], None],
-              timeout_us: int = 0) -> None:
+    def _call(
+        self, target: str, method: str, path: str, body: Any, done: Callable[[int, bytes], None], timeout_us: int = 0
+    ) -> None:
         if method == "GET":
             return  # questions are steps of their own: answered is `probe`, in vain is `unasked`
         number = int(target[1:])
@@ -153,7 +207,9 @@
         if heartbeat.fencing_token > self.owner.term:
             self.owner.raise_term(heartbeat.fencing_token)
             return None
-        if self.owner.is_from_expired_epoch(worker, heartbeat) or (not direct and self.owner.is_duplicate(worker, heartbeat)):
+        if self.owner.is_from_expired_epoch(worker, heartbeat) or (
+            not direct and self.owner.is_duplicate(worker, heartbeat)
+        ):
             return None
         if not self.owner.apply_heartbeat(worker, heartbeat):
             return m.CommandReply(self.owner.term, [])
@@ -206,7 +262,12 @@
     # What may happen.
 
     def _usable(self, worker: Worker, task: str) -> bool:
-        return worker.fenced and not worker.lease_expired and task not in worker.attempts and task not in worker.reported_tasks
+        return (
+            worker.fenced
+            and not worker.lease_expired
+            and task not in worker.attempts
+            and task not in worker.reported_tasks
+        )
 
     def steps(self) -> Iterator[Step]:
         owner = self.owner
@@ -248,8 +309,12 @@
             if machine.lapsed and worker is not None and not worker.lease_expired and worker.epoch != machine.epoch:
                 yield "sweep", number, 0
             # As `Reconciler.outlived`, whose clock stands here for the session that is over.
-            if worker is not None and worker.unanswered and machine.name in owner.unreconciled \
-                    and machine.epoch > machine.known:
+            if (
+                worker is not None
+                and worker.unanswered
+                and machine.name in owner.unreconciled
+                and machine.epoch > machine.known
+            ):
                 yield "outlived", number, 0
             if sum(not w.gone for w in self.machines) > 1:
                 yield "gone", number, 0
@@ -281,10 +346,14 @@
             self.mod_revision += 1
             self._watch()
         elif what == "write":
-            self.writes.append(Write(self.term, self.seen_revision, frozenset(self.partition.done | self.partition.unrecorded_done)))
+            self.writes.append(
+                Write(self.term, self.seen_revision, frozenset(self.partition.done | self.partition.unrecorded_done))
+            )
         elif what == "carry out":
             write = self.writes.pop(number)
-            if "conditional" not in self.guards or (write.term == self.term and write.mod_revision == self.mod_revision):
+            if "conditional" not in self.guards or (
+                write.term == self.term and write.mod_revision == self.mod_revision
+            ):
                 self.recorded = set(write.done)
                 self.mod_revision += 1
         elif what == "watch":
@@ -359,49 +428,107 @@
 
     def key(self) -> tuple[object, ...]:
         """All that matters of it: numbers that only rise count by their order."""
-        terms = sorted({0, self.term, self.owner.term, self.owner.first_own_term, *(w.fencing_token for w in self.machines),
-                        *(f.body.fencing_token for f in self.flights), *(r.fencing_token for _, r in self.late),
-                        *(a.unanswered_term for w in self.owner.workers.values() for a in w.attempts.values()),
-                        *(w.fencing_token for w in self.owner.workers.values())})
+        terms = sorted(
+            {
+                0,
+                self.term,
+                self.owner.term,
+                self.owner.first_own_term,
+                *(w.fencing_token for w in self.machines),
+                *(f.body.fencing_token for f in self.flights),
+                *(r.fencing_token for _, r in self.late),
+                *(a.unanswered_term for w in self.owner.workers.values() for a in w.attempts.values()),
+                *(w.fencing_token for w in self.owner.workers.values()),
+            }
+        )
         term = {t: n for n, t in enumerate(terms)}
-        numbers = sorted({t.attempt for w in self.machines for t in w.tasks.values()}
-                         | {c.attempt for f in self.flights for c in f.body.commands}
-                         | {t.attempt for _, r in self.late for t in r.tasks}
-                         | {a.number for w in self.owner.workers.values() for a in w.attempts.values()})
+        numbers = sorted(
+            {t.attempt for w in self.machines for t in w.tasks.values()}
+            | {c.attempt for f in self.flights for c in f.body.commands}
+            | {t.attempt for _, r in self.late for t in r.tasks}
+            | {a.number for w in self.owner.workers.values() for a in w.attempts.values()}
+        )
         attempt = {a: n for n, a in enumerate(numbers)}
 
         def shown(tasks: list[m.TaskStatus]) -> tuple[object, ...]:
             return tuple((t.task, attempt[t.attempt], t.state, t.why) for t in tasks)
 
-        machines = tuple((w.gone, term[w.fencing_token], w.lapsed, shown(list(w.tasks.values()))) for w in self.machines)
+        machines = tuple(
+            (w.gone, term[w.fencing_token], w.lapsed, shown(list(w.tasks.values()))) for w in self.machines
+        )
         workers: list[tuple[object, ...] | None] = []
         for machine in self.machines:
             worker = self.owner.workers.get(machine.name)
             if worker is None:
                 workers.append(None)
                 continue
-            workers.append((worker.epoch - machine.epoch if worker.epoch else None, term[worker.fencing_token],
-                            worker.fenced, worker.lease_expired, worker.command_open, machine.name in self.owner.unreconciled,
-                            min(worker.delivery.unanswered_probes, MAX_UNANSWERED_PROBES), min(worker.delivery.unacknowledged, MAX_UNACKNOWLEDGED),
-                            worker.delivery.fencing_token > 0, worker.unanswered, machine.epoch > machine.known,
-                            tuple(sorted(attempt.get(n, -1) for _, n in worker.delivery.launches)),
-                            machine.name in self.owner.workers_to_command,
-                            tuple((t, attempt.get(r.attempt, -1), r.state) for t, r in worker.reported_tasks.items()),
-                            tuple((a.name, attempt[a.number], a.observed, a.end_cause, a.stopping, a.direct_call_open, a.sent,
-                                   term[a.unanswered_term], self.partition.attempts.get(a.index) is a)
-                                  for a in worker.attempts.values())))
+            workers.append(
+                (
+                    worker.epoch - machine.epoch if worker.epoch else None,
+                    term[worker.fencing_token],
+                    worker.fenced,
+                    worker.lease_expired,
+                    worker.command_open,
+                    machine.name in self.owner.unreconciled,
+                    min(worker.delivery.unanswered_probes, MAX_UNANSWERED_PROBES),
+                    min(worker.delivery.unacknowledged, MAX_UNACKNOWLEDGED),
+                    worker.delivery.fencing_token > 0,
+                    worker.unanswered,
+                    machine.epoch > machine.known,
+                    tuple(sorted(attempt.get(n, -1) for _, n in worker.delivery.launches)),
+                    machine.name in self.owner.workers_to_command,
+                    tuple((t, attempt.get(r.attempt, -1), r.state) for t, r in worker.reported_tasks.items()),
+                    tuple(
+                        (
+                            a.name,
+                            attempt[a.number],
+                            a.observed,
+                            a.end_cause,
+                            a.stopping,
+                            a.direct_call_open,
+                            a.sent,
+                            term[a.unanswered_term],
+                            self.partition.attempts.get(a.index) is a,
+                        )
+                        for a in worker.attempts.values()
+                    ),
+                )
+            )
         partition = self.partition
-        flights = tuple((f.machine, term[f.body.fencing_token], f.body.epoch - self.machines[f.machine].epoch,
-                         tuple((c.op, c.task, attempt[c.attempt]) for c in f.body.commands), f.done is not None)
-                        for f in self.flights)
-        late = tuple((n, term[r.fencing_token], r.epoch - self.machines[n].epoch, shown(r.tasks),
-                      self._newer(n, r)) for n, r in self.late)
-        writes = tuple((w.term == self.term, w.mod_revision - self.mod_revision, tuple(sorted(w.done))) for w in self.writes)
+        flights = tuple(
+            (
+                f.machine,
+                term[f.body.fencing_token],
+                f.body.epoch - self.machines[f.machine].epoch,
+                tuple((c.op, c.task, attempt[c.attempt]) for c in f.body.commands),
+                f.done is not None,
+            )
+            for f in self.flights
+        )
+        late = tuple(
+            (n, term[r.fencing_token], r.epoch - self.machines[n].epoch, shown(r.tasks), self._newer(n, r))
+            for n, r in self.late
+        )
+        writes = tuple(
+            (w.term == self.term, w.mod_revision - self.mod_revision, tuple(sorted(w.done))) for w in self.writes
+        )
         known = (self.seen_revision == self.mod_revision, tuple(sorted(partition.done)))
-        return (machines, tuple(workers), flights, late, writes, known,
-                tuple(sorted(self.recorded)), tuple(partition.pending),
-                tuple(sorted(partition.unreconciled)), tuple(sorted(partition.unrecorded_done)), term[self.term], term[self.owner.term],
-                term[self.owner.first_own_term], self.wants_term > 0)
+        return (
+            machines,
+            tuple(workers),
+            flights,
+            late,
+            writes,
+            known,
+            tuple(sorted(self.recorded)),
+            tuple(partition.pending),
+            tuple(sorted(partition.unreconciled)),
+            tuple(sorted(partition.unrecorded_done)),
+            term[self.term],
+            term[self.owner.term],
+            term[self.owner.first_own_term],
+            self.wants_term > 0,
+        )
 
     def _newer(self, number: int, heartbeat: m.WorkerHeartbeat) -> bool:
         worker = self.owner.workers.get(self.machines[number].name)
@@ -438,8 +565,15 @@
     history: list[Step] = field(default_factory=list)
 
 
-def explore(depth: int, workers: int = 2, tasks: int = 1, without: str = "", most_states: int = 0,
-            only: frozenset[str] = frozenset(), after: tuple[Step, ...] = ()) -> Found:
+def explore(
+    depth: int,
+    workers: int = 2,
+    tasks: int = 1,
+    without: str = "",
+    most_states: int = 0,
+    only: frozenset[str] = frozenset(),
+    after: tuple[Step, ...] = (),
+) -> Found:
     """Breadth first, so that the history of a breach is a shortest one beyond `after`.
 
     `depth` counts the steps from there. `most_states` (0: none) ends the search; `only` leaves other steps out.
--- a/quinceslip/plotting.py
+++ b/quinceslip/plotting.py
@@ -32,6 +32,8 @@
     figure.savefig(picture, format="svg")
     pyplot().close(figure)
     svg = picture.getvalue()
-    return (f"<!doctype html><html lang=en><meta charset=utf-8><title>{html.escape(name)}</title>"
-            f"<body style='font-family:sans-serif'><h1>{html.escape(heading)}</h1><p>{html.escape(text)}</p>"
-            f"{svg[svg.index('<svg'):]}</body></html>")
+    return (
+        f"<!doctype html><html lang=en><meta charset=utf-8><title>{html.escape(name)}</title>"
+        f"<body style='font-family:sans-serif'><h1>{html.escape(heading)}</h1><p>{html.escape(text)}</p>"
+        f"{svg[svg.index('<svg') :]}</body></html>"
+    )
--- a/quinceslip/protocol/frames.py
+++ b/quinceslip/protocol/frames.py
@@ -11,7 +11,9 @@
 ZONE = struct.Struct("!I")  # CPUs that services could have in one zone
 MISROUTED = struct.Struct("!HI")  # shard, workers of it that came in vain; as many as follow, mostly none
 OBSERVATIONS = struct.Struct("!16sQH")  # label, birth of its process, number of sightings
-OBSERVATION = struct.Struct("!32s32sBIIHH")  # machine type, zone, 1 for spot, count, age in milliseconds, asked, granted
+OBSERVATION = struct.Struct(
+    "!32s32sBIIHH"
+)  # machine type, zone, 1 for spot, count, age in milliseconds, asked, granted
 STOCKOUT = struct.Struct("!32s32sBI")  # what earlier versions told on of refusals; read past and not believed
 MAX_MISROUTED_ENTRIES = 64
 KIND_HEARTBEAT = 1
@@ -82,8 +84,15 @@
     body = HEARTBEAT.pack(label, flags, heartbeat.revision, len(heartbeat.loads), 0)
     for load in heartbeat.loads:
         # A peer without heartbeats is taken for dead; an amount out of range must not cost one.
-        body += LOAD.pack(load.shard, _u32(load.waiting), _u32(load.slots), _u32(load.room), load.rate,
-                          _u32(load.quick_room), len(load.service_room))
+        body += LOAD.pack(
+            load.shard,
+            _u32(load.waiting),
+            _u32(load.slots),
+            _u32(load.room),
+            load.rate,
+            _u32(load.quick_room),
+            len(load.service_room),
+        )
         for cpus in load.service_room:
             body += ZONE.pack(_u32(cpus))
     for shard, count in misrouted:
@@ -98,8 +107,15 @@
     fit = fit[: (MAX_PAYLOAD - OBSERVATIONS.size) // OBSERVATION.size]
     body = OBSERVATIONS.pack(told.label.encode()[:16], fit[0].born if fit else 0, len(fit))
     for s in fit:
-        body += OBSERVATION.pack(s.kind[0].encode(), s.kind[1].encode(), s.kind[2], _u32(s.number),
-                              _u32(s.age_us // 1000), min(s.asked, 2**16 - 1), min(s.granted, 2**16 - 1))
+        body += OBSERVATION.pack(
+            s.kind[0].encode(),
+            s.kind[1].encode(),
+            s.kind[2],
+            _u32(s.number),
+            _u32(s.age_us // 1000),
+            min(s.asked, 2**16 - 1),
+            min(s.granted, 2**16 - 1),
+        )
     return HEADER.pack(MAGIC, VERSION, KIND_OBSERVATIONS, len(body)) + body
 
 
@@ -109,9 +125,18 @@
         found = []
         for place in range(count):
             kind, zone, spot, number, age_ms, asked, granted = OBSERVATION.unpack_from(
-                body, OBSERVATIONS.size + place * OBSERVATION.size)
-            found.append(Observation((kind.rstrip(b"\0").decode(), zone.rstrip(b"\0").decode(), bool(spot)), born,
-                                  number, age_ms * 1000, asked, granted))
+                body, OBSERVATIONS.size + place * OBSERVATION.size
+            )
+            found.append(
+                Observation(
+                    (kind.rstrip(b"\0").decode(), zone.rstrip(b"\0").decode(), bool(spot)),
+                    born,
+                    number,
+                    age_ms * 1000,
+                    asked,
+                    granted,
+                )
+            )
         return PeerObservations(label.rstrip(b"\0").decode(), found)
     except (struct.error, UnicodeDecodeError) as error:
         raise FrameError(str(error)) from error
@@ -149,7 +174,13 @@
         offset += refused * STOCKOUT.size
         # Left out where there are none, so that controllers from before they were sent take the frame as well.
         misrouted = list(MISROUTED.iter_unpack(body[offset:]))
-        return PeerHeartbeat(label.rstrip(b"\0").decode(), bool(flags & FLAG_STATE_OK), revision, loads,
-                    bool(flags & FLAG_YIELDING), [(shard, came) for shard, came in misrouted])
+        return PeerHeartbeat(
+            label.rstrip(b"\0").decode(),
+            bool(flags & FLAG_STATE_OK),
+            revision,
+            loads,
+            bool(flags & FLAG_YIELDING),
+            [(shard, came) for shard, came in misrouted],
+        )
     except (struct.error, UnicodeDecodeError) as error:
         raise FrameError(str(error)) from error
--- a/quinceslip/protocol/messages.py
+++ b/quinceslip/protocol/messages.py
@@ -250,8 +250,9 @@
     events: list[Event] = []
 
 
-def job_answer(job_id: str, status: str, done: int | None = None, running: int | None = None,
-               why: str | None = None) -> dict[str, Any]:
+def job_answer(
+    job_id: str, status: str, done: int | None = None, running: int | None = None, why: str | None = None
+) -> dict[str, Any]:
     """`why` is for people: a receiver ignores fields that it does not know (PROTOCOL)."""
     body: dict[str, Any] = {"uid": job_id, "status": status}
     if why is not None:
@@ -293,8 +294,9 @@
     return f"/changes?under={prefix}&since={revision}&holdMs={wait_ms}"
 
 
-def compare_and_swap_request(conditions: dict[str, int], puts: Mapping[str, tuple[Any, int | None]],
-                drops: list[str]) -> dict[str, Any]:
+def compare_and_swap_request(
+    conditions: dict[str, int], puts: Mapping[str, tuple[Any, int | None]], drops: list[str]
+) -> dict[str, Any]:
     ops: list[dict[str, Any]] = []
     for key, (value, hold) in puts.items():
         op: dict[str, Any] = {"write": key, "v": value}
--- a/quinceslip/protocol/settings.py
+++ b/quinceslip/protocol/settings.py
@@ -73,12 +73,17 @@
 
     def lasting(self) -> "StateFacts":
         """Limits that hold now and after the announced change: the lesser of each. Nothing may rest on others."""
+
         def least(now: float, later: float | None) -> float:
             return now if later is None else min(now, later)
 
         later = self.next
-        return StateFacts(least(self.rps, later.rps), least(self.write_rps, later.write_rps),
-                          least(self.value_kb, later.value_kb), int(least(self.txn_ops, later.txn_ops)))
+        return StateFacts(
+            least(self.rps, later.rps),
+            least(self.write_rps, later.write_rps),
+            least(self.value_kb, later.value_kb),
+            int(least(self.txn_ops, later.txn_ops)),
+        )
 
 
 class CloudFacts(msgspec.Struct, frozen=True):
--- a/quinceslip/quota/admission.py
+++ b/quinceslip/quota/admission.py
@@ -62,9 +62,13 @@
         self.victims = None
         now_us = self.state.ctx.now_us
         waiting = {c.job_id for c in queue} if self.reservations else set()
-        self.reservations = {job_id: kept for job_id, kept in self.reservations.items()
-                     if any((*kept.room, *kept.released)) and now_us < kept.until_us
-                     and (job_id in waiting or not kept.waits_here)}
+        self.reservations = {
+            job_id: kept
+            for job_id, kept in self.reservations.items()
+            if any((*kept.room, *kept.released))
+            and now_us < kept.until_us
+            and (job_id in waiting or not kept.waits_here)
+        }
 
     def queue_empty(self) -> None:
         self.unmet_demands.clear()
@@ -88,12 +92,16 @@
         for level in capped:
             allocation = self.allocations.for_cap(level)
             wanted = add(self.usage.get(level, ZERO), need)
-            if not within(wanted, allocation.limit(self.state.index)) or allocation.is_exceeded(need) \
-                    or not self.allocations.is_current(level):
+            if (
+                not within(wanted, allocation.limit(self.state.index))
+                or allocation.is_exceeded(need)
+                or not self.allocations.is_current(level)
+            ):
                 self.refused[level] = need
                 return False
-            if self.reservations and not within(add(wanted, self.reserved_for_others(level, spec.job_id)),
-                                        allocation.limit(self.state.index)):
+            if self.reservations and not within(
+                add(wanted, self.reserved_for_others(level, spec.job_id)), allocation.limit(self.state.index)
+            ):
                 self.last_kept_back = level
                 return False
         if self.targets:
@@ -130,17 +138,28 @@
         if not path:
             return set()
         need = times(task_amounts(spec), count)
-        return {level for level in path if within(add(self._committed(level, spec.job_id), need), self.guaranteed_here(level))}
+        return {
+            level
+            for level in path
+            if within(add(self._committed(level, spec.job_id), need), self.guaranteed_here(level))
+        }
 
     def _committed(self, level: int, job_id: str) -> Amounts:
         """What stays in use, what was made room for in this pass, and what is kept for others since earlier ones.
 
         Guard: without the last, room for two jobs would be made where there is room for one, and neither could start.
         """
-        return add(add(self.net_usage(level), self.promised.get(level, ZERO)), self.reserved_for_others(level, job_id, self.jobs_promised_room))
-
-    def preemption_policy(self, spec: m.JobSpec, count: int = 1, rests_on: set[int] | None = None) -> GuaranteeAwarePreemption:
-        return GuaranteeAwarePreemption(self, spec, self.guarantees_covering(spec, count) if rests_on is None else rests_on)
+        return add(
+            add(self.net_usage(level), self.promised.get(level, ZERO)),
+            self.reserved_for_others(level, job_id, self.jobs_promised_room),
+        )
+
+    def preemption_policy(
+        self, spec: m.JobSpec, count: int = 1, rests_on: set[int] | None = None
+    ) -> GuaranteeAwarePreemption:
+        return GuaranteeAwarePreemption(
+            self, spec, self.guarantees_covering(spec, count) if rests_on is None else rests_on
+        )
 
     def shortfall(self, spec: m.JobSpec, count: int) -> dict[int, Amounts]:
         """By level, how much more the shard would have to hold, or others stop using."""
@@ -152,7 +171,9 @@
                 found[level] = short
         return found
 
-    def blocked_by_quota(self, partition: JobPartition, count: int, placeable: bool, workers: Iterable[Worker] = ()) -> None:
+    def blocked_by_quota(
+        self, partition: JobPartition, count: int, placeable: bool, workers: Iterable[Worker] = ()
+    ) -> None:
         """A chunk waits for its quota alone: note the claim, and have borrowed work here make room."""
         partition.on_hold = self.has_partitions_on_hold = True
         spec = partition.spec
@@ -165,8 +186,14 @@
             known.need = known.need if again else add(known.need, waiting)
             return
         if self._others_hold(spec.team):
-            self.unmet_demands[spec.team] = UnmetDemand(spec.team, times(task_amounts(spec), count), waiting,
-                                           (int(not placeable), spec.priority, partition.submitted_us, partition.job_id), spec, count)
+            self.unmet_demands[spec.team] = UnmetDemand(
+                spec.team,
+                times(task_amounts(spec), count),
+                waiting,
+                (int(not placeable), spec.priority, partition.submitted_us, partition.job_id),
+                spec,
+                count,
+            )
         if (spec.priority <= 1 or self.tree.guaranteed.get(spec.team)) and self.usage_known():
             made, kept = False, self.reservations.get(partition.job_id)
             let_go = kept.released if kept is not None else ZERO
@@ -186,8 +213,13 @@
                     # Bound: the tasks that wait, in lots of `count`.
                     while left > 0 and self.make_room(spec, count, 1, machine=worker):
                         left, made = left - 1, True
-            if kept is not None and kept.waits_here and not made and self.last_kept_back is None \
-                    and not self._others_hold(spec.team):
+            if (
+                kept is not None
+                and kept.waits_here
+                and not made
+                and self.last_kept_back is None
+                and not self._others_hold(spec.team)
+            ):
                 # Guard: it needs more by now than what is kept (a service of which nothing runs any more starts as a
                 # whole), and nobody can give that. Without this, what is kept serves nobody.
                 self._release_reservation(kept)
@@ -201,8 +233,13 @@
         a machine that can take it: else the two would stop each other in every pass.
         """
         kept = self.reservations.get(partition.job_id)
-        if kept is not None and kept.waits_here and any(kept.room) and not partition.precedence \
-                and self.allows(partition.spec, len(partition.pending) if partition.spec.gang else 1):
+        if (
+            kept is not None
+            and kept.waits_here
+            and any(kept.room)
+            and not partition.precedence
+            and self.allows(partition.spec, len(partition.pending) if partition.spec.gang else 1)
+        ):
             self._release_reservation(kept)
 
     def _release_reservation(self, kept: Reservation) -> None:
@@ -225,9 +262,16 @@
                     return False
         return True
 
-    def make_room(self, spec: m.JobSpec, count: int, times_: int, rests_on: set[int] | None = None,
-                  lacking: dict[int, Amounts] | None = None, machine: Worker | None = None,
-                  places: GangPlaces | None = None) -> bool:
+    def make_room(
+        self,
+        spec: m.JobSpec,
+        count: int,
+        times_: int,
+        rests_on: set[int] | None = None,
+        lacking: dict[int, Amounts] | None = None,
+        machine: Worker | None = None,
+        places: GangPlaces | None = None,
+    ) -> bool:
         """Have borrowed work stop for as many tasks as may claim it, `count` at a time; whether any will.
 
         `rests_on` and `lacking` are another shard's, where the claim is from there.
@@ -252,9 +296,16 @@
                 kept.until_us = self.state.ctx.now_us + RESERVATION_US
         return made
 
-    def reclaim(self, spec: m.JobSpec, count: int, lacking: dict[int, Amounts], search: GuaranteeAwarePreemption,
-                machine: Worker | None = None, partly: bool = False,
-                places: GangPlaces | None = None) -> list[Attempt] | None:
+    def reclaim(
+        self,
+        spec: m.JobSpec,
+        count: int,
+        lacking: dict[int, Amounts],
+        search: GuaranteeAwarePreemption,
+        machine: Worker | None = None,
+        partly: bool = False,
+        places: GangPlaces | None = None,
+    ) -> list[Attempt] | None:
         """Stop what gives way until the levels have that much room; all of it or nothing, unless `partly`.
 
         With a machine, only what runs there, and it must have room for a task afterwards. With places, all tasks of the
@@ -295,14 +346,22 @@
             self.state.stop(victim, 0.0)
         return chosen
 
-    def _find_places(self, places: GangPlaces, wanted: int, search: GuaranteeAwarePreemption, chosen: list[Attempt]) -> bool:
+    def _find_places(
+        self, places: GangPlaces, wanted: int, search: GuaranteeAwarePreemption, chosen: list[Attempt]
+    ) -> bool:
         """Whether so many tasks find places once what is chosen has gone; more is chosen if it takes that."""
         before = len(chosen)
         for victim in self.victims or ():
             if places.count >= wanted:
                 break
-            if victim.counted_usage is not None and not victim.stopping and not victim.end_cause and victim not in chosen \
-                    and victim.worker in places.room and search.may_preempt(victim):
+            if (
+                victim.counted_usage is not None
+                and not victim.stopping
+                and not victim.end_cause
+                and victim not in chosen
+                and victim.worker in places.room
+                and search.may_preempt(victim)
+            ):
                 search.choose(victim)
                 places.freed(victim)
                 chosen.append(victim)
--- a/quinceslip/quota/allocation.py
+++ b/quinceslip/quota/allocation.py
@@ -58,10 +58,11 @@
 class Allocation:
     """One amount of one level as one controller knows it; it may own several shards that hold of it."""
 
-    __slots__ = ("_pool", "guards", "key", "move", "parent", "record", "mod_revision", "total", "version")
+    __slots__ = ("_pool", "guards", "key", "mod_revision", "move", "parent", "record", "total", "version")
 
-    def __init__(self, key: str, total: Amounts, version: int, parent: str = "",
-                 guards: frozenset[str] = ALL_GUARDS) -> None:
+    def __init__(
+        self, key: str, total: Amounts, version: int, parent: str = "", guards: frozenset[str] = ALL_GUARDS
+    ) -> None:
         self.key = key
         self.total = total
         self.version = version
@@ -98,8 +99,12 @@
         if self.move is not None and "reserve" in self.guards:
             held = positive(add(held, self.move.outgoing.get(shard, ZERO), -1))
         total = self.total_in_force()
-        return (UNLIMITED if total[0] >= UNLIMITED else held[0], UNLIMITED if total[1] >= UNLIMITED else held[1],
-                UNLIMITED if total[2] >= UNLIMITED else held[2], UNLIMITED if total[3] >= UNLIMITED else held[3])
+        return (
+            UNLIMITED if total[0] >= UNLIMITED else held[0],
+            UNLIMITED if total[1] >= UNLIMITED else held[1],
+            UNLIMITED if total[2] >= UNLIMITED else held[2],
+            UNLIMITED if total[3] >= UNLIMITED else held[3],
+        )
 
     def pool(self) -> Amounts:
         """What nobody holds; negative where more is held than there is any more."""
@@ -124,8 +129,7 @@
 
     # Moves. One at a time for each purse: a second one would rest on a record that the first replaces.
 
-    def _send(self, parts: dict[int, Amounts], owner: dict[str, int],
-              outgoing: dict[int, Amounts]) -> Move:
+    def _send(self, parts: dict[int, Amounts], owner: dict[str, int], outgoing: dict[int, Amounts]) -> Move:
         known = {int(s): _amounts(p) for s, p in self.record.parts.items()} if self.record is not None else {}
         known |= parts
         newer = self.record is not None and self.record.version > self.version
@@ -133,7 +137,8 @@
             self.record.version if newer and self.record else self.version,
             [t if t < UNLIMITED else -1 for t in self.total_in_force()],
             self.record.parent if newer and self.record else self.parent,
-            {str(s): list(p) for s, p in sorted(known.items()) if any(p)})
+            {str(s): list(p) for s, p in sorted(known.items()) if any(p)},
+        )
         conditions: dict[str, int] = {}
         if "stamp" in self.guards:
             conditions[self.key] = self.mod_revision
@@ -153,8 +158,9 @@
             return None
         return self._send({shard: add(self.held(shard), got)}, owner, {})
 
-    def give(self, shard: int, target: int | None, amounts: Amounts, used: Sequence[int],
-             owner: dict[str, int]) -> Move | None:
+    def give(
+        self, shard: int, target: int | None, amounts: Amounts, used: Sequence[int], owner: dict[str, int]
+    ) -> Move | None:
         """Hand what a shard does not use to another one (None: back to the pool)."""
         if self.move is not None:
             return None
@@ -189,7 +195,11 @@
         if self.move is not move:
             return
         unsettled = outcome == "open" or (outcome == "failed" and move.settles)
-        if unsettled and "in_doubt" in self.guards and move.conditions.get(self.key, self.mod_revision) == self.mod_revision:
+        if (
+            unsettled
+            and "in_doubt" in self.guards
+            and move.conditions.get(self.key, self.mod_revision) == self.mod_revision
+        ):
             move.open = True  # until the record changes: then it was applied, or never can be
         else:
             self.move = None
--- a/quinceslip/quota/allocation_manager.py
+++ b/quinceslip/quota/allocation_manager.py
@@ -91,7 +91,11 @@
     def batch_ended(self) -> None:
         now_us = self.ctx.now_us
         for index, admission in self.admissions.items():
-            if (admission.unmet_demands or admission.demand) and now_us >= self.next_take_us.get(index, 0) and admission.usage_known():
+            if (
+                (admission.unmet_demands or admission.demand)
+                and now_us >= self.next_take_us.get(index, 0)
+                and admission.usage_known()
+            ):
                 self.next_take_us[index] = now_us + TAKE_US
                 self._take_from_pools(index, admission)
 
@@ -139,8 +143,13 @@
         def done(status: int, failed: list[str]) -> None:
             self.writing.discard(key)
 
-        self.ctx.compare_and_swap(conditions, {} if value is None else {key: (value, None)}, [key] if value is None else [],
-                     done, Urgency.REST)
+        self.ctx.compare_and_swap(
+            conditions,
+            {} if value is None else {key: (value, None)},
+            [key] if value is None else [],
+            done,
+            Urgency.REST,
+        )
 
     def _most(self) -> int:
         return self.ctx.limits.txn_ops
@@ -169,7 +178,13 @@
             if not admission.unmet_demands and all(level in self.tree.path(team) for team in admission.teams):
                 continue
             allocation = self.allocations.for_guarantee(level)
-            lack = positive(add(least(self._usage_and_demand(admission, level), allocation.total_in_force()), allocation.limit(index), -1))
+            lack = positive(
+                add(
+                    least(self._usage_and_demand(admission, level), allocation.total_in_force()),
+                    allocation.limit(index),
+                    -1,
+                )
+            )
             if any(lack):
                 lacks[allocation] = lack
         return lacks
@@ -185,7 +200,10 @@
         moves: list[tuple[Allocation, Move]] = []
         owner = self.election.fencing_condition(index)
         part = self.ctx.settings.facts.size * AHEAD
-        for allocation, wish in [*self._cap_shortfalls(index, admission).items(), *self._guarantee_shortfalls(index, admission).items()]:
+        for allocation, wish in [
+            *self._cap_shortfalls(index, admission).items(),
+            *self._guarantee_shortfalls(index, admission).items(),
+        ]:
             pool = positive(allocation.pool())
             more = [max(w, p // part) if w else 0 for w, p in zip(wish, pool, strict=True)]
             move = allocation.take(index, (more[0], more[1], more[2], more[3]), owner)
@@ -200,10 +218,16 @@
 
     def _publish_shortfalls(self, index: int, admission: QuotaAdmission) -> None:
         """Say durably what the pools lack; the record goes when nothing is wanted any more."""
-        claims = [self._wanted_entry(index, admission, claim) for claim in sorted(admission.unmet_demands.values(), key=lambda c: c.order)]
+        claims = [
+            self._wanted_entry(index, admission, claim)
+            for claim in sorted(admission.unmet_demands.values(), key=lambda c: c.order)
+        ]
         wanted = [w for w in claims if w is not None][:MAX_PUBLISHED_DEMANDS]
-        own = {allocation.key: list(short) for allocation, lack in self._guarantee_shortfalls(index, admission).items()
-               if any(short := self._beyond_pool(index, allocation, lack))}
+        own = {
+            allocation.key: list(short)
+            for allocation, lack in self._guarantee_shortfalls(index, admission).items()
+            if any(short := self._beyond_pool(index, allocation, lack))
+        }
         record = WantRecord(wanted, dict(list(own.items())[:MAX_PUBLISHED_DEMANDS])) if wanted or own else None
         most_bytes = self.ctx.limits.value_kb * 1000
         # Bound: the claims; each turn drops one.
@@ -259,8 +283,11 @@
                 # A claim of ours that comes first keeps what it needs; of two, only one can wait.
                 allocation, used = self.allocations.for_cap(level), admission.usage.get(level, ZERO)
                 for claim in admission.unmet_demands.values():
-                    if wanted is not None and level in self.tree.path(claim.team) and \
-                            self._comes_first(admission, claim, wanted):
+                    if (
+                        wanted is not None
+                        and level in self.tree.path(claim.team)
+                        and self._comes_first(admission, claim, wanted)
+                    ):
                         used = add(used, claim.need)
             # More than is asked for, where more is idle: so a burst costs few asks.
             spare = add(allocation.held(index), used, -1)
@@ -311,7 +338,9 @@
         if job is None or job.spec is None:
             return  # it is over, or not known here yet
         rests_on = {self.tree.by_name[name].index for name in wanted.rests_on if name in self.tree.by_name}
-        going = {level: positive(add(short, admission.stopping_usage.get(level, ZERO), -1)) for level, short in rest.items()}
+        going = {
+            level: positive(add(short, admission.stopping_usage.get(level, ZERO), -1)) for level, short in rest.items()
+        }
         short = {level: amounts for level, amounts in going.items() if any(amounts)}
         if short:
             admission.victims = None
@@ -325,9 +354,15 @@
         allocations.newest_version = max(self.tree.version, record.version) if record is not None else self.tree.version
         other = record is not None and record.version == self.tree.version and record.digest != self.tree.digest
         allocations.tree_outdated = allocations.newest_version > self.tree.version or other
-        trouble = (f"the tree in force has version {allocations.newest_version}, that of the operators' file is "
-                   f"{self.tree.version}{' with other amounts: raise its version' if other else ''}; here nothing new "
-                   f"starts under levels that it has not confirmed") if allocations.tree_outdated else ""
+        trouble = (
+            (
+                f"the tree in force has version {allocations.newest_version}, that of the operators' file is "
+                f"{self.tree.version}{' with other amounts: raise its version' if other else ''}; here nothing new "
+                f"starts under levels that it has not confirmed"
+            )
+            if allocations.tree_outdated
+            else ""
+        )
         if trouble != self.trouble:
             log.error("%s", trouble or "the tree of the operators' file is the one in force")
             self.trouble = trouble
@@ -338,8 +373,11 @@
     def _write_tree(self) -> None:
         record = self.ctx.cache.by_kind[keys.TREE].get("")
         if self.admissions and (record is None or record.version < self.tree.version):
-            self._write_once(keys.TREE_KEY, {keys.TREE_KEY: self.ctx.cache.mod_revision(keys.TREE_KEY)},
-                             TreeRecord(self.tree.version, self.tree.digest))
+            self._write_once(
+                keys.TREE_KEY,
+                {keys.TREE_KEY: self.ctx.cache.mod_revision(keys.TREE_KEY)},
+                TreeRecord(self.tree.version, self.tree.digest),
+            )
 
     def _writing_shard(self) -> tuple[int, dict[str, int]] | None:
         """The shard in whose name this node writes what belongs to none."""
@@ -349,7 +387,7 @@
     def _settle_moves(self) -> None:
         """Moves whose outcome is open are settled by writing the record again."""
         first = self._writing_shard()
-        for allocation in list(self.unsettled)[:self._most()]:
+        for allocation in list(self.unsettled)[: self._most()]:
             if allocation.move is None or not allocation.move.open:
                 del self.unsettled[allocation]
             elif first is not None and (move := allocation.rewrite(first[1])) is not None:
@@ -388,8 +426,11 @@
             over = positive(times(allocation.pool(), -1))
             if name not in self.logged_exceeded:
                 self.logged_exceeded.add(name)
-                log.info("%s is over its cap by %s: what runs goes on, nothing new starts",
-                         self.tree.levels[level].name, shown(over))
+                log.info(
+                    "%s is over its cap by %s: what runs goes on, nothing new starts",
+                    self.tree.levels[level].name,
+                    shown(over),
+                )
             owner = self.election.fencing_condition(index)
             move = allocation.give(index, None, over, admission.usage.get(level, ZERO), owner)
             if move is not None:
--- a/quinceslip/quota/allocations.py
+++ b/quinceslip/quota/allocations.py
@@ -74,14 +74,15 @@
         place = self.tree.levels[level]
         name = grant_name(place.name, kind)
         total = place.cap if kind == CAP else place.guarantee
-        allocation = found[level] = self.by_name[name] = Allocation(f"{records.PREFIX}{GRANT}/{name}", total, self.tree.version,
-                                                          place.parent)
+        allocation = found[level] = self.by_name[name] = Allocation(
+            f"{records.PREFIX}{GRANT}/{name}", total, self.tree.version, place.parent
+        )
         self.changed(name)
         return allocation
 
     def place(self, key: str) -> tuple[int, str] | None:
         """The level and the kind that a key stands for; None where this tree has no such level."""
-        kind, _, name = key[len(f"{records.PREFIX}{GRANT}/"):].partition("/")
+        kind, _, name = key[len(f"{records.PREFIX}{GRANT}/") :].partition("/")
         level = self.tree.by_name.get(unquote(name))
         return (level.index, kind) if level is not None and kind in (CAP, OWN) else None
 
@@ -106,4 +107,6 @@
         if not self.tree_outdated:
             return True
         record = self.for_cap(level).record
-        return record is not None and record.version >= self.newest_version and record.parent == self.for_cap(level).parent
+        return (
+            record is not None and record.version >= self.newest_version and record.parent == self.for_cap(level).parent
+        )
