--- a/quinceslip/quota/bench.py
+++ b/quinceslip/quota/bench.py
@@ -43,13 +43,25 @@
 
     def __init__(self, tree: Tree | None, machines: int, cpus: float) -> None:
         teams = [{"name": name} for name in (tree.leaves if tree is not None else [])]
-        facts = {"size": 1, "zones": [ZONE], "teams": teams,
-                 "workers": {"report_s": 1.0, "lease_s": 10.0, "cancel_s": 35.0},
-                 "state": {"rps": 150.0, "write_rps": 50.0, "value_kb": 16.0, "txn_ops": 16},
-                 "cloud": {"rps": 8.0, "list_lag_s": 3.0}}
-        settings = msgspec.convert({"label": "one", "location": ZONE, "api_addr": "127.0.0.1:1",
-                                    "peer_bind": "127.0.0.1:2", "facts": facts,
-                                    "outside": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"}}, Settings)
+        facts = {
+            "size": 1,
+            "zones": [ZONE],
+            "teams": teams,
+            "workers": {"report_s": 1.0, "lease_s": 10.0, "cancel_s": 35.0},
+            "state": {"rps": 150.0, "write_rps": 50.0, "value_kb": 16.0, "txn_ops": 16},
+            "cloud": {"rps": 8.0, "list_lag_s": 3.0},
+        }
+        settings = msgspec.convert(
+            {
+                "label": "one",
+                "location": ZONE,
+                "api_addr": "127.0.0.1:1",
+                "peer_bind": "127.0.0.1:2",
+                "facts": facts,
+                "outside": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"},
+            },
+            Settings,
+        )
         self.ctx = Context(settings, Tuning(), SECOND, SECOND)
         rights: Any = PermanentLeadership()
         self.state = ShardState(self.ctx, rights, 0, 1)
@@ -64,8 +76,16 @@
                         self._grant(grant_name(level.name, kind), amounts)
         size = m.MachineType("m", cpus, 0.0, 1e6, 1.0, 10.0, [ZONE])
         for number in range(machines):
-            worker = Worker(f"n-{number}", size, ZONE, False, last_contact_us=SECOND, last_heartbeat_us=SECOND, fenced=True,
-                            registered=True)
+            worker = Worker(
+                f"n-{number}",
+                size,
+                ZONE,
+                False,
+                last_contact_us=SECOND,
+                last_heartbeat_us=SECOND,
+                fenced=True,
+                registered=True,
+            )
             self.state.workers[worker.name] = worker
         self.jobs = 0
 
@@ -74,12 +94,29 @@
         total = [a if a < UNLIMITED else -1 for a in amounts]
         self.ctx.cache.store(f"{records.PREFIX}{GRANT}/{name}", GrantRecord(0, total, parts={"0": part}), 1)
 
-    def submit(self, team: str, tasks: int, cpus: float = 1.0, priority_class: str = "normal", kind: str = "array") -> JobPartition:
+    def submit(
+        self, team: str, tasks: int, cpus: float = 1.0, priority_class: str = "normal", kind: str = "array"
+    ) -> JobPartition:
         self.jobs += 1
-        spec = m.JobSpec(job_id=f"req-{self.jobs}", job_class="c", team=team, kind=kind,  # type: ignore[arg-type]
-                         priority_class=priority_class, tasks=tasks, cpus=cpus, gpus=0.0,  # type: ignore[arg-type]
-                         memory_gb=0.0, image="i", image_gb=0.0, one_zone=False, spread=False, spot=True,
-                         estimate_s=1.0, checkpoint_s=0.0, save_s=0.0)
+        spec = m.JobSpec(
+            job_id=f"req-{self.jobs}",
+            job_class="c",
+            team=team,
+            kind=kind,  # type: ignore[arg-type]
+            priority_class=priority_class,
+            tasks=tasks,
+            cpus=cpus,
+            gpus=0.0,  # type: ignore[arg-type]
+            memory_gb=0.0,
+            image="i",
+            image_gb=0.0,
+            one_zone=False,
+            spread=False,
+            spot=True,
+            estimate_s=1.0,
+            checkpoint_s=0.0,
+            save_s=0.0,
+        )
         partition = JobPartition(spec.job_id, spec, submitted_us=self.jobs, assigned=set(range(tasks)))
         self.state.partitions[partition.job_id] = partition
         self.state.add_pending(partition, range(tasks))
--- a/quinceslip/quota/commands.py
+++ b/quinceslip/quota/commands.py
@@ -29,10 +29,10 @@
     if config is not None:
         teams = load_settings(config).facts.teams
     else:
-        names = {s[len(SECTION):].strip() for s in parser.sections() if s.startswith(SECTION + " ")}
+        names = {s[len(SECTION) :].strip() for s in parser.sections() if s.startswith(SECTION + " ")}
         parents = {parser.get(s, "parent", fallback="").strip() for s in parser.sections()}
         listed = {t.strip() for s in parser.sections() for t in parser.get(s, "teams", fallback="").split(",")}
-        with_teams = {s[len(SECTION):].strip() for s in parser.sections() if parser.has_option(s, "teams")}
+        with_teams = {s[len(SECTION) :].strip() for s in parser.sections() if parser.has_option(s, "teams")}
         teams = [Team(name) for name in sorted((names | listed) - parents - with_teams - {""})]
     tree = load_tree(parser, teams, str(path))
     if tree is None:
@@ -103,8 +103,15 @@
             raise SettingsError(f"--{name} {getattr(arguments, name)}: must be 1 or more")
     if arguments.controllers < arguments.shards:
         raise SettingsError(f"--controllers {arguments.controllers}: must be as many as shards, or more")
-    result = explore(arguments.depth, arguments.shards, arguments.controllers, arguments.total, arguments.without,
-                     arguments.most_states, only)
+    result = explore(
+        arguments.depth,
+        arguments.shards,
+        arguments.controllers,
+        arguments.total,
+        arguments.without,
+        arguments.most_states,
+        only,
+    )
     found = [f"{result.states} states, depth {result.depth}{'' if result.whole else ', not all of them'}"]
     if result.breach:
         found += ["more tasks on machines than the purse has room for, after", *(f"  {s}" for s in result.breach)]
@@ -124,8 +131,10 @@
     for with_tree, costs in found.items():
         first, full = (int(median(values)) for values in zip(*((c.first_us, c.full_us) for c in costs), strict=True))
         memory = median(c.bytes_per_leaf for c in found[True]) - median(c.bytes_per_leaf for c in found[False])
-        yield (f"{'with a tree' if with_tree else 'without':>12}: {leaves} leaves, {machines} machines: a pass that "
-               f"fills the fleet {first} us, one that finds it full {full} us, {costs[0].looked} workers looked at"
-               + (f", {memory:.0f} bytes a leaf" if with_tree else ""))
+        yield (
+            f"{'with a tree' if with_tree else 'without':>12}: {leaves} leaves, {machines} machines: a pass that "
+            f"fills the fleet {first} us, one that finds it full {full} us, {costs[0].looked} workers looked at"
+            + (f", {memory:.0f} bytes a leaf" if with_tree else "")
+        )
     for name, of in (("fills", lambda c: c.first_us), ("full", lambda c: c.full_us)):
         yield f"ratio of a pass ({name}): {median(map(of, found[True])) / median(map(of, found[False])):.2f}"
--- a/quinceslip/quota/config.py
+++ b/quinceslip/quota/config.py
@@ -72,7 +72,7 @@
         return int(value)
 
     def level(self, section: str) -> None:
-        name = section[len(SECTION):].strip()
+        name = section[len(SECTION) :].strip()
         options = self.parser[section]
         if not name or len(quote(name, safe="")) > MAX_NAME_BYTES:
             raise SettingsError(f"{self.source}: [{section}]: a name of 1 to {MAX_NAME_BYTES} bytes is needed")
@@ -89,8 +89,14 @@
             guarantee = ZERO
         if speaks:
             self.stated.add(name)
-        level = Level(name, options.get("parent", "").strip(), weight,
-                      self.amounts(section, "_max", (UNLIMITED,) * 4), guarantee, name in self.teams)
+        level = Level(
+            name,
+            options.get("parent", "").strip(),
+            weight,
+            self.amounts(section, "_max", (UNLIMITED,) * 4),
+            guarantee,
+            name in self.teams,
+        )
         for team in [t.strip() for t in options.get("teams", "").split(",") if t.strip()]:
             if team not in self.teams:
                 raise self.error(section, "teams", f"unknown team {team}")
@@ -107,7 +113,7 @@
             level = self.levels.setdefault(team, Level(team, team=True))
             if level.parent:
                 raise self.error(f"{SECTION} {team}", "parent", f"{team} has two parents, this and [{section}]")
-            level.parent = section[len(SECTION):].strip()
+            level.parent = section[len(SECTION) :].strip()
         for name, given in self.teams.items():
             level = self.levels.setdefault(name, Level(name, team=True))
             level.cap = least(level.cap, platform_cap(given))
@@ -137,8 +143,10 @@
         parents = {level.parent for level in self.levels.values()}
         for name, level in self.levels.items():
             if not level.team and name not in parents:
-                raise SettingsError(f"{self.source}: [{SECTION} {name}]: {name} is neither a team of the platform's "
-                                    f"settings nor a level with teams beneath it")
+                raise SettingsError(
+                    f"{self.source}: [{SECTION} {name}]: {name} is neither a team of the platform's "
+                    f"settings nor a level with teams beneath it"
+                )
 
     def guarantees(self, tree: Tree) -> None:
         for level in tree.levels:
@@ -152,12 +160,23 @@
                     raise self.blame(section, RESOURCES[kind], level, "its guarantee is over its own cap", kind)
                 for child in (tree.levels[i] for i in level.children):
                     if level.name in self.stated and UNLIMITED > child.guarantee[kind] > level.guarantee[kind]:
-                        raise self.blame(f"{SECTION} {child.name}", RESOURCES[kind], child,
-                                         f"its guarantee is over that of {level.name}", kind)
-                if together[kind] > min(level.guarantee[kind] if level.name in self.stated else UNLIMITED,
-                                        level.cap[kind]):
-                    raise self.blame(section, RESOURCES[kind], level, "the guarantees of what is beneath it are "
-                                     f"{together[kind] / SCALE[kind]:g} together", kind)
+                        raise self.blame(
+                            f"{SECTION} {child.name}",
+                            RESOURCES[kind],
+                            child,
+                            f"its guarantee is over that of {level.name}",
+                            kind,
+                        )
+                if together[kind] > min(
+                    level.guarantee[kind] if level.name in self.stated else UNLIMITED, level.cap[kind]
+                ):
+                    raise self.blame(
+                        section,
+                        RESOURCES[kind],
+                        level,
+                        f"the guarantees of what is beneath it are {together[kind] / SCALE[kind]:g} together",
+                        kind,
+                    )
 
     def blame(self, section: str, key: str, level: Level, text: str, kind: int) -> SettingsError:
         value = level.guarantee[kind] if level.guarantee[kind] < UNLIMITED else level.cap[kind]
@@ -174,8 +193,9 @@
     return (cpus, gpus, UNLIMITED, UNLIMITED) if cpus or gpus else ZERO
 
 
-def load_tree(parser: configparser.ConfigParser | None, teams: Iterable[Team], source: str = "",
-              fair: bool = False) -> Tree | None:
+def load_tree(
+    parser: configparser.ConfigParser | None, teams: Iterable[Team], source: str = "", fair: bool = False
+) -> Tree | None:
     """The tree of the operators' file; None where neither it nor the platform's teams say anything.
 
     Without a file, every team stands on its own. `fair`: several teams that nothing is said of have a tree as well,
--- a/quinceslip/quota/fair_share_order.py
+++ b/quinceslip/quota/fair_share_order.py
@@ -52,8 +52,12 @@
         self.settle_attempts()
         self.begin(queue)
         sizes = [w.type for w in workers if w.type is not None]
-        self.capacity = (int(sum(t.cpus for t in sizes) * 1000), int(sum(t.gpus for t in sizes) * 1000),
-                         int(sum(t.memory_gb for t in sizes) * 1000), UNLIMITED)
+        self.capacity = (
+            int(sum(t.cpus for t in sizes) * 1000),
+            int(sum(t.gpus for t in sizes) * 1000),
+            int(sum(t.memory_gb for t in sizes) * 1000),
+            UNLIMITED,
+        )
         self.demand.clear()
         self.has_partitions_on_hold = False
         for partition in queue:
@@ -92,7 +96,9 @@
     def _free(workers: Sequence[Worker], cpus: float) -> bool:
         return any(w.free()[0] >= cpus for w in workers)
 
-    def _lend_spare(self, partitions: Sequence[JobPartition], workers: Sequence[Worker], least_cpus: float) -> Iterator[list[JobPartition]]:
+    def _lend_spare(
+        self, partitions: Sequence[JobPartition], workers: Sequence[Worker], least_cpus: float
+    ) -> Iterator[list[JobPartition]]:
         """What whole tasks left of the parts: one task at a time to whoever has borrowed least.
 
         Turn by turn twice as many, so that room which only few can use is given out in few turns.
@@ -102,9 +108,13 @@
         while self.held_back and self._free(workers, least_cpus):
             rest = self._fairest(c for c in partitions if c.pending and not c.on_hold)
             self.held_back = False
-            self.targets = {self.tree.path(c.spec.team)[0]: add(self.usage.get(self.tree.path(c.spec.team)[0], ZERO),
-                                                                task_amounts(c.spec), most)
-                            for c in reversed(rest) if self.tree.path(c.spec.team)}
+            self.targets = {
+                self.tree.path(c.spec.team)[0]: add(
+                    self.usage.get(self.tree.path(c.spec.team)[0], ZERO), task_amounts(c.spec), most
+                )
+                for c in reversed(rest)
+                if self.tree.path(c.spec.team)
+            }
             before = self.attempts_counted
             yield rest
             if self.attempts_counted == before:
@@ -135,15 +145,23 @@
         self._divide(tops, self.capacity, ZERO, need, targets)
         return targets
 
-    def _divide(self, siblings: list[int], capacity: Amounts, taken: Amounts, need: dict[int, Amounts],
-                targets: dict[int, Amounts]) -> None:
+    def _divide(
+        self,
+        siblings: list[int],
+        capacity: Amounts,
+        taken: Amounts,
+        need: dict[int, Amounts],
+        targets: dict[int, Amounts],
+    ) -> None:
         """Divide a parent's capacity, less what others beneath it use, between the siblings that want more.
 
         Bound: as deep as the tree, which its settings limit (`config.MAX_TREE_DEPTH`).
         """
         room = positive(add(capacity, taken, -1))
-        wants = [(self.tree.levels[level].weight, _share(self.guaranteed_here(level), room), _share(need[level], room))
-                 for level in siblings]
+        wants = [
+            (self.tree.levels[level].weight, _share(self.guaranteed_here(level), room), _share(need[level], room))
+            for level in siblings
+        ]
         for level, part, (_, _, wanted) in zip(siblings, divide(ONE, wants), wants, strict=True):
             scaled = need[level] if part >= wanted else tuple(-(-n * part // wanted) for n in need[level])
             targets[level] = (scaled[0], scaled[1], scaled[2], scaled[3])
@@ -153,8 +171,9 @@
                 for child in children:
                     used = add(used, self.usage.get(child, ZERO), -1)
                 # Of a resource that nothing bounds, no part is too large.
-                bounds = [part if whole < UNLIMITED else whole
-                          for part, whole in zip(targets[level], capacity, strict=True)]
+                bounds = [
+                    part if whole < UNLIMITED else whole for part, whole in zip(targets[level], capacity, strict=True)
+                ]
                 self._divide(children, least(bounds, self.limit_here(level)), used, need, targets)
 
     def order_for_one_place(self, queue: Sequence[JobPartition]) -> list[JobPartition]:
@@ -173,7 +192,10 @@
     def _fairest(self, partitions: Iterable[JobPartition]) -> list[JobPartition]:
         """Priority first, then who has borrowed least, then first come, first served."""
         known: dict[int, tuple[float, float]] = {}  # teams share the levels above them
-        return sorted(partitions, key=lambda c: (c.spec.priority, not c.start_due, self.fair_key(c.spec.team, known), c.sort_key()))
+        return sorted(
+            partitions,
+            key=lambda c: (c.spec.priority, not c.start_due, self.fair_key(c.spec.team, known), c.sort_key()),
+        )
 
     def fair_key(self, team: str, known: dict[int, tuple[float, float]]) -> tuple[tuple[float, float], ...]:
         """From the root on: whether a level is within its guarantee, and what it borrows for its weight."""
@@ -191,8 +213,11 @@
 
 def _share(amounts: Sequence[int], of: Sequence[int]) -> int:
     """The largest part that an amount takes of another, in parts of ONE."""
-    parts = [amounts[kind] * ONE // max(of[kind], 1) for kind in range(KINDS)
-             if of[kind] < UNLIMITED and amounts[kind] < UNLIMITED]
+    parts = [
+        amounts[kind] * ONE // max(of[kind], 1)
+        for kind in range(KINDS)
+        if of[kind] < UNLIMITED and amounts[kind] < UNLIMITED
+    ]
     return max(parts, default=0)
 
 
@@ -200,7 +225,12 @@
     """As much of an amount as fits into a limit, all resources in proportion."""
     if within(amounts, limit):
         return amounts
-    whole, part = min(((a, most) for a, most in zip(amounts, limit, strict=True) if a > most),
-                      key=lambda pair: pair[1] / pair[0])
-    return (-(-amounts[0] * part // whole), -(-amounts[1] * part // whole), -(-amounts[2] * part // whole),
-            -(-amounts[3] * part // whole))
+    whole, part = min(
+        ((a, most) for a, most in zip(amounts, limit, strict=True) if a > most), key=lambda pair: pair[1] / pair[0]
+    )
+    return (
+        -(-amounts[0] * part // whole),
+        -(-amounts[1] * part // whole),
+        -(-amounts[2] * part // whole),
+        -(-amounts[3] * part // whole),
+    )
--- a/quinceslip/quota/model.py
+++ b/quinceslip/quota/model.py
@@ -23,8 +23,21 @@
 
 
 #: every kind of step
-STEPS = ("start", "end", "take", "give", "touch", "watch", "lapse", "claim", "resolve", "crash", "arrive", "answer",
-         "give up")
+STEPS = (
+    "start",
+    "end",
+    "take",
+    "give",
+    "touch",
+    "watch",
+    "lapse",
+    "claim",
+    "resolve",
+    "crash",
+    "arrive",
+    "answer",
+    "give up",
+)
 
 
 def owner_key(shard: int) -> str:
@@ -92,8 +105,11 @@
         for c, controller in enumerate(self.controllers):
             for s, right in controller.rights.items():
                 caught_up = controller.revision >= right.mod_revision
-                if may_start(right.resolved, caught_up, self.guards) and \
-                        right.used + 1 <= controller.allocation.limit(s)[0] and self.shown[s] <= right.mod_revision:
+                if (
+                    may_start(right.resolved, caught_up, self.guards)
+                    and right.used + 1 <= controller.allocation.limit(s)[0]
+                    and self.shown[s] <= right.mod_revision
+                ):
                     yield "start", c, s
                 if len(self.flights) < MAX_OPEN_COMMANDS and may_start(right.resolved, caught_up, self.guards):
                     if controller.allocation.move is None:
@@ -180,7 +196,9 @@
     def _flight(self, what: str, flight: Flight) -> None:
         move, allocation = flight.move, self.controllers[flight.controller].allocation
         if what == "arrive":
-            now = {KEY: self.mod_revision} | {owner_key(s): mod_revision for s, mod_revision in enumerate(self.owner_revisions)}
+            now = {KEY: self.mod_revision} | {
+                owner_key(s): mod_revision for s, mod_revision in enumerate(self.owner_revisions)
+            }
             if all(now[key] == mod_revision for key, mod_revision in move.conditions.items()):
                 self.revision += 1
                 self.record, self.mod_revision, flight.outcome = move.record, self.revision, APPLIED
@@ -201,7 +219,11 @@
     def freeze(self) -> Frozen:
         mod_revisions = {0, self.revision, self.mod_revision, *self.owner_revisions, *self.shown}
         for controller in self.controllers:
-            mod_revisions |= {controller.revision, controller.allocation.mod_revision, *(r.mod_revision for r in controller.rights.values())}
+            mod_revisions |= {
+                controller.revision,
+                controller.allocation.mod_revision,
+                *(r.mod_revision for r in controller.rights.values()),
+            }
             if controller.allocation.move is not None:
                 mod_revisions |= set(controller.allocation.move.conditions.values())
         for flight in self.flights:
@@ -211,17 +233,42 @@
         def moved(move: Move | None) -> Frozen:
             if move is None:
                 return ()
-            return (_parts(move.record), tuple(sorted((k, priority_class[v]) for k, v in move.conditions.items())),
-                    tuple(sorted((s, a[0]) for s, a in move.outgoing.items())), move.open, move.settles)
+            return (
+                _parts(move.record),
+                tuple(sorted((k, priority_class[v]) for k, v in move.conditions.items())),
+                tuple(sorted((s, a[0]) for s, a in move.outgoing.items())),
+                move.open,
+                move.settles,
+            )
 
         return (
-            _parts(self.record), priority_class[self.mod_revision], priority_class[self.revision], tuple(priority_class[s] for s in self.owner_revisions),
-            tuple(self.there), tuple(priority_class[s] for s in self.shown),
-            tuple((f.controller, moved(f.move), f.outcome, f.heard,
-                   self.controllers[f.controller].allocation.move is f.move) for f in self.flights),
-            tuple((_parts(c.allocation.record), priority_class[c.allocation.mod_revision], priority_class[c.revision], moved(c.allocation.move),
-                   tuple(sorted((s, priority_class[r.mod_revision], r.used, r.resolved) for s, r in c.rights.items())))
-                  for c in self.controllers))
+            _parts(self.record),
+            priority_class[self.mod_revision],
+            priority_class[self.revision],
+            tuple(priority_class[s] for s in self.owner_revisions),
+            tuple(self.there),
+            tuple(priority_class[s] for s in self.shown),
+            tuple(
+                (
+                    f.controller,
+                    moved(f.move),
+                    f.outcome,
+                    f.heard,
+                    self.controllers[f.controller].allocation.move is f.move,
+                )
+                for f in self.flights
+            ),
+            tuple(
+                (
+                    _parts(c.allocation.record),
+                    priority_class[c.allocation.mod_revision],
+                    priority_class[c.revision],
+                    moved(c.allocation.move),
+                    tuple(sorted((s, priority_class[r.mod_revision], r.used, r.resolved) for s, r in c.rights.items())),
+                )
+                for c in self.controllers
+            ),
+        )
 
     def copy(self) -> "World":
         other = World.__new__(World)
@@ -258,8 +305,15 @@
     breach: list[str]  # the steps to the first one found; empty: none
 
 
-def explore(depth: int, shards: int = 2, controllers: int = 2, total: int = 1, without: str = "",
-            most_states: int = 0, only: frozenset[str] = frozenset()) -> Result:
+def explore(
+    depth: int,
+    shards: int = 2,
+    controllers: int = 2,
+    total: int = 1,
+    without: str = "",
+    most_states: int = 0,
+    only: frozenset[str] = frozenset(),
+) -> Result:
     """Breadth first, so that a breach comes with its shortest history.
 
     Begins with nothing granted and with everything granted to one shard, at once. `only` leaves other
--- a/quinceslip/quota/plots.py
+++ b/quinceslip/quota/plots.py
@@ -18,8 +18,9 @@
 SUMMED = ("used", "lent", "borrowed", "waiting")
 
 
-def record(fetch: Callable[[str], dict[str, Any]], addresses: Sequence[str], every_s: float, for_s: float,
-           out: TextIO) -> int:
+def record(
+    fetch: Callable[[str], dict[str, Any]], addresses: Sequence[str], every_s: float, for_s: float, out: TextIO
+) -> int:
     """Write one line a sample, each summed over the controllers that answer; returns how many."""
     written, started = 0, time.monotonic()
     while (at_s := time.monotonic() - started) < for_s:
@@ -74,14 +75,21 @@
     by_name = [{level["level"]: level for level in sample["levels"]} for sample in samples]
     figure, axes = plotting.rows(len(names), 9)
     for axis, name in zip(axes, names, strict=True):
+
         def series(key: str, name: str = name) -> list[float]:
             return [found.get(name, {}).get(key, {}).get(resource, 0.0) for found in by_name]
 
         last = by_name[-1][name]
         used = series("used")
         axis.fill_between(times, used, step="post", color="#4878a8", alpha=0.6, label="used")
-        axis.step(times, [u + w for u, w in zip(used, series("waiting"), strict=True)], where="post",
-                  color="#c06030", linewidth=0.9, label="used and held up by quotas")
+        axis.step(
+            times,
+            [u + w for u, w in zip(used, series("waiting"), strict=True)],
+            where="post",
+            color="#c06030",
+            linewidth=0.9,
+            label="used and held up by quotas",
+        )
         for key, style in (("guaranteed", ":"), ("cap", "--")):
             if resource in last[key]:
                 axis.axhline(last[key][resource], linestyle=style, color="black", linewidth=0.8, label=key)
--- a/quinceslip/quota/preemption.py
+++ b/quinceslip/quota/preemption.py
@@ -73,8 +73,12 @@
 
     def _tasks(self, room: tuple[float, float, float]) -> int:
         needs = (self.spec.cpus, self.spec.gpus, self.spec.memory_gb)
-        return int(min(((have + EPSILON) // need for have, need in zip(room, needs, strict=True) if need > 0),
-                       default=self.spec.tasks))
+        return int(
+            min(
+                ((have + EPSILON) // need for have, need in zip(room, needs, strict=True) if need > 0),
+                default=self.spec.tasks,
+            )
+        )
 
 
 def stopped_first(attempt: Attempt) -> tuple[int, bool, int, str]:
--- a/quinceslip/quota/status_page.py
+++ b/quinceslip/quota/status_page.py
@@ -11,14 +11,16 @@
 PAGE = 100
 
 
-def page(tree: Tree, allocations: Allocations, admissions: Mapping[int, QuotaAdmission], after: str, trouble: str) -> dict[str, Any]:
+def page(
+    tree: Tree, allocations: Allocations, admissions: Mapping[int, QuotaAdmission], after: str, trouble: str
+) -> dict[str, Any]:
     """Levels in the tree's order, beginning after the one named; `more` if there are others.
 
     `used`, `lent`, `borrowed` and `waiting` are of this controller's shards, `held` is what all shards hold.
     `lent` is the part of a level's own guarantee that it does not use.
     """
     start = tree.by_name[after].index + 1 if after in tree.by_name else 0
-    levels = tree.levels[start: start + PAGE]
+    levels = tree.levels[start : start + PAGE]
     waiting: dict[int, Amounts] = {}
     for admission in admissions.values():
         for claim in admission.unmet_demands.values():
@@ -34,18 +36,34 @@
         lent = positive(add(own, used, -1))
         borrowed = positive(add(used, own, -1)) if any(used) else ZERO
         entry: dict[str, Any] = {
-            "level": place.name, "parent": place.parent, "depth": len(place.path) - 1, "team": place.team,
-            "weight": place.weight, "guaranteed": shown(place.guarantee), "cap": shown(place.cap),
-            "used": shown(used), "lent": shown(lent), "borrowed": shown(borrowed),
-            "waiting": shown(waiting.get(place.index, ZERO))}
+            "level": place.name,
+            "parent": place.parent,
+            "depth": len(place.path) - 1,
+            "team": place.team,
+            "weight": place.weight,
+            "guaranteed": shown(place.guarantee),
+            "cap": shown(place.cap),
+            "used": shown(used),
+            "lent": shown(lent),
+            "borrowed": shown(borrowed),
+            "waiting": shown(waiting.get(place.index, ZERO)),
+        }
         if place.capped:
             allocation = allocations.for_cap(place.index)
-            entry["held"] = {shard: shown(part) for shard, part in
-                             (allocation.record.parts.items() if allocation.record is not None else ())}
+            entry["held"] = {
+                shard: shown(part)
+                for shard, part in (allocation.record.parts.items() if allocation.record is not None else ())
+            }
             entry["over"] = min(allocation.pool()) < 0
         found.append(entry)
-    return {"version": tree.version, "in_force": allocations.newest_version, "trouble": trouble, "shards": sorted(admissions),
-            "levels": found, "more": start + len(levels) < len(tree.levels)}
+    return {
+        "version": tree.version,
+        "in_force": allocations.newest_version,
+        "trouble": trouble,
+        "shards": sorted(admissions),
+        "levels": found,
+        "more": start + len(levels) < len(tree.levels),
+    }
 
 
 def table(levels: Iterable[dict[str, Any]]) -> list[str]:
--- a/quinceslip/quota/tree.py
+++ b/quinceslip/quota/tree.py
@@ -26,8 +26,12 @@
 
 def task_amounts(spec: m.JobSpec) -> Amounts:
     """What one task of a job takes; rounded up, so that what is counted is never less than what is used."""
-    return (ceil(spec.cpus * 1000 - ROUNDING), ceil(spec.gpus * 1000 - ROUNDING),
-            ceil(spec.memory_gb * 1000 - ROUNDING), 1)
+    return (
+        ceil(spec.cpus * 1000 - ROUNDING),
+        ceil(spec.gpus * 1000 - ROUNDING),
+        ceil(spec.memory_gb * 1000 - ROUNDING),
+        1,
+    )
 
 
 def add(a: Sequence[int], b: Sequence[int], times: int = 1) -> Amounts:
@@ -53,8 +57,9 @@
 
 def shown(amounts: Sequence[int]) -> dict[str, float]:
     """An amount as operators write it; what is unlimited is left out."""
-    return {name: value / scale for name, value, scale in zip(RESOURCES, amounts, SCALE, strict=True)
-            if value < UNLIMITED}
+    return {
+        name: value / scale for name, value, scale in zip(RESOURCES, amounts, SCALE, strict=True) if value < UNLIMITED
+    }
 
 
 @dataclass(slots=True, eq=False)
@@ -105,8 +110,9 @@
         #: by team, the levels of its path that have a cap, and those that have a guarantee
         self.capped = {v.name: tuple(i for i in v.path if self.levels[i].capped) for v in self.leaves.values()}
         self.guaranteed = {v.name: tuple(i for i in v.path if self.levels[i].guaranteed) for v in self.leaves.values()}
-        self.digest = hashlib.sha256("\n".join(sorted(
-            f"{v.name} {v.parent} {v.weight} {v.cap} {v.guarantee}" for v in self.levels)).encode()).hexdigest()[:16]
+        self.digest = hashlib.sha256(
+            "\n".join(sorted(f"{v.name} {v.parent} {v.weight} {v.cap} {v.guarantee}" for v in self.levels)).encode()
+        ).hexdigest()[:16]
 
     def _derive(self) -> None:
         """A level that states no guarantee has what its children have together."""
--- a/quinceslip/quota/usage.py
+++ b/quinceslip/quota/usage.py
@@ -84,8 +84,10 @@
     def heartbeat_received(self, worker: Worker) -> None:
         """A task on a machine that is not counted (of a job that is over, say) is somebody's use."""
         known = worker.attempts
-        if any(t.state != m.EXITED and (n not in known or known[n].number != t.attempt)
-               for n, t in worker.reported_tasks.items()):
+        if any(
+            t.state != m.EXITED and (n not in known or known[n].number != t.attempt)
+            for n, t in worker.reported_tasks.items()
+        ):
             self.workers_with_unknown_tasks.add(worker.name)
         else:
             self.workers_with_unknown_tasks.discard(worker.name)
@@ -106,14 +108,21 @@
     def usage_known(self) -> bool:
         """Whether all that is used in this shard is known."""
         state = self.state
-        for name in [n for n in self.workers_with_unknown_tasks if n not in state.workers or state.workers[n].lease_expired]:
+        for name in [
+            n for n in self.workers_with_unknown_tasks if n not in state.workers or state.workers[n].lease_expired
+        ]:
             self.workers_with_unknown_tasks.discard(name)
         mod_revision = state.election.mod_revisions.get(state.index, UNLIMITED)
-        return state.election.may_launch(state.index) and may_start(not state.unreconciled and not self.workers_with_unknown_tasks,
-                                                        state.ctx.cache.revision >= mod_revision)
+        return state.election.may_launch(state.index) and may_start(
+            not state.unreconciled and not self.workers_with_unknown_tasks, state.ctx.cache.revision >= mod_revision
+        )
 
     def limit_here(self, level: int) -> Amounts:
-        return self.allocations.for_cap(level).limit(self.state.index) if self.tree.levels[level].capped else (UNLIMITED,) * 4
+        return (
+            self.allocations.for_cap(level).limit(self.state.index)
+            if self.tree.levels[level].capped
+            else (UNLIMITED,) * 4
+        )
 
     def guaranteed_here(self, level: int) -> Amounts:
         """The part of a level's guarantee that this shard holds."""
--- a/quinceslip/service.py
+++ b/quinceslip/service.py
@@ -30,7 +30,9 @@
 
 
 class Service:
-    def __init__(self, settings: Settings, tuning: Tuning, subsystem_factories: Sequence[SubsystemFactory] = ()) -> None:
+    def __init__(
+        self, settings: Settings, tuning: Tuning, subsystem_factories: Sequence[SubsystemFactory] = ()
+    ) -> None:
         threading.stack_size(STACK_BYTES)
         facts = settings.facts
         limits = facts.state.lasting()
@@ -49,23 +51,37 @@
         self.replies = Replies(self.actor.post)
         self.links = [PeerLink(split_address(p.endpoint)) for p in settings.known]
         # Every worker of the site may report here while the other controllers are down.
-        most = max(64, int(min(facts.limits.max_sockets * API_SOCKETS,
-                               (facts.limits.memory_mb - BASE_MB) / CONNECTION_MB)))
+        most = max(
+            64, int(min(facts.limits.max_sockets * API_SOCKETS, (facts.limits.memory_mb - BASE_MB) / CONNECTION_MB))
+        )
         questions = [f"/{question}" for subsystem in node.subsystems for question in subsystem.questions]
         self.api = ApiServer(split_address(settings.api_addr), self.replies, most, questions)
-        self.peers = PeerServer(split_address(settings.peer_bind), 4 * facts.size,
-                                lambda said: void(self.actor.post(PeerFrameReceived(said))))
+        self.peers = PeerServer(
+            split_address(settings.peer_bind),
+            4 * facts.size,
+            lambda said: void(self.actor.post(PeerFrameReceived(said))),
+        )
         timing = Timing(settings)
         self.actor.start()
         if tuning.end_at_standstill:
             from quinceslip.transport.watchdog import Watchdog
 
             # The owner's lease, a third of a worker's: until then nothing is lost, then a peer has the shards anyway.
-            Watchdog(settings.label, self.actor.thread, lambda: self.actor.turns + node.ctx.progress(),
-                     lambda: node.ctx.active_part or self.actor.doing, timing.leader_lease_us, timing.worker_lease_us,
-                     split_address(settings.outside.state))
-        self.watch = Watch(settings.outside.state, post, min(timing.leader_lease_us // 4, SECOND),
-                           pause_us=int(SECOND * facts.size * 4 / limits.rps))
+            Watchdog(
+                settings.label,
+                self.actor.thread,
+                lambda: self.actor.turns + node.ctx.progress(),
+                lambda: node.ctx.active_part or self.actor.doing,
+                timing.leader_lease_us,
+                timing.worker_lease_us,
+                split_address(settings.outside.state),
+            )
+        self.watch = Watch(
+            settings.outside.state,
+            post,
+            min(timing.leader_lease_us // 4, SECOND),
+            pause_us=int(SECOND * facts.size * 4 / limits.rps),
+        )
 
     def _carry_out(self, effect: Effect) -> None:
         if isinstance(effect, Reply):
--- a/quinceslip/storage/records.py
+++ b/quinceslip/storage/records.py
@@ -144,10 +144,18 @@
 
 
 KINDS: dict[str, Any] = {
-    "term": TermRecord, "shard": ShardRecord, "job": JobRecord, "part": PartitionRecord,
-    "roster": MachineRecord, "hire": ScaleOutRecord, "load": LoadRecord, "types": list[MachineType],
-    "standstill": StallRecord, "stray": MisroutedRecord,
-    "supports": SupportsRecord, "rollout": LevelRecord,
+    "term": TermRecord,
+    "shard": ShardRecord,
+    "job": JobRecord,
+    "part": PartitionRecord,
+    "roster": MachineRecord,
+    "hire": ScaleOutRecord,
+    "load": LoadRecord,
+    "types": list[MachineType],
+    "standstill": StallRecord,
+    "stray": MisroutedRecord,
+    "supports": SupportsRecord,
+    "rollout": LevelRecord,
 }
 
 #: kinds that nothing rests on: one that can't be read is as good as none, and must not cost those beside it.
@@ -160,7 +168,9 @@
 
     def __init__(self) -> None:
         self.kinds: dict[str, Any] = dict(KINDS)
-        self.listing_revision: int | None = None  # the ledger up to which the last listing reaches; None before the first
+        self.listing_revision: int | None = (
+            None  # the ledger up to which the last listing reaches; None before the first
+        )
         self.revision = 0
         self.records_taken = 0  # records so far: a long listing is one message, and no standstill
         self.mod_revisions: dict[str, int] = {}
--- a/quinceslip/transport/actor.py
+++ b/quinceslip/transport/actor.py
@@ -16,8 +16,9 @@
 
 
 class ActorThread:
-    def __init__(self, handle: Callable[[Any, int], list[Effect]], carry_out: Callable[[Effect], None],
-                 beat_us: int, inbox: int) -> None:
+    def __init__(
+        self, handle: Callable[[Any, int], list[Effect]], carry_out: Callable[[Effect], None], beat_us: int, inbox: int
+    ) -> None:
         self.handle = handle
         self.carry_out = carry_out
         self.beat_us = beat_us
--- a/quinceslip/transport/clients.py
+++ b/quinceslip/transport/clients.py
@@ -43,8 +43,11 @@
         if self.status in (http.client.NO_CONTENT, http.client.NOT_MODIFIED):
             self.length = 0
         # A body without a length ends with the connection.
-        self.will_close = "close" in (found.get("connection") or "").lower() or version == "HTTP/1.0" or (
-            self.length is None and not self.chunked)
+        self.will_close = (
+            "close" in (found.get("connection") or "").lower()
+            or version == "HTTP/1.0"
+            or (self.length is None and not self.chunked)
+        )
 
 
 class Connection(http.client.HTTPConnection):
@@ -119,8 +122,9 @@
             for i, rate in enumerate(self.rates):
                 self.tokens[i] = min(rate * self.share, self.tokens[i] + passed_s * rate * self.share)
             need = (1.0, min(float(writes), self.rates[1] * self.share))
-            waits = [(need[i] - self.tokens[i]) / (self.rates[i] * self.share)
-                     for i in (0, 1) if need[i] > self.tokens[i]]
+            waits = [
+                (need[i] - self.tokens[i]) / (self.rates[i] * self.share) for i in (0, 1) if need[i] > self.tokens[i]
+            ]
             if waits:
                 return max(waits)
             self.tokens[0] -= need[0]
@@ -139,8 +143,9 @@
 class Pool:
     """Threads that carry out calls, the most urgent first, and post their answers."""
 
-    def __init__(self, name: str, threads: int, post: Callable[[Any], bool], budget: Budget | None = None,
-                 most_idle: int = 64) -> None:
+    def __init__(
+        self, name: str, threads: int, post: Callable[[Any], bool], budget: Budget | None = None, most_idle: int = 64
+    ) -> None:
         self.post = post
         self.budget = budget
         self.most_idle = most_idle
--- a/quinceslip/transport/http_server.py
+++ b/quinceslip/transport/http_server.py
@@ -71,8 +71,11 @@
 
     def _send(self, status: int, body: Any = None, headers: dict[str, str] | None = None) -> None:
         data = b"" if body is None else msgspec.json.encode(body)
-        lines = [f"HTTP/1.1 {status} {self.responses.get(status, ('Unknown',))[0]}",
-                 "Content-Type: application/json", f"Content-Length: {len(data)}"]
+        lines = [
+            f"HTTP/1.1 {status} {self.responses.get(status, ('Unknown',))[0]}",
+            "Content-Type: application/json",
+            f"Content-Length: {len(data)}",
+        ]
         lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
         if self.close_connection:
             lines.append("Connection: close")
@@ -127,7 +130,8 @@
         self.headers = found  # type: ignore[assignment]
         connection = (found.get("connection") or "").lower()
         self.close_connection = connection == "close" or (
-            self.request_version == "HTTP/1.0" and connection != "keep-alive")
+            self.request_version == "HTTP/1.0" and connection != "keep-alive"
+        )
         if (found.get("expect") or "").lower() == "100-continue" and self.request_version != "HTTP/1.0":
             self.wfile.write(b"HTTP/1.1 100 Continue\r\n\r\n")
             self.wfile.flush()
@@ -147,7 +151,7 @@
             if self._allow("POST"):
                 self._submit(body)
         elif path.startswith(m.PATH_JOBS + "/"):
-            job_id = path[len(m.PATH_JOBS) + 1:]
+            job_id = path[len(m.PATH_JOBS) + 1 :]
             if job_id.endswith(m.CANCEL_END):
                 job_id = job_id[: -len(m.CANCEL_END)]
                 if "/" in job_id or not job_id:
--- a/quinceslip/transport/peers.py
+++ b/quinceslip/transport/peers.py
@@ -25,8 +25,12 @@
 class PeerServer:
     """Takes frames from peers; anything else ends the connection and nothing more."""
 
-    def __init__(self, address: tuple[str, int], most: int,
-                 heard: Callable[[frames.PeerHeartbeat | frames.PeerObservations], None]) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        most: int,
+        heard: Callable[[frames.PeerHeartbeat | frames.PeerObservations], None],
+    ) -> None:
         self.heard = heard
         self.slots = threading.BoundedSemaphore(most)
         self.listener = socket.create_server(address, backlog=16)
--- a/quinceslip/transport/watchdog.py
+++ b/quinceslip/transport/watchdog.py
@@ -37,8 +37,16 @@
 class Watchdog:
     """Watches one thread. `turns` must grow with every turn, at least some times in `limit_us`, even when idle."""
 
-    def __init__(self, label: str, thread: threading.Thread, turns: Callable[[], int], part: Callable[[], str],
-                 limit_us: int, lease_us: int, state: tuple[str, int]) -> None:
+    def __init__(
+        self,
+        label: str,
+        thread: threading.Thread,
+        turns: Callable[[], int],
+        part: Callable[[], str],
+        limit_us: int,
+        lease_us: int,
+        state: tuple[str, int],
+    ) -> None:
         self.label = label
         self.thread = thread
         self.turns = turns
@@ -95,8 +103,11 @@
             self.not_before_us = steady_us() + wait_us
             self._say(lambda: log.error("not ended for %.0f s: too soon after the last time", wait_us / 1e6))
         elif self.turns() == turns:
-            self._say(lambda: log.error("ending with status %d, to be started again", STATUS),
-                      lambda: faulthandler.dump_traceback(all_threads=True), sys.stderr.flush)
+            self._say(
+                lambda: log.error("ending with status %d, to be started again", STATUS),
+                lambda: faulthandler.dump_traceback(all_threads=True),
+                sys.stderr.flush,
+            )
             os._exit(STATUS)
 
     def _note(self, part: str) -> int:
@@ -115,8 +126,15 @@
                 return wait_us
             # Of two lives of one controller the later one's note stays, however late the other's is written.
             record = stall_records.following(note, part, now_us, self.lease_us)
-            status, _ = exchange(connection, "POST", m.PATH_TXN, m.compare_and_swap_request(
-                {key: item.mod_revision if item is not None else 0}, {key: (record, None)}, []), NOTE_S)
+            status, _ = exchange(
+                connection,
+                "POST",
+                m.PATH_TXN,
+                m.compare_and_swap_request(
+                    {key: item.mod_revision if item is not None else 0}, {key: (record, None)}, []
+                ),
+                NOTE_S,
+            )
             return 0 if status == 200 else self._wait_without_note()
         except msgspec.DecodeError:
             return self._wait_without_note()
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -60,8 +60,11 @@
         if self.where[task]:
             self.breach("ran_twice", f"{task} on {worker.name} and {sorted(self.where[task])}")
         host = worker.host
-        if (spec["builds"] is not None and host["build"] not in spec["builds"]) or (
-                spec["yard"] not in (None, host["yard"])) or (host["loaners"] and not spec["loaners"]):
+        if (
+            (spec["builds"] is not None and host["build"] not in spec["builds"])
+            or (spec["yard"] not in (None, host["yard"]))
+            or (host["loaners"] and not spec["loaners"])
+        ):
             self.breach("wrong_place", f"{task} on {worker.name}")
         zones: dict[str, int] = defaultdict(int)
         zones[host["yard"]] += 1
@@ -76,8 +79,12 @@
             self.breach("wrong_place", f"{task}: spread {dict(zones)}")
         if spec["shape"] == "group":
             # Not the protocol's rule but the design's: tasks of a gang know each other by their attempt.
-            others = {self.world.workers[n].tasks[t]["try"] for t, p in self.where.items() for n in p
-                      if t.rpartition("/")[0] == job_id and n in self.world.workers}
+            others = {
+                self.world.workers[n].tasks[t]["try"]
+                for t, p in self.where.items()
+                for n in p
+                if t.rpartition("/")[0] == job_id and n in self.world.workers
+            }
             if others - {worker.tasks[task]["try"]}:
                 self.breach("mixed_gang", f"{task} starts under another attempt than the others")
         self.where[task].add(worker.name)
@@ -158,14 +165,17 @@
 
     def called_off(self, job_id: str) -> bool:
         """Whether its user, or that of a job before it, has asked for its end; what was done by then goes on."""
-        return job_id in self.cancel_asked or any(u in self.cancel_asked and self.told.get(u) != "done"
-                                               for u in self._before(job_id))
+        return job_id in self.cancel_asked or any(
+            u in self.cancel_asked and self.told.get(u) != "done" for u in self._before(job_id)
+        )
 
     def ready_us(self, job_id: str) -> int:
         """When its times begin: with the attempt to submit it, or the end of the last job that it needs; now if that is
         still to come."""
-        ends = [max(self.done_us.get(f"{u}/{i}", self.world.now_us) for i in range(self.world.jobs[u]["picks"]))
-                for u in self.world.jobs[job_id]["waitsOn"]]
+        ends = [
+            max(self.done_us.get(f"{u}/{i}", self.world.now_us) for i in range(self.world.jobs[u]["picks"]))
+            for u in self.world.jobs[job_id]["waitsOn"]
+        ]
         return max([self.asked_us.get(job_id, self.world.now_us), *ends])
 
     # What users are told.
@@ -266,8 +276,13 @@
             spec = world.jobs[job_id]
             if not all(map(self._complete, spec["waitsOn"])):
                 continue
-            left = [i for i in range(spec["picks"]) if f"{job_id}/{i}" not in there
-                    and f"{job_id}/{i}" not in self.completed and not self.where.get(f"{job_id}/{i}")]
+            left = [
+                i
+                for i in range(spec["picks"])
+                if f"{job_id}/{i}" not in there
+                and f"{job_id}/{i}" not in self.completed
+                and not self.where.get(f"{job_id}/{i}")
+            ]
             if left and self._could_start(spec, len(left), machines, there):
                 waits[job_id] = self.waits_us.get(job_id, now_us)
                 if now_us - waits[job_id] > WAIT_S * US:
@@ -286,10 +301,14 @@
         room: dict[str, int] = defaultdict(int)  # for its tasks, by zone
         for worker, free in machines:
             host = worker.host
-            zones[host["yard"]] += sum(t.startswith(job_id + "/") and task["status"] != "exited"
-                                       for t, task in worker.tasks.items())
-            if (spec["builds"] is None or host["build"] in spec["builds"]) and spec["yard"] in (
-                    None, host["yard"]) and (spec["loaners"] or not host["loaners"]):
+            zones[host["yard"]] += sum(
+                t.startswith(job_id + "/") and task["status"] != "exited" for t, task in worker.tasks.items()
+            )
+            if (
+                (spec["builds"] is None or host["build"] in spec["builds"])
+                and spec["yard"] in (None, host["yard"])
+                and (spec["loaners"] or not host["loaners"])
+            ):
                 fits = [int((f + 1e-6) // n) for f, n in zip(free, need, strict=True) if n]
                 room[host["yard"]] += max(0, min(fits, default=count))
         if spec["together"]:
@@ -311,8 +330,16 @@
         level = spec["crew"]
         # Bound: the depth of the tree.
         while level:
-            there = [self.world.jobs[t.rpartition("/")[0]] for w, _ in machines for t, task in w.tasks.items()
-                     if task["status"] != "exited" and self._beneath(t, level, above)] if caps.get(level) else []
+            there = (
+                [
+                    self.world.jobs[t.rpartition("/")[0]]
+                    for w, _ in machines
+                    for t, task in w.tasks.items()
+                    if task["status"] != "exited" and self._beneath(t, level, above)
+                ]
+                if caps.get(level)
+                else []
+            )
             for kind, cap in caps.get(level, {}).items():
                 takes = [s[KINDS[kind]] if kind in KINDS else 1 for s in [spec] * count + there]
                 if sum(takes) > cap + 1e-6:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -94,8 +94,20 @@
                     return 200, {"k": path.removeprefix("/kv/"), "v": found[0], "stamp": found[1]}
                 return 404, {"ledger": self.revision}
             if path == "/flavors":
-                return 200, {"builds": [{"label": "m", "vcpus": 16, "gpus": 0, "memGb": 64, "price": 1.0,
-                                         "lowPrice": 0.4, "startupS": 1, "yards": ["a"]}]}
+                return 200, {
+                    "builds": [
+                        {
+                            "label": "m",
+                            "vcpus": 16,
+                            "gpus": 0,
+                            "memGb": 64,
+                            "price": 1.0,
+                            "lowPrice": 0.4,
+                            "startupS": 1,
+                            "yards": ["a"],
+                        }
+                    ]
+                }
             if path.startswith("/hosts?"):
                 return 200, {"berths": [], "hasNext": False}
             return 503, {"error": "no capacity"}
@@ -132,13 +144,16 @@
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder) / "service.toml"
         # So little memory that no more than 64 connections are served at once.
-        config.write_text(settings_text(api=port, peer=_free_port(), cloud=outside.port, state=outside.port)
-                          + "[facts.limits]\nmemory_mb = 45.0\n")
+        config.write_text(
+            settings_text(api=port, peer=_free_port(), cloud=outside.port, state=outside.port)
+            + "[facts.limits]\nmemory_mb = 45.0\n"
+        )
         tree = Path(folder) / "quotas.ini"
         tree.write_text("[quota]\nversion = 1\n[quota guild]\ncpus_max = 8\nteams = team\n")
-        process = subprocess.Popen([sys.executable, str(ROOT / "run.py"), "run", "--config", str(config),
-                                    "--operator-config", str(tree)],
-                                   env={**os.environ, "LOG_LEVEL": "error"})
+        process = subprocess.Popen(
+            [sys.executable, str(ROOT / "run.py"), "run", "--config", str(config), "--operator-config", str(tree)],
+            env={**os.environ, "LOG_LEVEL": "error"},
+        )
         try:
             _serve(process, port, outside)
         finally:
@@ -170,15 +185,21 @@
     with tempfile.TemporaryDirectory() as folder:
         config, own, mark = Path(folder) / "service.toml", Path(folder) / "own.ini", Path(folder) / "mark"
         lease_s, hold_s = 6.0, 2.0
-        config.write_text(settings_text(api=port, peer=_free_port(), cloud=outside.port, state=outside.port).replace(
-            "lease_s = 10.0", f"lease_s = {lease_s}"))
+        config.write_text(
+            settings_text(api=port, peer=_free_port(), cloud=outside.port, state=outside.port).replace(
+                "lease_s = 10.0", f"lease_s = {lease_s}"
+            )
+        )
         own.write_text("[quinceslip]\nbalance_period_s = 0.3\n")
         log = (Path(folder) / "log").open("wb")
         script = NEVER_SOLVED.format(root=str(ROOT), deps=str(ROOT / "target" / "deps"), mark=str(mark))
 
         def start() -> subprocess.Popen[bytes]:
-            return subprocess.Popen([sys.executable, "-c", script, "run", "--config", str(config), "--operator-config",
-                                     str(own)], env={**os.environ, "LOG_LEVEL": "info"}, stderr=log)
+            return subprocess.Popen(
+                [sys.executable, "-c", script, "run", "--config", str(config), "--operator-config", str(own)],
+                env={**os.environ, "LOG_LEVEL": "info"},
+                stderr=log,
+            )
 
         process = start()
         try:
@@ -252,8 +273,18 @@
     def state(self) -> dict[str, Any]:
         with self.lock:
             self.tick += 1
-            return {"berth": "n-000001", "endpoint": self.endpoint, "build": "m", "yard": "a", "loaners": False,
-                    "stint": 1, "tick": self.tick, "baton": self.baton, "warningS": None, "picks": list(self.tasks)}
+            return {
+                "berth": "n-000001",
+                "endpoint": self.endpoint,
+                "build": "m",
+                "yard": "a",
+                "loaners": False,
+                "stint": 1,
+                "tick": self.tick,
+                "baton": self.baton,
+                "warningS": None,
+                "picks": list(self.tasks),
+            }
 
     def obey(self, answer: dict[str, Any]) -> None:
         with self.lock:
@@ -325,8 +356,12 @@
     Worker(port, outside).runs(job_id)
     assert _ask(port, "GET", f"/v1/jobs/{job_id}")[1]["status"] == "done"
     assert _ask(port, "POST", f"/v1/jobs/{job_id}/cancel")[1]["status"] == "done"
-    shown = subprocess.run([sys.executable, str(ROOT / "run.py"), "quota", "show", "--from", f"127.0.0.1:{port}",
-                            "--json"], capture_output=True, check=True, timeout=30).stdout
+    shown = subprocess.run(
+        [sys.executable, str(ROOT / "run.py"), "quota", "show", "--from", f"127.0.0.1:{port}", "--json"],
+        capture_output=True,
+        check=True,
+        timeout=30,
+    ).stdout
     guild = json.loads(shown)["levels"][0]
     assert guild["level"] == "guild" and guild["cap"] == {"cpus": 8.0} and guild["held"], guild
     for connection in slow:
--- a/tests/test_golden_samples.py
+++ b/tests/test_golden_samples.py
@@ -48,11 +48,24 @@
 MESSAGE_MODULES = (m,)
 #: JSON messages, by a name that only the samples use
 MESSAGE_TYPES: dict[str, Any] = {
-    "job": m.JobSpec, "task report": m.TaskStatus, "worker report": m.WorkerHeartbeat, "command": m.Command,
-    "command reply": m.CommandReply, "direct commands": m.DirectCommands, "machine type": m.MachineType,
-    "machine types": m.MachineTypes, "hire answer": m.ScaleOutAnswer, "host": m.CloudMachine, "host list": m.MachineListing,
-    "lease answer": m.LeaseAnswer, "transaction answer": m.CompareAndSwapAnswer, "item": m.Item, "listing": m.Listing,
-    "event": m.Event, "changes": m.Changes}
+    "job": m.JobSpec,
+    "task report": m.TaskStatus,
+    "worker report": m.WorkerHeartbeat,
+    "command": m.Command,
+    "command reply": m.CommandReply,
+    "direct commands": m.DirectCommands,
+    "machine type": m.MachineType,
+    "machine types": m.MachineTypes,
+    "hire answer": m.ScaleOutAnswer,
+    "host": m.CloudMachine,
+    "host list": m.MachineListing,
+    "lease answer": m.LeaseAnswer,
+    "transaction answer": m.CompareAndSwapAnswer,
+    "item": m.Item,
+    "listing": m.Listing,
+    "event": m.Event,
+    "changes": m.Changes,
+}
 FRAME_HEADER_BYTES = frames.HEADER.size
 FrameError = frames.FrameError
 
@@ -70,12 +83,20 @@
 
 #: functions that make messages, records, keys and paths; called with the arguments of a sample, in order
 BUILDERS: dict[str, Callable[..., Any]] = {
-    "launch": m.launch, "halt": m.stop, "reap": m.acknowledge_result,
+    "launch": m.launch,
+    "halt": m.stop,
+    "reap": m.acknowledge_result,
     "submission": lambda text: m.read_submission(text.encode()),
     "report is of worker": lambda text, worker: m.names(text.encode(), worker),
-    "job answer": m.job_answer, "redirect": m.redirect,
-    "hire request": m.scale_out_request, "delete request": m.delete_request, "hosts path": m.machines_path,
-    "lease request": m.lease_request, "renew path": m.renew_path, "list path": m.list_path, "watch path": m.watch_path,
+    "job answer": m.job_answer,
+    "redirect": m.redirect,
+    "hire request": m.scale_out_request,
+    "delete request": m.delete_request,
+    "hosts path": m.machines_path,
+    "lease request": m.lease_request,
+    "renew path": m.renew_path,
+    "list path": m.list_path,
+    "watch path": m.watch_path,
     "transaction": m.compare_and_swap_request,
     "job with priority": lambda job, priority: m.with_priority(as_job(job), priority),
     "job waiting on": lambda job, job_ids: m.waiting_on(as_job(job), job_ids),
@@ -83,28 +104,74 @@
     "following standstill": following_note,
     "task set": lambda numbers: task_sets.encode(set(numbers)),
     "task set read": lambda text: sorted(task_sets.decode(text)),
-    "key of shard": records.shard_key, "key of job": records.job_key, "key of part": records.partition_key,
-    "key of roster": records.machine_key, "key of hire": records.scale_out_key, "key of stray": records.misrouted_key,
-    "key of supports": records.supports_key, "key of load": records.load_key, "key of standstill": stall_records.key,
-    "key of want": allocations.want_key, "name of grant": allocations.grant_name,
+    "key of shard": records.shard_key,
+    "key of job": records.job_key,
+    "key of part": records.partition_key,
+    "key of roster": records.machine_key,
+    "key of hire": records.scale_out_key,
+    "key of stray": records.misrouted_key,
+    "key of supports": records.supports_key,
+    "key of load": records.load_key,
+    "key of standstill": stall_records.key,
+    "key of want": allocations.want_key,
+    "name of grant": allocations.grant_name,
     "kind and name of key": records.StoreCache.split,
-    "other keys": lambda: [records.PREFIX, records.TERM, records.TYPES, records.ROLLOUT, records.NOTHING,
-                           allocations.TREE_KEY],
-    "paths": lambda: [m.PATH_JOBS, m.PATH_READY, m.PATH_HEARTBEAT, m.PATH_INSPECT, m.PATH_DO, m.PATH_MACHINE_TYPES, m.PATH_HOSTS,
-                      m.PATH_HOSTS_DELETE, m.PATH_TXN, m.PATH_LEASES, m.PATH_KV, m.CANCEL_END, *AllocationManager.questions],
-    "words": lambda: [m.QUEUED, m.RUNNING, m.DONE, m.CANCELLED, m.PULLING, m.FLUSHING, m.EXITED, m.CAUSE_DONE,
-                      m.CAUSE_HALTED, m.CAUSE_ERROR, *m.CAUSES_GANG, m.HOST_FAILED, m.HOST_BOOTING,
-                      m.NO_LEASE.decode(), m.MAX_BODY, m.PRIORITY_CLASSES]}
+    "other keys": lambda: [
+        records.PREFIX,
+        records.TERM,
+        records.TYPES,
+        records.ROLLOUT,
+        records.NOTHING,
+        allocations.TREE_KEY,
+    ],
+    "paths": lambda: [
+        m.PATH_JOBS,
+        m.PATH_READY,
+        m.PATH_HEARTBEAT,
+        m.PATH_INSPECT,
+        m.PATH_DO,
+        m.PATH_MACHINE_TYPES,
+        m.PATH_HOSTS,
+        m.PATH_HOSTS_DELETE,
+        m.PATH_TXN,
+        m.PATH_LEASES,
+        m.PATH_KV,
+        m.CANCEL_END,
+        *AllocationManager.questions,
+    ],
+    "words": lambda: [
+        m.QUEUED,
+        m.RUNNING,
+        m.DONE,
+        m.CANCELLED,
+        m.PULLING,
+        m.FLUSHING,
+        m.EXITED,
+        m.CAUSE_DONE,
+        m.CAUSE_HALTED,
+        m.CAUSE_ERROR,
+        *m.CAUSES_GANG,
+        m.HOST_FAILED,
+        m.HOST_BOOTING,
+        m.NO_LEASE.decode(),
+        m.MAX_BODY,
+        m.PRIORITY_CLASSES,
+    ],
+}
 
 
 def pack_heartbeat(label: str, state_ok: bool, revision: int, loads: list[list[Any]], *rest: Any) -> bytes:
     """The frame of a heartbeat; each of `loads` and `rest` holds constructor arguments in order."""
-    return frames.pack_heartbeat(frames.PeerHeartbeat(label, state_ok, revision, [frames.ShardLoad(*load) for load in loads], *rest))
+    return frames.pack_heartbeat(
+        frames.PeerHeartbeat(label, state_ok, revision, [frames.ShardLoad(*load) for load in loads], *rest)
+    )
 
 
 def pack_observations(label: str, observations: list[list[Any]]) -> bytes:
     """The frame of sightings; each of `observations` holds constructor arguments in order."""
-    return frames.pack_observations(frames.PeerObservations(label, [frames.Observation(*observation) for observation in observations]))
+    return frames.pack_observations(
+        frames.PeerObservations(label, [frames.Observation(*observation) for observation in observations])
+    )
 
 
 #: functions that make peer frames
@@ -119,7 +186,11 @@
 
 def pack_again(content: Any) -> bytes:
     """The frame of what `read_frame` read."""
-    return frames.pack_heartbeat(content) if isinstance(content, frames.PeerHeartbeat) else frames.pack_observations(content)
+    return (
+        frames.pack_heartbeat(content)
+        if isinstance(content, frames.PeerHeartbeat)
+        else frames.pack_observations(content)
+    )
 
 
 def understood_settings(path: Path) -> dict[str, str]:
@@ -140,23 +211,36 @@
     cache = records.StoreCache()
     cache.register_kind(AllocationManager.kinds)
     grant = {"version": 1, "total": [9000, 0, 0, 0], "parts": {"0": [4000, 0, 0, 0], "2": [6000, 0, 0, 0]}}
-    cache.store(f"{records.PREFIX}{allocations.GRANT}/{allocations.grant_name('guild', allocations.CAP)}",
-             msgspec.convert(grant, RECORD_TYPES[allocations.GRANT]), 5)
+    cache.store(
+        f"{records.PREFIX}{allocations.GRANT}/{allocations.grant_name('guild', allocations.CAP)}",
+        msgspec.convert(grant, RECORD_TYPES[allocations.GRANT]),
+        5,
+    )
     page = quota_page(tree, allocations.Allocations(tree, cache), {}, "", "")
     return {"digest": tree.digest, "page": encoded(page), "table": list(quota_table(page, False))}
 
 
 #: what reads a settings file, by the name that samples use
 LOADERS: dict[str, Callable[[Path], Any]] = {
-    "settings": understood_settings, "tuning": understood_tuning, "tree": understood_tree}
+    "settings": understood_settings,
+    "tuning": understood_tuning,
+    "tree": understood_tree,
+}
 # End of the adapter.
 
 #: the width that the command line formats its help for
 COLUMNS = "100"
 ACCEPTED = "accepted"
 #: values that a field of a message is replaced by, one after the other
-MAX_UNANSWERED_PROBES: dict[str, Any] = {"null": None, "-1": -1, "-1.5": -1.5, "empty text": "", "201 letters": "x" * 201,
-                          "empty list": [], "empty object": {}}
+MAX_UNANSWERED_PROBES: dict[str, Any] = {
+    "null": None,
+    "-1": -1,
+    "-1.5": -1.5,
+    "empty text": "",
+    "201 letters": "x" * 201,
+    "empty list": [],
+    "empty object": {},
+}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -266,7 +350,7 @@
         key, separator, _ = line.partition(" = ")
         if separator and not line.startswith((";", "#")):
             changed = [] if value is None else [f"{key} = {value}\n"]
-            yield f"line {number + 1}, {key}", "".join([*lines[:number], *changed, *lines[number + 1:]])
+            yield f"line {number + 1}, {key}", "".join([*lines[:number], *changed, *lines[number + 1 :]])
 
 
 def file_outcome(given: Any) -> Any:
@@ -289,8 +373,11 @@
     """A directory with the files of a command-line sample, and its environment variables."""
     variables = {name: value for name, value in os.environ.items() if name != "LOG_LEVEL"}
     variables |= {"COLUMNS": COLUMNS, **given.get("environment", {})}
-    with (tempfile.TemporaryDirectory() as folder, contextlib.chdir(folder),
-          mock.patch.dict(os.environ, variables, clear=True)):
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        contextlib.chdir(folder),
+        mock.patch.dict(os.environ, variables, clear=True),
+    ):
         for name, file in given.get("files", {}).items():
             Path(name).write_bytes(file_content(file))
         yield
@@ -315,15 +402,26 @@
 def command_process_outcome(given: Any) -> dict[str, Any]:
     """The same command as operators run it, in a process of its own."""
     with command_surroundings(given):
-        found = subprocess.run([sys.executable, str(ROOT / "run.py"), *given["arguments"]], capture_output=True,
-                               text=True, timeout=60, check=False)
+        found = subprocess.run(
+            [sys.executable, str(ROOT / "run.py"), *given["arguments"]],
+            capture_output=True,
+            text=True,
+            timeout=60,
+            check=False,
+        )
     return command_result(found.returncode, found.stdout, found.stderr)
 
 
 #: by file of samples, what makes an outcome of an input
 OUTCOMES: dict[str, Callable[[Any], Any]] = {
-    "records": record_outcome, "messages": message_outcome, "refusals": refusal_outcome, "builders": builder_outcome,
-    "frames": frame_outcome, "files": file_outcome, "command_line": command_outcome}
+    "records": record_outcome,
+    "messages": message_outcome,
+    "refusals": refusal_outcome,
+    "builders": builder_outcome,
+    "frames": frame_outcome,
+    "files": file_outcome,
+    "command_line": command_outcome,
+}
 
 
 def read_group(group: str) -> dict[str, Any]:
@@ -334,15 +432,19 @@
 
 def read_samples(*groups: str) -> list[Sample]:
     """The samples of these groups."""
-    return [Sample(group, name, entry["given"], entry.get("expected"))
-            for group in groups for name, entry in read_group(group).items()]
+    return [
+        Sample(group, name, entry["given"], entry.get("expected"))
+        for group in groups
+        for name, entry in read_group(group).items()
+    ]
 
 
 def write_samples() -> None:
     """Rewrite every `expected`, and the copy of the service file, from the present code."""
     for group, outcome in OUTCOMES.items():
-        entries = {sample.name: {"given": sample.given, "expected": outcome(sample.given)}
-                   for sample in read_samples(group)}
+        entries = {
+            sample.name: {"given": sample.given, "expected": outcome(sample.given)} for sample in read_samples(group)
+        }
         (SAMPLES / f"{group}.json").write_text(json.dumps(entries, indent=1) + "\n", encoding="utf-8")
     (SAMPLES / "service.toml").write_bytes((ROOT / "deploy" / "service.toml").read_bytes())
 
@@ -373,8 +475,9 @@
     assert (ROOT / "deploy" / "service.toml").read_bytes() == (SAMPLES / "service.toml").read_bytes()
 
 
-@pytest.mark.parametrize(("group", "types"), [("records", RECORD_TYPES), ("messages", MESSAGE_TYPES)],
-                         ids=["records", "messages"])
+@pytest.mark.parametrize(
+    ("group", "types"), [("records", RECORD_TYPES), ("messages", MESSAGE_TYPES)], ids=["records", "messages"]
+)
 def test_every_type_has_all_samples(group: str, types: dict[str, Any]) -> None:
     """Each type has a full sample with every wire name, a minimal one, one with an unknown field, and refusals."""
     samples = read_group(group)
--- a/tests/test_hearing.py
+++ b/tests/test_hearing.py
@@ -11,8 +11,16 @@
 
 
 def heartbeat(epoch: int, seq: int, fencing_token: int, launches: set[str]) -> m.WorkerHeartbeat:
-    return m.WorkerHeartbeat("w", "10.0.0.1:1", "t", "z", epoch, seq, fencing_token,
-                          tasks=[m.TaskStatus(name, 1, m.RUNNING) for name in sorted(launches)])
+    return m.WorkerHeartbeat(
+        "w",
+        "10.0.0.1:1",
+        "t",
+        "z",
+        epoch,
+        seq,
+        fencing_token,
+        tasks=[m.TaskStatus(name, 1, m.RUNNING) for name in sorted(launches)],
+    )
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 2), st.booleans(), st.booleans()), max_size=40))
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -25,18 +25,24 @@
 
 settings.register_profile("levels-ci", max_examples=40, derandomize=True)
 settings.register_profile("levels-long", max_examples=20_000)
-drawn = settings(settings.get_profile(f"levels-{os.environ.get('HYPOTHESIS_PROFILE', 'ci')}"), deadline=None,
-                 database=None)
+drawn = settings(
+    settings.get_profile(f"levels-{os.environ.get('HYPOTHESIS_PROFILE', 'ci')}"), deadline=None, database=None
+)
 
 #: evaluations of a shard's cost that a solution of usual shards takes at most; their bound is far beyond
 USUAL_STEPS = 600
 
 #: whole numbers of tasks over whole seconds: where sums of quotients meet, rounding errors show
 measured = st.builds(lambda tasks, seconds: tasks / seconds, st.integers(1, 200), st.integers(1, 120))
-stations = st.lists(st.builds(Station, st.sampled_from([0, 1, 2, 3, 8, 12, 40, 300, 3000]), measured), min_size=1,
-                    max_size=8)
-wild = st.lists(st.builds(Station, st.integers(-10, 2**32 - 1),
-                          st.one_of(st.floats(), st.sampled_from([1e-300, 1e300, 0.0, -1.0]))), max_size=64)
+stations = st.lists(
+    st.builds(Station, st.sampled_from([0, 1, 2, 3, 8, 12, 40, 300, 3000]), measured), min_size=1, max_size=8
+)
+wild = st.lists(
+    st.builds(
+        Station, st.integers(-10, 2**32 - 1), st.one_of(st.floats(), st.sampled_from([1e-300, 1e300, 0.0, -1.0]))
+    ),
+    max_size=64,
+)
 
 
 def capacity(of: list[Station]) -> float:
@@ -58,7 +64,7 @@
     of = [s for s in of if s.slots]
     assume(of)
     whole = capacity(of)
-    total = whole * (1.0 - 2.0 ** -k if near else part)
+    total = whole * (1.0 - 2.0**-k if near else part)
     if not whole * ROUNDING < total < whole * (1.0 - ROUNDING):
         assert fair_levels(of, total) == [s.slots for s in of]
         return
@@ -71,7 +77,7 @@
     assert all(0.0 <= f * total <= s.capacity * (1 + 1e-12) for f, s in zip(found, of, strict=True))
     # Where no bound holds the costs are equal; a shard that gets nothing costs as much for its first task.
     # Beyond 2^-20 the difference that marginal_cost starts from has too few digits to compare.
-    if total < whole * (1 - 2.0 ** -20):
+    if total < whole * (1 - 2.0**-20):
         costs = [marginal_cost(s, f * total) for s, f in zip(of, found, strict=True)]
         used = [c for c, f in zip(costs, found, strict=True) if f > 1e-15]
         assert max(used) <= min(used) * (1 + 1e-5), (costs, found)
@@ -81,8 +87,8 @@
 def queue_length(slots: int, offered: Fraction) -> Fraction:
     """Eqs. 2 to 5 by direct summation: the mean number of waiting tasks."""
     rho = offered / slots
-    last = offered ** slots / (math.factorial(slots) * (1 - rho))
-    everything = sum((offered ** k / math.factorial(k) for k in range(slots)), Fraction(0)) + last
+    last = offered**slots / (math.factorial(slots) * (1 - rho))
+    everything = sum((offered**k / math.factorial(k) for k in range(slots)), Fraction(0)) + last
     return last / everything * rho / (1 - rho)
 
 
@@ -103,7 +109,7 @@
     whole = capacity(of)
     before = [0] * len(of)
     for k in range(1, 80 if len(of) < 3 else 20):
-        total = whole * (1.0 - 2.0 ** -k)
+        total = whole * (1.0 - 2.0**-k)
         levels = fair_levels(of, total)
         if total >= whole * (1.0 - ROUNDING):
             assert levels == [s.slots for s in of]
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -33,8 +33,11 @@
     for _ in range(draw(st.integers(1, 2))):
         alone_s, all_s = draw(st.sampled_from([2, 5, 14])), draw(st.sampled_from([8, 20, 40, 75, 105]))
         down_s = at_s + draw(tenths(0.5, alone_s + 1))
-        lines += [f"at {at_s:.2f} cut_state berth-0 {alone_s} {draw(MODES)}",
-                  *cancels(draw, at_s), f"at {down_s:.2f} outage state {all_s}"]
+        lines += [
+            f"at {at_s:.2f} cut_state berth-0 {alone_s} {draw(MODES)}",
+            *cancels(draw, at_s),
+            f"at {down_s:.2f} outage state {all_s}",
+        ]
         if draw(st.booleans()):
             lines.append(f"at {down_s + draw(tenths(0, 9)):.2f} crash berth-0 back={draw(BACK)}")
         if draw(st.booleans()):
@@ -45,20 +48,29 @@
 
 def slow(draw: Draw, at_s: float) -> list[str]:
     """The state service answers slowly, then refuses one or all, while users cancel and ask."""
-    return [f"at {at_s:.2f} slow {draw(st.sampled_from(['all', 'berth-0', 'berth-1']))} "
-            f"{draw(st.sampled_from([6, 15, 30]))} {draw(st.sampled_from([0.4, 1.6, 3]))}",
-            f"at {at_s + 1:.2f} poll_many {draw(st.sampled_from(JOBS))} 40 over=20", *cancels(draw, at_s + 2),
-            f"at {at_s + draw(tenths(2, 12)):.2f} {draw(st.sampled_from(['refuse berth-0', 'outage state']))} "
-            f"{draw(st.sampled_from([5, 14, 40]))}"]
+    return [
+        f"at {at_s:.2f} slow {draw(st.sampled_from(['all', 'berth-0', 'berth-1']))} "
+        f"{draw(st.sampled_from([6, 15, 30]))} {draw(st.sampled_from([0.4, 1.6, 3]))}",
+        f"at {at_s + 1:.2f} poll_many {draw(st.sampled_from(JOBS))} 40 over=20",
+        *cancels(draw, at_s + 2),
+        f"at {at_s + draw(tenths(2, 12)):.2f} {draw(st.sampled_from(['refuse berth-0', 'outage state']))} "
+        f"{draw(st.sampled_from([5, 14, 40]))}",
+    ]
 
 
 def cut_leader(draw: Draw, at_s: float) -> list[str]:
     """A leader loses the state service and its peers; workers and users still reach it."""
-    return [f"at {at_s:.2f} isolate berth-0 {draw(st.sampled_from([5, 14, 40]))} {draw(MODES)}",
-            *cancels(draw, at_s + 3), f"at {at_s + 2:.2f} submit NEW tasks=3 run=2 by=berth-0",
-            f"at {at_s + 3:.2f} cancel {draw(st.sampled_from(JOBS))} by=berth-0",
-            *([f"at {at_s + 1:.2f} cut_workers berth-1 30 zone={draw(st.sampled_from('ab'))}"]
-              if draw(st.booleans()) else [])]
+    return [
+        f"at {at_s:.2f} isolate berth-0 {draw(st.sampled_from([5, 14, 40]))} {draw(MODES)}",
+        *cancels(draw, at_s + 3),
+        f"at {at_s + 2:.2f} submit NEW tasks=3 run=2 by=berth-0",
+        f"at {at_s + 3:.2f} cancel {draw(st.sampled_from(JOBS))} by=berth-0",
+        *(
+            [f"at {at_s + 1:.2f} cut_workers berth-1 30 zone={draw(st.sampled_from('ab'))}"]
+            if draw(st.booleans())
+            else []
+        ),
+    ]
 
 
 def change(draw: Draw, at_s: float) -> list[str]:
@@ -75,34 +87,49 @@
 def old_reports(draw: Draw, at_s: float) -> list[str]:
     """Old reports after newer ones, of earlier sessions, attempts and machines, at whoever owns what by then."""
     who = draw(st.sampled_from(["all", "third", "zone:a"]))
-    return [f"at {at_s:.2f} copies {who} {draw(st.sampled_from([6, 14]))} times={draw(st.integers(1, 3))} "
-            f"late={draw(st.sampled_from([4, 14, 30]))}",
-            f"at {at_s + draw(tenths(0, 6)):.2f} {draw(st.sampled_from(['cut', 'unheard', 'mute']))} {who} 14",
-            f"at {at_s + draw(tenths(0, 20)):.2f} reboot {draw(st.sampled_from(['third', 'busiest']))} "
-            f"{draw(st.sampled_from(['', 'other']))}",
-            f"at {at_s + draw(tenths(0, 20)):.2f} crash berth-0 back={draw(BACK)}"]
+    return [
+        f"at {at_s:.2f} copies {who} {draw(st.sampled_from([6, 14]))} times={draw(st.integers(1, 3))} "
+        f"late={draw(st.sampled_from([4, 14, 30]))}",
+        f"at {at_s + draw(tenths(0, 6)):.2f} {draw(st.sampled_from(['cut', 'unheard', 'mute']))} {who} 14",
+        f"at {at_s + draw(tenths(0, 20)):.2f} reboot {draw(st.sampled_from(['third', 'busiest']))} "
+        f"{draw(st.sampled_from(['', 'other']))}",
+        f"at {at_s + draw(tenths(0, 20)):.2f} crash berth-0 back={draw(BACK)}",
+    ]
 
 
 def unreached(draw: Draw, at_s: float) -> list[str]:
     """A leader ends while machines with long tasks can't be reached, or don't hear whoever follows."""
     what = draw(st.sampled_from(["cut zone:a", "unheard zone:a", "unheard third", "hang third"]))
     lost = draw(st.sampled_from(["", " lost"])) if not what.startswith("hang") else ""
-    lines = [f"at {at_s:.2f} {what} {draw(st.sampled_from([6, 14, 30]))}{lost}",
-             f"at {at_s + draw(tenths(0, 4)):.2f} crash berth-0 back={draw(st.sampled_from([0.3, 8, 30]))}",
-             *cancels(draw, at_s)]
+    lines = [
+        f"at {at_s:.2f} {what} {draw(st.sampled_from([6, 14, 30]))}{lost}",
+        f"at {at_s + draw(tenths(0, 4)):.2f} crash berth-0 back={draw(st.sampled_from([0.3, 8, 30]))}",
+        *cancels(draw, at_s),
+    ]
     return [*lines, f"at {at_s:.2f} outage cloud 30"] if draw(st.booleans()) else lines
 
 
 def commands(draw: Draw, at_s: float) -> list[str]:
     """Commands, or their answers, are held up for seconds; jobs are cancelled and owners change meanwhile."""
-    lines = [f"at {at_s:.2f} slow_commands {draw(st.sampled_from(['all', 'third', 'zone:b']))} 12 "
-             f"there={draw(st.sampled_from([0, 3, 9]))} back={draw(st.sampled_from([0, 3, 9]))}",
-             *(f"at {at_s + draw(tenths(0, 5)):.2f} submit NEW "
-               f"{draw(st.sampled_from(['tasks=6 run=4', 'gang tasks=3 run=3', 'service tasks=2 spot=false']))} "
-               f"rank=production" for _ in range(3)), *cancels(draw, at_s + 1)]
+    lines = [
+        f"at {at_s:.2f} slow_commands {draw(st.sampled_from(['all', 'third', 'zone:b']))} 12 "
+        f"there={draw(st.sampled_from([0, 3, 9]))} back={draw(st.sampled_from([0, 3, 9]))}",
+        *(
+            f"at {at_s + draw(tenths(0, 5)):.2f} submit NEW "
+            f"{draw(st.sampled_from(['tasks=6 run=4', 'gang tasks=3 run=3', 'service tasks=2 spot=false']))} "
+            f"rank=production"
+            for _ in range(3)
+        ),
+        *cancels(draw, at_s + 1),
+    ]
     if draw(st.booleans()):
-        what = ["crash berth-0 back=0.3", "isolate berth-0 14 held", "hang third 5", "unheard third 8",
-                "reboot third other"]
+        what = [
+            "crash berth-0 back=0.3",
+            "isolate berth-0 14 held",
+            "hang third 5",
+            "unheard third 8",
+            "reboot third other",
+        ]
         lines.append(f"at {at_s + draw(tenths(0, 10)):.2f} {draw(st.sampled_from(what))}")
     return lines
 
@@ -110,8 +137,11 @@
 def late(draw: Draw, at_s: float) -> list[str]:
     """A share of the transactions goes unanswered and is carried out 2 to 12 s later, after newer ones."""
     one = draw(st.sampled_from(["berth-0", "berth-1"]))
-    lines = [f"at {at_s:.2f} late {one} {draw(st.sampled_from([5, 15, 30]))} 2 12 "
-             f"share={draw(st.sampled_from([0.2, 0.5, 1.0]))}", *cancels(draw, at_s + 3, 2)]
+    lines = [
+        f"at {at_s:.2f} late {one} {draw(st.sampled_from([5, 15, 30]))} 2 12 "
+        f"share={draw(st.sampled_from([0.2, 0.5, 1.0]))}",
+        *cancels(draw, at_s + 3, 2),
+    ]
     if draw(st.booleans()):
         lines.append(f"at {at_s + draw(tenths(0, 9)):.2f} crash {one} back={draw(BACK)}")
     return lines
@@ -135,60 +165,98 @@
 def limits(draw: Draw, at_s: float) -> list[str]:
     """A team is at its limit; jobs of it are cancelled whose machines are cut off or hang, and the leader changes."""
     hang_s = draw(st.sampled_from([0, 5, 9, 20]))
-    trouble = draw(st.sampled_from(["cut third 14 lost", "cut busiest 20", "hang third 9", "unheard third 20",
-                                    "mute third 20", "unheard zone:a 14 lost"]))
-    lines = [f"at {max(2.3, at_s - 4):.2f} submit NEW tasks=8 run=200 team=capped",
-             f"at {max(2.3, at_s - 4):.2f} submit NEW tasks=4 run=90 team=capped",
-             f"at {at_s - 1:.2f} submit NEW tasks=20 run=3 team=capped rank={draw(st.sampled_from(['low', 'normal']))}",
-             f"at {at_s + draw(tenths(0, 3)):.2f} {trouble}",
-             f"at {at_s + draw(tenths(0, 3)):.2f} cancel_now {draw(st.integers(1, 4))} hang={hang_s}",
-             f"at {at_s + draw(tenths(0, 4)):.2f} crash {draw(OTHERS)} berth-0 back={draw(BACK) * 4}"]
+    trouble = draw(
+        st.sampled_from(
+            [
+                "cut third 14 lost",
+                "cut busiest 20",
+                "hang third 9",
+                "unheard third 20",
+                "mute third 20",
+                "unheard zone:a 14 lost",
+            ]
+        )
+    )
+    lines = [
+        f"at {max(2.3, at_s - 4):.2f} submit NEW tasks=8 run=200 team=capped",
+        f"at {max(2.3, at_s - 4):.2f} submit NEW tasks=4 run=90 team=capped",
+        f"at {at_s - 1:.2f} submit NEW tasks=20 run=3 team=capped rank={draw(st.sampled_from(['low', 'normal']))}",
+        f"at {at_s + draw(tenths(0, 3)):.2f} {trouble}",
+        f"at {at_s + draw(tenths(0, 3)):.2f} cancel_now {draw(st.integers(1, 4))} hang={hang_s}",
+        f"at {at_s + draw(tenths(0, 4)):.2f} crash {draw(OTHERS)} berth-0 back={draw(BACK) * 4}",
+    ]
     return [*lines, f"at {at_s + draw(tenths(4, 14)):.2f} cancel_now 2 by={draw(OTHERS)}"]
 
 
 def looks(draw: Draw, at_s: float) -> list[str]:
     """Users look closely and send odd requests; jobs are called off at their end or at once, some by many."""
-    lines = [f"at {at_s:.2f} close_looks 20 cancel={draw(st.sampled_from([0, 0.2]))}", f"at {at_s:.2f} odd_requests 20",
-             f"at {at_s:.2f} cancel_at_end 20 share={draw(st.sampled_from([0.3, 1.0]))}"]
-    return lines + [f"at {at_s + draw(tenths(0, 15)):.2f} submit NEW tasks={draw(st.integers(1, 3))} run=1 "
-                    f"apart={draw(st.sampled_from([0, 2]))}" for _ in range(8)]
+    lines = [
+        f"at {at_s:.2f} close_looks 20 cancel={draw(st.sampled_from([0, 0.2]))}",
+        f"at {at_s:.2f} odd_requests 20",
+        f"at {at_s:.2f} cancel_at_end 20 share={draw(st.sampled_from([0.3, 1.0]))}",
+    ]
+    return lines + [
+        f"at {at_s + draw(tenths(0, 15)):.2f} submit NEW tasks={draw(st.integers(1, 3))} run=1 "
+        f"apart={draw(st.sampled_from([0, 2]))}"
+        for _ in range(8)
+    ]
 
 
 def muted(draw: Draw, at_s: float) -> list[str]:
     """Machines reach no controller, while direct commands reach them; jobs on them are cancelled."""
     who = draw(st.sampled_from(["third", "busiest", "zone:a", "all"]))
-    lines = [f"at {at_s:.2f} mute {who} {draw(st.sampled_from([5, 12, 30]))} {draw(st.sampled_from(['', 'refused']))}",
-             f"at {at_s + draw(tenths(0, 4)):.2f} cancel_now 2 hang={draw(st.sampled_from([0, 6]))}"]
+    lines = [
+        f"at {at_s:.2f} mute {who} {draw(st.sampled_from([5, 12, 30]))} {draw(st.sampled_from(['', 'refused']))}",
+        f"at {at_s + draw(tenths(0, 4)):.2f} cancel_now 2 hang={draw(st.sampled_from([0, 6]))}",
+    ]
     return [*lines, f"at {at_s + draw(tenths(0, 12)):.2f} crash berth-0 back={draw(BACK)}"]
 
 
 def unanswered(draw: Draw, at_s: float) -> list[str]:
     """Transactions are carried out at once and only their answers are lost, while others read what they wrote."""
-    return [f"at {at_s:.2f} late {draw(st.sampled_from(['all', 'berth-0', 'berth-1']))} "
-            f"{draw(st.sampled_from([5, 15, 30]))} at_once share={draw(st.sampled_from([0.2, 0.5, 1.0]))}",
-            *cancels(draw, at_s + 2), f"at {at_s + draw(tenths(0, 9)):.2f} submit NEW tasks=4 run=3",
-            f"at {at_s + draw(tenths(0, 9)):.2f} crash {draw(st.sampled_from(OWNERS[:2]))} back={draw(BACK)}"]
+    return [
+        f"at {at_s:.2f} late {draw(st.sampled_from(['all', 'berth-0', 'berth-1']))} "
+        f"{draw(st.sampled_from([5, 15, 30]))} at_once share={draw(st.sampled_from([0.2, 0.5, 1.0]))}",
+        *cancels(draw, at_s + 2),
+        f"at {at_s + draw(tenths(0, 9)):.2f} submit NEW tasks=4 run=3",
+        f"at {at_s + draw(tenths(0, 9)):.2f} crash {draw(st.sampled_from(OWNERS[:2]))} back={draw(BACK)}",
+    ]
 
 
 def for_the_next(draw: Draw, at_s: float) -> list[str]:
     """Old reports are kept and reach every controller just as a new leader begins."""
-    trouble = draw(st.sampled_from(["reboot third other", "reboot busiest", "take busiest notice=0",
-                                    "cut third 14 lost", "unheard third 14", "hang zone:a 9"]))
-    return [f"at {max(2.5, at_s - 4):.2f} copies all {draw(st.sampled_from([1, 4, 12]))} for_next",
-            f"at {at_s + draw(tenths(-2, 3)):.2f} {trouble}", *cancels(draw, at_s),
-            f"at {at_s + draw(tenths(0, 6)):.2f} crash berth-0 back={draw(BACK)}",
-            f"at {at_s + draw(tenths(6, 14)):.2f} crash {draw(OTHERS)} berth-0 back={draw(BACK)}"]
+    trouble = draw(
+        st.sampled_from(
+            [
+                "reboot third other",
+                "reboot busiest",
+                "take busiest notice=0",
+                "cut third 14 lost",
+                "unheard third 14",
+                "hang zone:a 9",
+            ]
+        )
+    )
+    return [
+        f"at {max(2.5, at_s - 4):.2f} copies all {draw(st.sampled_from([1, 4, 12]))} for_next",
+        f"at {at_s + draw(tenths(-2, 3)):.2f} {trouble}",
+        *cancels(draw, at_s),
+        f"at {at_s + draw(tenths(0, 6)):.2f} crash berth-0 back={draw(BACK)}",
+        f"at {at_s + draw(tenths(6, 14)):.2f} crash {draw(OTHERS)} berth-0 back={draw(BACK)}",
+    ]
 
 
 def fresh(draw: Draw, at_s: float) -> list[str]:
     """New machines are up within two seconds and get work at once while writes lag, and the leader ends."""
     how = draw(st.sampled_from(["12 at_once share=0.5", "12 1 4 share=0.6", "8 2 12 share=1.0"]))
-    return [f"at {max(2.1, at_s - 2):.2f} boots {draw(st.sampled_from([0.3, 1, 2]))}",
-            f"at {at_s:.2f} late {draw(st.sampled_from(['berth-0', 'berth-1']))} {how}",
-            f"at {at_s:.2f} cloud lost_answers {draw(st.integers(0, 2))}",
-            f"at {at_s + 1:.2f} submit NEW tasks=40 run=5 rank=urgent",
-            f"at {at_s + draw(tenths(1, 5)):.2f} crash berth-0 back={draw(BACK)}",
-            f"at {at_s + draw(tenths(2, 9)):.2f} take zone:{draw(st.sampled_from('ab'))} notice=0"]
+    return [
+        f"at {max(2.1, at_s - 2):.2f} boots {draw(st.sampled_from([0.3, 1, 2]))}",
+        f"at {at_s:.2f} late {draw(st.sampled_from(['berth-0', 'berth-1']))} {how}",
+        f"at {at_s:.2f} cloud lost_answers {draw(st.integers(0, 2))}",
+        f"at {at_s + 1:.2f} submit NEW tasks=40 run=5 rank=urgent",
+        f"at {at_s + draw(tenths(1, 5)):.2f} crash berth-0 back={draw(BACK)}",
+        f"at {at_s + draw(tenths(2, 9)):.2f} take zone:{draw(st.sampled_from('ab'))} notice=0",
+    ]
 
 
 def hands(draw: Draw, at_s: float) -> list[str]:
@@ -205,9 +273,11 @@
 def island(draw: Draw, at_s: float) -> list[str]:
     """A zone with its workers and a controller is cut off from all else, mostly for longer than a lease."""
     how = draw(st.sampled_from(["held", "reset"]))
-    return [f"at {at_s:.2f} island {draw(st.sampled_from('ab'))} berth-0 {draw(st.sampled_from([6, 14, 30]))} {how}",
-            *cancels(draw, at_s + 2),
-            f"at {at_s + draw(tenths(0, 9)):.2f} submit NEW tasks=4 run=3 by={draw(OTHERS)}"]
+    return [
+        f"at {at_s:.2f} island {draw(st.sampled_from('ab'))} berth-0 {draw(st.sampled_from([6, 14, 30]))} {how}",
+        *cancels(draw, at_s + 2),
+        f"at {at_s + draw(tenths(0, 9)):.2f} submit NEW tasks=4 run=3 by={draw(OTHERS)}",
+    ]
 
 
 def leaders(draw: Draw, at_s: float) -> list[str]:
@@ -222,38 +292,59 @@
 
 def crowd(draw: Draw, at_s: float) -> list[str]:
     """More work than room, urgent and not, over slow links."""
-    return [f"at {at_s:.2f} slow_links {draw(st.sampled_from([10, 30]))} {draw(st.sampled_from([0.1, 0.4, 0.8]))}",
-            f"at {at_s + 1:.2f} submit NEW tasks=60 run=4 rank=low checkpoint=2 save=0.2",
-            *(f"at {at_s + 2 + n:.2f} submit NEW tasks=4 run=3 rank=urgent" for n in range(6)),
-            f"at {at_s + 3:.2f} submit NEW service tasks=4 spread=true spot=false rank=production",
-            *cancels(draw, at_s + 4)]
+    return [
+        f"at {at_s:.2f} slow_links {draw(st.sampled_from([10, 30]))} {draw(st.sampled_from([0.1, 0.4, 0.8]))}",
+        f"at {at_s + 1:.2f} submit NEW tasks=60 run=4 rank=low checkpoint=2 save=0.2",
+        *(f"at {at_s + 2 + n:.2f} submit NEW tasks=4 run=3 rank=urgent" for n in range(6)),
+        f"at {at_s + 3:.2f} submit NEW service tasks=4 spread=true spot=false rank=production",
+        *cancels(draw, at_s + 4),
+    ]
 
 
 def singles(draw: Draw, at_s: float) -> list[str]:
     """One-task jobs come four a second, a quarter of them cancelled."""
-    return [f"at {at_s:.2f} submit_many 2000 {draw(st.sampled_from([40, 100]))} every=0.25 tasks=1 run=4 poll=6 "
-            f"off={draw(st.sampled_from([0.05, 1, 4]))}"]
+    return [
+        f"at {at_s:.2f} submit_many 2000 {draw(st.sampled_from([40, 100]))} every=0.25 tasks=1 run=4 poll=6 "
+        f"off={draw(st.sampled_from([0.05, 1, 4]))}"
+    ]
 
 
 def one_zone(draw: Draw, at_s: float) -> list[str]:
     """Jobs bound to one zone, arrays too, lose machines, or the zone."""
-    trouble = draw(st.sampled_from(["take zone:a", "take zone:b", "cut zone:a 14", "cut zone:b 6 lost", "hang zone:a 9",
-                                    "hang zone:b 14", "reboot zone:a", "reboot busiest other"]))
+    trouble = draw(
+        st.sampled_from(
+            [
+                "take zone:a",
+                "take zone:b",
+                "cut zone:a 14",
+                "cut zone:b 6 lost",
+                "hang zone:a 9",
+                "hang zone:b 14",
+                "reboot zone:a",
+                "reboot busiest other",
+            ]
+        )
+    )
     bound = draw(st.sampled_from(["tasks=12", "gang tasks=3"]))
-    return [f"at {max(2.3, at_s - 4):.2f} submit NEW tasks=12 run=9 zone=a",
-            f"at {max(2.3, at_s - 4):.2f} submit NEW {bound} run=9 together=true", f"at {at_s:.2f} {trouble}",
-            f"at {at_s + draw(tenths(0, 6)):.2f} crash berth-0 back={draw(BACK)}"]
+    return [
+        f"at {max(2.3, at_s - 4):.2f} submit NEW tasks=12 run=9 zone=a",
+        f"at {max(2.3, at_s - 4):.2f} submit NEW {bound} run=9 together=true",
+        f"at {at_s:.2f} {trouble}",
+        f"at {at_s + draw(tenths(0, 6)):.2f} crash berth-0 back={draw(BACK)}",
+    ]
 
 
 def handed_over(draw: Draw, at_s: float) -> list[str]:
     """A shard goes home and the hand-over's answer is lost, while new work comes; its home reaches one zone alone."""
     one = draw(OTHERS)
-    lines = [f"at {at_s:.2f} crash {one} back={draw(st.sampled_from([5, 10]))}",
-             f"at {at_s + 12:.2f} submit NEW tasks=300 run=2 rank=low",
-             f"at {at_s + 14:.2f} hand_over_unanswered berth-0 {draw(st.sampled_from([0.5, 1.9, 5]))}",
-             f"at {at_s + 14:.2f} hand_over_unanswered berth-1 {draw(st.sampled_from([0.5, 1.9, 5]))}",
-             f"at {at_s + 14:.2f} cut_workers {one} 30 zone={draw(st.sampled_from('ab'))}",
-             f"at {at_s + 14:.2f} submit_many 3000 60 every=0.25 by=berth-0 tasks=1 run=3 rank=production"]
+    lines = [
+        f"at {at_s:.2f} crash {one} back={draw(st.sampled_from([5, 10]))}",
+        f"at {at_s + 12:.2f} submit NEW tasks=300 run=2 rank=low",
+        f"at {at_s + 14:.2f} hand_over_unanswered berth-0 {draw(st.sampled_from([0.5, 1.9, 5]))}",
+        f"at {at_s + 14:.2f} hand_over_unanswered berth-1 {draw(st.sampled_from([0.5, 1.9, 5]))}",
+        f"at {at_s + 14:.2f} cut_workers {one} 30 zone={draw(st.sampled_from('ab'))}",
+        f"at {at_s + 14:.2f} submit_many 3000 60 every=0.25 by=berth-0 tasks=1 run=3 rank=production",
+    ]
     return [*lines, f"at {at_s + draw(tenths(20, 45)):.2f} {draw(st.sampled_from(['hang third 9', 'take busiest']))}"]
 
 
@@ -264,36 +355,68 @@
         before = [f"req-{4000 + n:06d}" for n in range(place)] + JOBS[2:4]
         needs = draw(st.lists(st.sampled_from(before), max_size=3))
         after = f" after={','.join(needs)}" if needs else ""
-        lines.append(f"at {max(2.5, at_s - 6) + 0.3 * place:.2f} submit req-{4000 + place:06d} "
-                     f"tasks={draw(st.integers(1, 6))} run={draw(st.sampled_from([1, 3, 8]))}{after} "
-                     f"rank={draw(st.sampled_from(['low', 'normal', 'urgent']))} dueS={draw(st.sampled_from([30, 9]))}")
+        lines.append(
+            f"at {max(2.5, at_s - 6) + 0.3 * place:.2f} submit req-{4000 + place:06d} "
+            f"tasks={draw(st.integers(1, 6))} run={draw(st.sampled_from([1, 3, 8]))}{after} "
+            f"rank={draw(st.sampled_from(['low', 'normal', 'urgent']))} dueS={draw(st.sampled_from([30, 9]))}"
+        )
         if draw(st.integers(0, 3)) == 0:
             lines.append(f"at {at_s + draw(tenths(0, 20)):.2f} cancel req-{4000 + place:06d} by={draw(OTHERS)}")
     for _ in range(draw(st.integers(0, 3))):
         who = draw(st.sampled_from(["berth-0", "berth-1", "berth-0 berth-1 berth-2"]))
         lines.append(f"at {at_s + draw(tenths(0, 25)):.2f} crash {who} back={draw(BACK)}")
-    return [*lines, *([f"at {at_s:.2f} late all 20 at_once share=0.4"] if draw(st.booleans()) else []),
-            *([f"at {at_s:.2f} cancel_at_end 30 share=0.3"] if draw(st.booleans()) else [])]
+    return [
+        *lines,
+        *([f"at {at_s:.2f} late all 20 at_once share=0.4"] if draw(st.booleans()) else []),
+        *([f"at {at_s:.2f} cancel_at_end 30 share=0.3"] if draw(st.booleans()) else []),
+    ]
 
 
 SECOND_PAGE: list[Callable[[Draw, float], list[str]]] = [
-    limits, looks, muted, unanswered, for_the_next, fresh, hands, island, leaders, crowd, singles, one_zone,
-    handed_over, pipelines]
+    limits,
+    looks,
+    muted,
+    unanswered,
+    for_the_next,
+    fresh,
+    hands,
+    island,
+    leaders,
+    crowd,
+    singles,
+    one_zone,
+    handed_over,
+    pipelines,
+]
 MEETINGS: list[Callable[[Draw, float], list[str]]] = [
-    gap, slow, cut_leader, change, old_reports, unreached, commands, late, back, *SECOND_PAGE]
+    gap,
+    slow,
+    cut_leader,
+    change,
+    old_reports,
+    unreached,
+    commands,
+    late,
+    back,
+    *SECOND_PAGE,
+]
 
 
 def day(draw: Draw, meetings: list[Callable[[Draw, float], list[str]]]) -> str:
-    lines = [f"seed {draw(st.integers(1, 10**6))}", f"site size={draw(st.sampled_from([2, 3, 3]))}",
-             "team capped cpus_max=24",
-             f"machines {draw(st.integers(3, 6))} m a", f"machines {draw(st.integers(3, 6))} m b",
-             "at 0 cloud capacity 14",
-             "at 1 submit req-000001 tasks=60 run=40 rank=low checkpoint=5 save=0.5",
-             "at 1.5 submit req-000002 service tasks=4 spread=true spot=false rank=production",
-             "at 2 submit req-000003 tasks=3 run=4 apart=16",
-             "at 2 submit req-000004 tasks=2 run=2 apart=30 rank=production",
-             "at 2.2 submit req-000005 gang tasks=3 run=30",
-             f"at {draw(tenths(4, 12)):.1f} submit req-000006 tasks=2 run=9 apart=9"]
+    lines = [
+        f"seed {draw(st.integers(1, 10**6))}",
+        f"site size={draw(st.sampled_from([2, 3, 3]))}",
+        "team capped cpus_max=24",
+        f"machines {draw(st.integers(3, 6))} m a",
+        f"machines {draw(st.integers(3, 6))} m b",
+        "at 0 cloud capacity 14",
+        "at 1 submit req-000001 tasks=60 run=40 rank=low checkpoint=5 save=0.5",
+        "at 1.5 submit req-000002 service tasks=4 spread=true spot=false rank=production",
+        "at 2 submit req-000003 tasks=3 run=4 apart=16",
+        "at 2 submit req-000004 tasks=2 run=2 apart=30 rank=production",
+        "at 2.2 submit req-000005 gang tasks=3 run=30",
+        f"at {draw(tenths(4, 12)):.1f} submit req-000006 tasks=2 run=9 apart=9",
+    ]
     at_s = draw(tenths(6, 14))
     for meeting in meetings:
         lines += meeting(draw, at_s)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -26,8 +26,13 @@
 
     def __init__(self) -> None:
         self.records: dict[str, JobRecord] = {}
-        self.graph = Graph(self.records.get, lambda spec, at_us: Urgency(
-            spec.priority, () if spec.deadline_s is None else (at_us + int(spec.deadline_s),)), lambda spec: RUN_US)
+        self.graph = Graph(
+            self.records.get,
+            lambda spec, at_us: Urgency(
+                spec.priority, () if spec.deadline_s is None else (at_us + int(spec.deadline_s),)
+            ),
+            lambda spec: RUN_US,
+        )
         self.ready: set[str] = set()
 
     def told(self, batch: list[tuple[str, JobRecord]]) -> None:
@@ -40,9 +45,11 @@
 
 def reference(records: dict[str, JobRecord], specs: dict[str, m.JobSpec]) -> dict[str, Any]:
     """For every open job: whether it waits, whether it is withdrawn, its urgency; each from all records anew."""
+
     def cancelled(job_id: str) -> bool:
         return records[job_id].state == m.CANCELLED or (
-            records[job_id].state != m.DONE and any(cancelled(u) for u in specs[job_id].waits_on))
+            records[job_id].state != m.DONE and any(cancelled(u) for u in specs[job_id].waits_on)
+        )
 
     def urgency(job_id: str) -> tuple[int, int]:
         spec, at_us = specs[job_id], records[job_id].at_us
@@ -53,16 +60,23 @@
                 found = (min(found[0], priority_class), min(found[1], due - RUN_US if due < 10**9 else due))
         return found
 
-    return {job_id: (any(records[u].state != m.DONE for u in specs[job_id].waits_on), cancelled(job_id), urgency(job_id))
-            for job_id, record in records.items() if record.state == m.QUEUED}
+    return {
+        job_id: (any(records[u].state != m.DONE for u in specs[job_id].waits_on), cancelled(job_id), urgency(job_id))
+        for job_id, record in records.items()
+        if record.state == m.QUEUED
+    }
 
 
 def agrees(node: GraphObserver, specs: dict[str, m.JobSpec]) -> None:
     for job_id, (waits, cancelled, (priority_class, due)) in reference(node.records, specs).items():
         graph = node.graph
         assert graph.is_waiting(job_id) == waits and graph.is_cancelled(job_id) == cancelled, job_id
-        found = graph.urgency(job_id) or Urgency(specs[job_id].priority, () if specs[job_id].deadline_s is None else (
-            node.records[job_id].at_us + int(specs[job_id].deadline_s or 0),))
+        found = graph.urgency(job_id) or Urgency(
+            specs[job_id].priority,
+            ()
+            if specs[job_id].deadline_s is None
+            else (node.records[job_id].at_us + int(specs[job_id].deadline_s or 0),),
+        )
         assert (found.priority, min(found.dues_us, default=10**9)) == (priority_class, due), job_id
     assert set(node.graph.cancelled) <= {u for u, r in node.records.items() if r.state == m.QUEUED}
 
@@ -83,8 +97,15 @@
             if job_id in specs:
                 continue
             needs = chance.sample(sorted(specs), min(len(specs), chance.choice([0, 1, 1, 2, 3])))
-            spec = msgspec.convert(job_spec(job_id, waitsOn=needs, rank=chance.choice(list(m.PRIORITY_CLASSES)),
-                                            dueS=chance.choice([None, 50.0, 90.0])), m.JobSpec)
+            spec = msgspec.convert(
+                job_spec(
+                    job_id,
+                    waitsOn=needs,
+                    rank=chance.choice(list(m.PRIORITY_CLASSES)),
+                    dueS=chance.choice([None, 50.0, 90.0]),
+                ),
+                m.JobSpec,
+            )
             specs[job_id] = spec
             news = [(job_id, JobRecord(m.QUEUED, 1, spec, 0, PartitionRecord("0"), turn))]
         elif what == "end" and open_:
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -21,11 +21,37 @@
 #: fields that the version in production knows, by kind of record: it drops all others
 KNOWN: dict[str, set[str]] = {
     "job": {"state", "tasks", "spec", "shard", "chunk", "at_us", "parts", "done"},
-    "part": {"own", "done", "zones"}, "roster": {"shard", "type", "zone", "spot", "endpoint", "used"},
-    "hire": {"shard", "type", "zone", "spot", "count"}, "load": {"waiting", "slots", "rate", "arrivals", "room"},
-    "shard": {"owner", "term"}, "term": {"term"}, "stray": {"strays"}, "standstill": {"part", "times", "at_us"}}
-SPEC = {"uid", "lane", "crew", "shape", "rank", "picks", "vcpus", "gpus", "memGb", "kit", "sizeGb", "builds", "yard",
-        "together", "spread", "loaners", "expectS", "markEveryS", "markCostS", "dueS"}
+    "part": {"own", "done", "zones"},
+    "roster": {"shard", "type", "zone", "spot", "endpoint", "used"},
+    "hire": {"shard", "type", "zone", "spot", "count"},
+    "load": {"waiting", "slots", "rate", "arrivals", "room"},
+    "shard": {"owner", "term"},
+    "term": {"term"},
+    "stray": {"strays"},
+    "standstill": {"part", "times", "at_us"},
+}
+SPEC = {
+    "uid",
+    "lane",
+    "crew",
+    "shape",
+    "rank",
+    "picks",
+    "vcpus",
+    "gpus",
+    "memGb",
+    "kit",
+    "sizeGb",
+    "builds",
+    "yard",
+    "together",
+    "spread",
+    "loaners",
+    "expectS",
+    "markEveryS",
+    "markCostS",
+    "dueS",
+}
 
 
 def full(value: Any) -> Any:
@@ -54,9 +80,11 @@
     heartbeat, seen = (bytes.fromhex(text) for text in SAMPLES["frames"])
     for data in (heartbeat, seen):
         kind, length = frames.read_header(data[: frames.HEADER.size])
-        said = frames.read_frame(kind, data[frames.HEADER.size:])
+        said = frames.read_frame(kind, data[frames.HEADER.size :])
         assert length == len(data) - frames.HEADER.size
-        again = frames.pack_heartbeat(said) if isinstance(said, frames.PeerHeartbeat) else frames.pack_observations(said)
+        again = (
+            frames.pack_heartbeat(said) if isinstance(said, frames.PeerHeartbeat) else frames.pack_observations(said)
+        )
         assert again == data
 
 
--- a/tests/test_quota_properties.py
+++ b/tests/test_quota_properties.py
@@ -35,8 +35,9 @@
 
     for t in range(draw(st.integers(2, 5))):
         above = draw(st.sampled_from([f"g{i}" for i in range(groups)]))
-        team = Level(f"t{t}", above, draw(st.integers(1, 4)), (draw(st.sampled_from([UNLIMITED, 3000, 9000])), *REST),
-                     team=True)
+        team = Level(
+            f"t{t}", above, draw(st.integers(1, 4)), (draw(st.sampled_from([UNLIMITED, 3000, 9000])), *REST), team=True
+        )
         own = min(draw(st.integers(0, 6)), room(by_name[above]), team.cap[0] // 1000)
         if own > 0:
             team.guarantee = (own * 1000, 0, UNLIMITED, UNLIMITED)
@@ -54,10 +55,18 @@
     return False
 
 
-work = st.lists(st.tuples(st.integers(0, 4), st.integers(1, 8), st.sampled_from([1.0, 1.0, 2.0]),
-                          st.sampled_from(["production", "normal", "normal", "low"]),
-                          st.sampled_from(["array", "array", "standing", "group"]), st.booleans()),
-                min_size=1, max_size=12)
+work = st.lists(
+    st.tuples(
+        st.integers(0, 4),
+        st.integers(1, 8),
+        st.sampled_from([1.0, 1.0, 2.0]),
+        st.sampled_from(["production", "normal", "normal", "low"]),
+        st.sampled_from(["array", "array", "standing", "group"]),
+        st.booleans(),
+    ),
+    min_size=1,
+    max_size=12,
+)
 
 
 def used_from_scratch(tree: Tree, bed: Bed) -> dict[str, int]:
@@ -95,8 +104,11 @@
             need = round(partition.spec.cpus * 1000) * (len(partition.pending) if whole else 1)
             path = [tree.levels[i] for i in tree.path(partition.spec.team)]
             free = [w.free()[0] for w in bed.state.workers.values()]
-            fits = max(free) >= partition.spec.cpus if not partition.spec.gang else \
-                sum(int(f // partition.spec.cpus) for f in free) >= len(partition.pending)
+            fits = (
+                max(free) >= partition.spec.cpus
+                if not partition.spec.gang
+                else sum(int(f // partition.spec.cpus) for f in free) >= len(partition.pending)
+            )
             room = all(used[level.name] + need <= level.cap[0] for level in path)
             assert not (fits and room), (partition.job_id, partition.spec, used, free)
         if ends and bed.running():
@@ -148,8 +160,10 @@
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(st.integers(0, 120), st.lists(st.tuples(st.integers(1, 5), st.integers(0, 20), st.integers(0, 50)), min_size=1,
-                                     max_size=6))
+@given(
+    st.integers(0, 120),
+    st.lists(st.tuples(st.integers(1, 5), st.integers(0, 20), st.integers(0, 50)), min_size=1, max_size=6),
+)
 def test_guarantees_come_before_lending(amount: int, children: list[tuple[int, int, int]]) -> None:
     found = divide(amount, children)
     own = [min(guarantee, need) for _, guarantee, need in children]
@@ -163,8 +177,16 @@
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
-@given(st.lists(st.tuples(st.integers(1, 4), st.lists(st.tuples(st.integers(1, 4), st.integers(0, 30)), min_size=1,
-                                                      max_size=3)), min_size=2, max_size=3), st.integers(1, 40))
+@given(
+    st.lists(
+        st.tuples(
+            st.integers(1, 4), st.lists(st.tuples(st.integers(1, 4), st.integers(0, 30)), min_size=1, max_size=3)
+        ),
+        min_size=2,
+        max_size=3,
+    ),
+    st.integers(1, 40),
+)
 def test_placement_divides_fairly_between_siblings(groups: list, cpus: int) -> None:
     levels, demands = [], []
     for g, (weight, leaves) in enumerate(groups):
@@ -194,8 +216,9 @@
 
 
 @settings(max_examples=120, deadline=None, derandomize=True)
-@given(st.lists(st.integers(1, 3), min_size=2, max_size=4), arrivals, st.integers(4, 24),
-       st.randoms(use_true_random=False))
+@given(
+    st.lists(st.integers(1, 3), min_size=2, max_size=4), arrivals, st.integers(4, 24), st.randoms(use_true_random=False)
+)
 def test_a_flood_leaves_every_team_its_part(weights: list[int], jobs: list, slots: int, chance) -> None:
     """No caps, no guarantees, nothing stopped. Whoever came first and with however much: once what ran when somebody
     came has ended, every team has its part of the places, or all that it asked for.
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -29,14 +29,20 @@
 def preempting_days(draw: st.DrawFn) -> str:
     """One controller, short production work that preempts a long array, three ends of the controller."""
     machines = draw(st.integers(5, 13))
-    lines = [f"seed {draw(st.integers(1, 10**6))}", f"machines {machines} m a", "site size=1",
-             f"at 0 cloud capacity {machines}",
-             f"at 1 submit req-000001 tasks={machines * 16} run=40 rank=low checkpoint=5 save=0.3"]
+    lines = [
+        f"seed {draw(st.integers(1, 10**6))}",
+        f"machines {machines} m a",
+        "site size=1",
+        f"at 0 cloud capacity {machines}",
+        f"at 1 submit req-000001 tasks={machines * 16} run=40 rank=low checkpoint=5 save=0.3",
+    ]
     at_s = draw(tenths(5, 9))
     for number in range(draw(st.integers(8, 18))):
         shape = draw(st.sampled_from(["tasks=3", "tasks=6", "tasks=12", "service tasks=3 spread=true"]))
-        lines.append(f"at {at_s:.2f} submit req-{100000 + number} {shape} run={draw(st.sampled_from([1.5, 3, 6]))} "
-                     f"rank=production spot=false")
+        lines.append(
+            f"at {at_s:.2f} submit req-{100000 + number} {shape} run={draw(st.sampled_from([1.5, 3, 6]))} "
+            f"rank=production spot=false"
+        )
         at_s += draw(tenths(0.2, 1.5))
     for _ in range(3):
         lines.append(f"at {draw(tenths(8, 20)):.2f} crash berth-0 back={draw(st.sampled_from([0.05, 0.3, 0.6, 2]))}")
@@ -50,36 +56,72 @@
 def overlapping_days(draw: st.DrawFn) -> str:
     """Three controllers; ends, cuts, hangs, outages and late transactions over services, gangs and arrays."""
     seconds = st.sampled_from([1, 2, 6, 12, 14])
-    lines = [f"seed {draw(st.integers(1, 10**6))}", f"machines {draw(st.integers(3, 7))} m a",
-             f"machines {draw(st.integers(3, 7))} m b", "at 0 cloud capacity 14",
-             "at 1 submit req-000001 tasks=160 run=30 rank=low checkpoint=5 save=0.5",
-             "at 1.5 submit req-000002 tasks=40 run=8 rank=normal"]
+    lines = [
+        f"seed {draw(st.integers(1, 10**6))}",
+        f"machines {draw(st.integers(3, 7))} m a",
+        f"machines {draw(st.integers(3, 7))} m b",
+        "at 0 cloud capacity 14",
+        "at 1 submit req-000001 tasks=160 run=30 rank=low checkpoint=5 save=0.5",
+        "at 1.5 submit req-000002 tasks=40 run=8 rank=normal",
+    ]
     at_s = draw(tenths(6, 10))
     for number in range(100000, 100000 + draw(st.integers(20, 34))):
-        what = draw(st.sampled_from(["service", "service", "work", "gang", "crash", "crash", "outage", "hang", "cut",
-                                     "cut_zone", "late", "take", "cancel", "deaf", "refuse", "unheard", "unheard",
-                                     "copies", "isolate", "isolate", "reboot", "cloud"]))
+        what = draw(
+            st.sampled_from(
+                [
+                    "service",
+                    "service",
+                    "work",
+                    "gang",
+                    "crash",
+                    "crash",
+                    "outage",
+                    "hang",
+                    "cut",
+                    "cut_zone",
+                    "late",
+                    "take",
+                    "cancel",
+                    "deaf",
+                    "refuse",
+                    "unheard",
+                    "unheard",
+                    "copies",
+                    "isolate",
+                    "isolate",
+                    "reboot",
+                    "cloud",
+                ]
+            )
+        )
         one = draw(st.sampled_from(OWNERS[:3]))
-        lines.append(f"at {at_s:.2f} " + {
-            "service": f"submit req-{number} service tasks={draw(st.sampled_from([2, 4, 8]))} "
-                       f"spread={draw(st.sampled_from(['true', 'false']))} rank=production spot=false",
-            "work": f"submit req-{number} tasks={draw(st.sampled_from([6, 20]))} run=2 rank=production",
-            "gang": f"submit req-{number} gang tasks={draw(st.sampled_from([3, 6]))} run=5 rank=normal",
-            "crash": f"crash {draw(st.sampled_from(OWNERS))} back={draw(st.sampled_from([0.05, 0.3, 1, 5]))}",
-            "unheard": f"unheard {draw(WORKERS)} {draw(st.sampled_from([3, 9, 25]))} "
-                       f"{draw(st.sampled_from(['', 'lost']))}",
-            "copies": f"copies {draw(WORKERS)} {draw(seconds)} times={draw(st.integers(1, 3))} "
-                      f"late={draw(seconds) + 16}",
-            "isolate": f"isolate {one} {draw(st.sampled_from([5, 14, 40]))} "
-                       f"{draw(st.sampled_from(['held', 'refused', 'reset']))}",
-            "reboot": f"reboot {draw(WORKERS)} {draw(st.sampled_from(['', 'other']))}",
-            "cloud": f"outage cloud {draw(seconds)}",
-            "outage": f"outage state {draw(seconds)}", "hang": f"hang busiest {draw(seconds)}",
-            "cut": f"cut busiest {draw(seconds)}",
-            "cut_zone": f"cut_zone {draw(st.sampled_from(['a', 'b']))} {draw(seconds)}",
-            "late": f"late {one} {draw(seconds)} 2", "take": "take busiest notice=0",
-            "cancel": f"cancel req-{draw(st.integers(100000, number))}", "deaf": f"deaf {one} {draw(seconds)}",
-            "refuse": f"refuse {one} {draw(seconds)}"}[what])
+        lines.append(
+            f"at {at_s:.2f} "
+            + {
+                "service": f"submit req-{number} service tasks={draw(st.sampled_from([2, 4, 8]))} "
+                f"spread={draw(st.sampled_from(['true', 'false']))} rank=production spot=false",
+                "work": f"submit req-{number} tasks={draw(st.sampled_from([6, 20]))} run=2 rank=production",
+                "gang": f"submit req-{number} gang tasks={draw(st.sampled_from([3, 6]))} run=5 rank=normal",
+                "crash": f"crash {draw(st.sampled_from(OWNERS))} back={draw(st.sampled_from([0.05, 0.3, 1, 5]))}",
+                "unheard": f"unheard {draw(WORKERS)} {draw(st.sampled_from([3, 9, 25]))} "
+                f"{draw(st.sampled_from(['', 'lost']))}",
+                "copies": f"copies {draw(WORKERS)} {draw(seconds)} times={draw(st.integers(1, 3))} "
+                f"late={draw(seconds) + 16}",
+                "isolate": f"isolate {one} {draw(st.sampled_from([5, 14, 40]))} "
+                f"{draw(st.sampled_from(['held', 'refused', 'reset']))}",
+                "reboot": f"reboot {draw(WORKERS)} {draw(st.sampled_from(['', 'other']))}",
+                "cloud": f"outage cloud {draw(seconds)}",
+                "outage": f"outage state {draw(seconds)}",
+                "hang": f"hang busiest {draw(seconds)}",
+                "cut": f"cut busiest {draw(seconds)}",
+                "cut_zone": f"cut_zone {draw(st.sampled_from(['a', 'b']))} {draw(seconds)}",
+                "late": f"late {one} {draw(seconds)} 2",
+                "take": "take busiest notice=0",
+                "cancel": f"cancel req-{draw(st.integers(100000, number))}",
+                "deaf": f"deaf {one} {draw(seconds)}",
+                "refuse": f"refuse {one} {draw(seconds)}",
+            }[what]
+        )
         at_s += draw(tenths(0.1, 2.5))
     return "\n".join([*lines, "run calm"])
 
@@ -91,20 +133,40 @@
     The judge is the users' own rule: the largest of each class begin within 240 s, whatever comes later.
     """
     machines, load = draw(st.integers(3, 5)), draw(st.sampled_from([0.6, 0.8, 0.9]))
-    lines = [f"seed {draw(st.integers(1, 10**6))}", "site size=1", "team guest", "cloud_full",
-             f"machines {machines} m a", "objective deadline small share=0.9",
-             "objective finished large within=60 share=0.9"]
+    lines = [
+        f"seed {draw(st.integers(1, 10**6))}",
+        "site size=1",
+        "team guest",
+        "cloud_full",
+        f"machines {machines} m a",
+        "objective deadline small share=0.9",
+        "objective finished large within=60 share=0.9",
+    ]
     tasks, run_s = draw(st.sampled_from([6, 12])), draw(st.sampled_from([9, 15]))
     # CPUs times seconds of a job of the stream over those of the fleet in a second; the large jobs come on top.
     every_s = tasks * 2 * run_s / (16 * machines * load)
-    lines.append(f"at 1 submit_many 1000 {int(300 / every_s)} every={every_s:.3f} tasks={tasks} cpus=2 run={run_s} "
-                 f"estimate={run_s * draw(st.sampled_from([0.5, 1, 1.5]))} lane=small dueS={3 * run_s} "
-                 f"rank={draw(st.sampled_from(['normal', 'low']))} poll=15")
+    lines.append(
+        f"at 1 submit_many 1000 {int(300 / every_s)} every={every_s:.3f} tasks={tasks} cpus=2 run={run_s} "
+        f"estimate={run_s * draw(st.sampled_from([0.5, 1, 1.5]))} lane=small dueS={3 * run_s} "
+        f"rank={draw(st.sampled_from(['normal', 'low']))} poll=15"
+    )
     for number in range(draw(st.integers(1, 2))):
-        shape = draw(st.sampled_from(["tasks=2 cpus=16", "gang tasks=4 cpus=8", "gang tasks=2 cpus=9",
-                                      "tasks=60 cpus=1", "service tasks=2 cpus=8", "tasks=3 cpus=10"]))
-        lines.append(f"at {draw(tenths(3, 60)):.1f} submit req-{number:06d} {shape} run=6 estimate=6 "
-                     f"lane=large-{number} rank=normal team={draw(st.sampled_from(['team', 'guest']))}")
+        shape = draw(
+            st.sampled_from(
+                [
+                    "tasks=2 cpus=16",
+                    "gang tasks=4 cpus=8",
+                    "gang tasks=2 cpus=9",
+                    "tasks=60 cpus=1",
+                    "service tasks=2 cpus=8",
+                    "tasks=3 cpus=10",
+                ]
+            )
+        )
+        lines.append(
+            f"at {draw(tenths(3, 60)):.1f} submit req-{number:06d} {shape} run=6 estimate=6 "
+            f"lane=large-{number} rank=normal team={draw(st.sampled_from(['team', 'guest']))}"
+        )
     return "\n".join([*lines, "run 310"])
 
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -128,10 +128,14 @@
     def __init__(self) -> None:
         super().__init__()
         self.facts: dict[str, Any] = {
-            "size": 3, "zones": ["a", "b"], "time_bound_ms": 5.0, "teams": [{"name": "team"}],
+            "size": 3,
+            "zones": ["a", "b"],
+            "time_bound_ms": 5.0,
+            "teams": [{"name": "team"}],
             "workers": {"report_s": 1.0, "lease_s": 10.0, "cancel_s": 35.0},
             "state": {"rps": 150.0, "write_rps": 50.0, "value_kb": 16.0, "txn_ops": 16},
-            "cloud": {"rps": 8.0, "list_lag_s": 3.0}}
+            "cloud": {"rps": 8.0, "list_lag_s": 3.0},
+        }
         self.types: list[dict[str, Any]] = []
         self.initial: list[tuple[int, str, str, bool]] = []
         self.seed = 1
@@ -213,8 +217,18 @@
             operators.read_dict({f"quota {level}" if level else "quota": {name: str(given)}})
 
     def do_type(self, plain: list[str], named: dict[str, Any]) -> None:
-        made = {"label": plain[0], "vcpus": 16.0, "gpus": 0.0, "memGb": 64.0, "cacheGb": 50.0, "pullGbPerS": 1.0,
-                "price": 1.0, "lowPrice": 0.4, "startupS": 5.0, "yards": self.facts["zones"]}
+        made = {
+            "label": plain[0],
+            "vcpus": 16.0,
+            "gpus": 0.0,
+            "memGb": 64.0,
+            "cacheGb": 50.0,
+            "pullGbPerS": 1.0,
+            "price": 1.0,
+            "lowPrice": 0.4,
+            "startupS": 5.0,
+            "yards": self.facts["zones"],
+        }
         names = {"cpus": "vcpus", "memory": "memGb", "boot": "startupS", "spot_price": "lowPrice"}
         self.types.append({**made, **{names.get(k, k): v for k, v in named.items()}})
 
@@ -224,8 +238,14 @@
     def do_objective(self, plain: list[str], named: dict[str, Any]) -> None:
         """objective KIND CLASS within=S share=P: what users ask of a class"""
         self.facts.setdefault("objectives", []).append(
-            {"kind": plain[0], "class": plain[1], "within_s": float(named.get("within", 0)),
-             "share": named.get("share", 1.0), "times": float(named.get("times", 1))})
+            {
+                "kind": plain[0],
+                "class": plain[1],
+                "within_s": float(named.get("within", 0)),
+                "share": named.get("share", 1.0),
+                "times": float(named.get("times", 1)),
+            }
+        )
 
     def do_cloud_full(self, plain: list[str], named: dict[str, Any]) -> None:
         """cloud_full: no machine is to be had"""
@@ -263,8 +283,9 @@
                 for _ in range(count):
                     self.world.cloud.start(kind, zone, spot, 0)
         for at_s, verb, args, given in self.actions:
-            self.world.after(max(1, at_s * US - self.world.now_us),
-                             lambda v=verb, a=args, g=given: self.obey("on_" + v, a, g))
+            self.world.after(
+                max(1, at_s * US - self.world.now_us), lambda v=verb, a=args, g=given: self.obey("on_" + v, a, g)
+            )
         last_us = max((int(at_s * US) for at_s, *_ in self.actions), default=0)
         self.actions = []
         if plain[0] == "calm":
@@ -315,8 +336,17 @@
 
     def on_submit(self, args: list[str], named: dict[str, Any]) -> None:
         world, job_id = self.w(), args[0]
-        names = {"tasks": "picks", "cpus": "vcpus", "team": "crew", "memory": "memGb", "spot": "loaners",
-                 "zone": "yard", "estimate": "expectS", "checkpoint": "markEveryS", "save": "markCostS"}
+        names = {
+            "tasks": "picks",
+            "cpus": "vcpus",
+            "team": "crew",
+            "memory": "memGb",
+            "spot": "loaners",
+            "zone": "yard",
+            "estimate": "expectS",
+            "checkpoint": "markEveryS",
+            "save": "markCostS",
+        }
         run_s, by, apart_s = named.pop("run", 5), named.pop("by", ""), named.pop("apart", 0)
         failing, poll_s, lacks = named.pop("fails", 0), named.pop("poll", 2), named.pop("lacks", "")
         given = {names.get(k, k): v for k, v in named.items()}
@@ -327,7 +357,9 @@
                 given[key] = float(given[key])
         if "types" in given:
             given["builds"] = str(given.pop("types")).split(",")
-        spec = job_spec(job_id, shape="standing" if "service" in args else "group" if "gang" in args else "array", **given)
+        spec = job_spec(
+            job_id, shape="standing" if "service" in args else "group" if "gang" in args else "array", **given
+        )
         if lacks:
             del spec[lacks]
         if job_id in world.jobs:
@@ -353,8 +385,13 @@
 
         def attempt() -> None:
             # Users name what was accepted: they wait for that, save where no such job is ever submitted.
-            if any(u in world.jobs and u != job_id and u not in world.checker.accepted and u not in self.reasons
-                   for u in given.get("waitsOn", ())) and world.now_us < until_us:
+            if (
+                any(
+                    u in world.jobs and u != job_id and u not in world.checker.accepted and u not in self.reasons
+                    for u in given.get("waitsOn", ())
+                )
+                and world.now_us < until_us
+            ):
                 world.after(US // 5, attempt)
             elif not settled[0] and world.now_us < until_us:
                 self.ask("submit", job_id, heard, spec, by)
@@ -392,10 +429,16 @@
         """count: what is counted from here on"""
         world = self.w()
         starts = {task: len(times) for task, times in world.checker.starts.items()}
-        self.counted = {"puts": world.state.puts, "reports": world.heartbeats, "looked": self._looked(), "starts": starts,
-                        "reads": self._reads(),
-                        "asked": world.cloud.asked, "second": world.now_us // US,
-                        "grants": world.state.grants}
+        self.counted = {
+            "puts": world.state.puts,
+            "reports": world.heartbeats,
+            "looked": self._looked(),
+            "starts": starts,
+            "reads": self._reads(),
+            "asked": world.cloud.asked,
+            "second": world.now_us // US,
+            "grants": world.state.grants,
+        }
 
     def on_poll(self, args: list[str], named: dict[str, Any]) -> None:
         """poll UID [by=NAME]"""
@@ -424,8 +467,11 @@
     def check_polls_within(self, args: list[str], named: dict[str, Any]) -> None:
         """polls_within S: no controller that went on has taken longer over a poll"""
         limit_us = int(float(args[0]) * US)
-        late = [job_id for (asked_us, job_id), (host, life) in self.open_polls.items()
-                if host.life == life and asked_us + limit_us < self.w().now_us]
+        late = [
+            job_id
+            for (asked_us, job_id), (host, life) in self.open_polls.items()
+            if host.life == life and asked_us + limit_us < self.w().now_us
+        ]
         assert not late and self.slowest_us <= limit_us, (late[:3], self.slowest_us)
 
     def check_answered(self, args: list[str], named: dict[str, Any]) -> None:
@@ -494,8 +540,12 @@
                 self.w().state.unanswered[label] = (self.w().trouble(float(args[1])), float(named.get("share", 1.0)))
             return
         least_s, most_s = float(args[2]), float(args[-1])
-        self.w().state.late[args[0]] = (self.w().trouble(float(args[1])), int(least_s * US), int(most_s * US),
-                                        float(named.get("share", 1.0)))
+        self.w().state.late[args[0]] = (
+            self.w().trouble(float(args[1])),
+            int(least_s * US),
+            int(most_s * US),
+            float(named.get("share", 1.0)),
+        )
         self.w().trouble(float(args[1]) + most_s)
 
     def on_slow(self, args: list[str], named: dict[str, Any]) -> None:
@@ -513,7 +563,9 @@
 
     def check_gate(self, args: list[str], named: dict[str, Any]) -> None:
         """gate open|shut: at all controllers of this version that are up"""
-        found = {h.label: h.actor.ctx.feature_active(PIPELINES) for h in self.w().machines.values() if h.actor and not h.old}
+        found = {
+            h.label: h.actor.ctx.feature_active(PIPELINES) for h in self.w().machines.values() if h.actor and not h.old
+        }
         assert found and set(found.values()) == {args[0] == "open"}, found
 
     def check_asked(self, args: list[str], named: dict[str, Any]) -> None:
@@ -540,14 +592,17 @@
     def on_load_record(self, args: list[str], named: dict[str, Any]) -> None:
         """load_record SHARD slots=N rate=R ...: such a record of a shard's load, whoever wrote it; null is a word"""
         record = {"waiting": 0, "slots": 8, "rate": 0.1, "arrivals": 0.0, "room": 0} | {
-            k: None if v == "null" else v for k, v in named.items()}
+            k: None if v == "null" else v for k, v in named.items()
+        }
         self.w().state.answer("", "POST", "/txn", {"if": [], "then": [{"write": f"q/load/{args[0]}", "v": record}]})
 
     def on_load_told(self, args: list[str], named: dict[str, Any]) -> None:
         """load_told NAME SHARD,... slots=N rate=R: a peer's frame tells every other controller so; twice a second"""
-        loads = [ShardLoad(int(shard), 0, named.get("slots", 8), 0, float(named.get("rate", 0.1)), [0, 0])
-                 for shard in args[1].split(",")]
-        body = pack_heartbeat(PeerHeartbeat(args[0], True, 0, loads))[HEADER.size:]
+        loads = [
+            ShardLoad(int(shard), 0, named.get("slots", 8), 0, float(named.get("rate", 0.1)), [0, 0])
+            for shard in args[1].split(",")
+        ]
+        body = pack_heartbeat(PeerHeartbeat(args[0], True, 0, loads))[HEADER.size :]
         for host in self.w().machines.values():
             if host.label != args[0]:
                 host.deliver(PeerFrameReceived(read_heartbeat(body)))
@@ -717,8 +772,11 @@
             given = {k: str(v).split(",") if k in ("builds", "waitsOn") else v for k, v in named.items()}
             self.w().jobs[rest[0]] = job_spec(rest[0], **given)
         elif what == "on":
-            host = {"build": named.get("type", "m"), "yard": named.get("zone", "a"),
-                    "loaners": named.get("spot", False)}
+            host = {
+                "build": named.get("type", "m"),
+                "yard": named.get("zone", "a"),
+                "loaners": named.get("spot", False),
+            }
             worker = SimpleNamespace(name=rest[1], host=host)
             self.w().workers[rest[1]] = worker  # type: ignore[assignment]
             checker.on(rest[0], worker)
@@ -779,13 +837,16 @@
 
     def check_running_team(self, args: list[str], named: dict[str, Any]) -> None:
         """running_team TEAM OP N"""
-        there = [t for t, p in self.w().checker.where.items()
-                 if p and self.w().jobs[t.rpartition("/")[0]]["crew"] == args[0]]
+        there = [
+            t for t, p in self.w().checker.where.items() if p and self.w().jobs[t.rpartition("/")[0]]["crew"] == args[0]
+        ]
         assert COMPARE[args[1]](len(there), int(args[2])), f"{len(there)} tasks of {args[0]}"
 
     def _looked(self) -> int:
         """Workers that placement has looked at, by all controllers."""
-        return sum(s.placement.workers_examined for h in self.w().machines.values() if h.actor for s in h.actor.shards.values())
+        return sum(
+            s.placement.workers_examined for h in self.w().machines.values() if h.actor for s in h.actor.shards.values()
+        )
 
     def check_all_done(self, args: list[str], named: dict[str, Any]) -> None:
         told = self.w().checker.told
@@ -911,7 +972,9 @@
         """told_something: refusals were seen and heard, strays written down, wants recorded"""
         kinds = {e.get("write", "").split("/")[1] for e in self.w().state.history if "write" in e}
         assert {"stray", "want", "load"} <= kinds, kinds
-        known = [h.actor.autoscaler.capacity.all_observations() for h in self.w().machines.values() if h.actor is not None]
+        known = [
+            h.actor.autoscaler.capacity.all_observations() for h in self.w().machines.values() if h.actor is not None
+        ]
         assert any(len(cache) > 1 and any(cache.values()) for cache in known), known
 
     def check_died_out(self, args: list[str], named: dict[str, Any]) -> None:
@@ -923,7 +986,9 @@
             supply = node.autoscaler.capacity
             assert not supply.own_observations(world.now_us)
             assert not any(supply.backs_off(kind, world.now_us) for kind in list(supply.backoffs))
-            assert not node.connectivity.misrouted_counts() and not any(node.connectivity.recorded_misrouted(s) for s in range(self.facts["size"]))
+            assert not node.connectivity.misrouted_counts() and not any(
+                node.connectivity.recorded_misrouted(s) for s in range(self.facts["size"])
+            )
             loads = {load.shard: load for load in node.load_balancer.peer_loads()}
             assert not any(load.waiting for load in [*loads.values(), *node.load_balancer.loads()])
             for other in world.machines.values():
@@ -957,13 +1022,16 @@
             assert marginal_cost(station, arrivals) == pytest.approx(named["slope"], rel=1e-6)
         step = 1e-6 * station.rate
         if 0 < arrivals < station.capacity - step:
+
             def cost(x: float) -> float:
                 return x * (mean_wait(station, x) + 1 / station.rate)
+
             numeric = (cost(arrivals + step) - cost(arrivals - step)) / (2 * step)
             assert marginal_cost(station, arrivals) == pytest.approx(numeric, rel=1e-3)
 
     def do_levels(self, plain: list[str], named: dict[str, Any]) -> None:
         """levels m:u,m:u,... total -> shares and levels, at once; 1/60 is a number too"""
+
         def number(text: str) -> float:
             above, _, below = text.partition("/")
             return float(above) / float(below or 1)
@@ -1082,8 +1150,9 @@
         """standstills_in HOURS lease=S back=S ends=N: a process that stands still at once, each time it is started"""
         lease_us, now_us, ends = int(named["lease"] * US), 0, 0
         note: StallRecord | None = None
-        while (now_us := max(now_us + int(named["back"] * US), stall_records.next_end_us(note, lease_us))) < \
-                float(plain[0]) * 3600 * US:
+        while (now_us := max(now_us + int(named["back"] * US), stall_records.next_end_us(note, lease_us))) < float(
+            plain[0]
+        ) * 3600 * US:
             note, ends = stall_records.following(note, "levels", now_us, lease_us), ends + 1
             assert stall_records.rests(note, "levels", now_us + lease_us, lease_us)
             assert not stall_records.rests(note, "moves", now_us, lease_us)
@@ -1127,19 +1196,28 @@
 
     def do_model(self, plain: list[str], named: dict[str, Any]) -> None:
         """model [without=GUARD] [depth=N] [only=STEP,...]: a breach is found exactly where a guard is left out"""
-        result = explore(named.get("depth", 8), controllers=named.get("controllers", 2),
-                         without=named.get("without", ""), most_states=named.get("most", 0),
-                         only=frozenset(s for s in str(named.get("only", "")).split(",") if s))
+        result = explore(
+            named.get("depth", 8),
+            controllers=named.get("controllers", 2),
+            without=named.get("without", ""),
+            most_states=named.get("most", 0),
+            only=frozenset(s for s in str(named.get("only", "")).split(",") if s),
+        )
         assert bool(result.breach) == ("without" in named), (named, result)
 
     def do_takeover(self, plain: list[str], named: dict[str, Any]) -> None:
         """takeover [without=GUARD] [depth=N] [workers=N] [tasks=N] [only=STEP,...] [after=STEP:N:N,...]"""
         # Owners that are left without a guard say so.
         self.errors_expected.append("")
-        result = takeover(named.get("depth", 7), named.get("workers", 2), named.get("tasks", 1),
-                          named.get("without", ""), named.get("most", 0),
-                          frozenset(s for s in str(named.get("only", "")).split(",") if s),
-                          read_steps(str(named.get("after", ""))))
+        result = takeover(
+            named.get("depth", 7),
+            named.get("workers", 2),
+            named.get("tasks", 1),
+            named.get("without", ""),
+            named.get("most", 0),
+            frozenset(s for s in str(named.get("only", "")).split(",") if s),
+            read_steps(str(named.get("after", ""))),
+        )
         assert bool(result.breach) == ("without" in named), (named, result)
 
     def do_gap(self, plain: list[str], named: dict[str, Any]) -> None:
@@ -1222,8 +1300,9 @@
         if isinstance(node, ast.While):
             first, last = max(0, node.lineno - 3), node.lineno
         elif isinstance(node, ast.FunctionDef) and any(
-                isinstance(call, ast.Call) and (ast.unparse(call.func) in (node.name, f"self.{node.name}"))
-                for call in ast.walk(node)):
+            isinstance(call, ast.Call) and (ast.unparse(call.func) in (node.name, f"self.{node.name}"))
+            for call in ast.walk(node)
+        ):
             first, last = node.lineno - 1, node.end_lineno or node.lineno
         else:
             continue
@@ -1235,6 +1314,7 @@
 @contextmanager
 def at_once(seconds: float) -> Iterator[None]:
     """What takes longer fails instead of hanging the suite: it has a bound in steps, of which this is no measure."""
+
     def over(*_: Any) -> None:
         raise AssertionError(f"no end within {seconds:g} s")
 
--- a/tests/test_supply_properties.py
+++ b/tests/test_supply_properties.py
@@ -23,8 +23,11 @@
 KINDS: list[Kind] = [("mid", zone, spot) for zone in "abcdefghi" for spot in (True, False)]
 VERBS = ["short"] * 6 + ["room"] * 3 + ["beat"] * 9 + ["late"] * 6 + ["again"] * 2 + ["wait"] * 2 + ["restart"]
 PLACES = st.integers(0, 63)
-STEPS = st.lists(st.tuples(st.sampled_from(VERBS), PLACES, PLACES, st.sampled_from(9 * KINDS[:2] + KINDS),
-                           st.integers(0, 6)), min_size=30, max_size=80)
+STEPS = st.lists(
+    st.tuples(st.sampled_from(VERBS), PLACES, PLACES, st.sampled_from(9 * KINDS[:2] + KINDS), st.integers(0, 6)),
+    min_size=30,
+    max_size=80,
+)
 
 
 class Fleet:
@@ -43,10 +46,12 @@
         return CapacityObservations(label, self.labels, 1.0, self.now_us // 1000)
 
     def heartbeat(self, node: int) -> bytes:
-        return frames.pack_observations(frames.PeerObservations(self.labels[node], self.nodes[node].own_observations(self.now_us)))
+        return frames.pack_observations(
+            frames.PeerObservations(self.labels[node], self.nodes[node].own_observations(self.now_us))
+        )
 
     def hear(self, node: int, data: bytes) -> None:
-        told = frames.read_observations(data[frames.HEADER.size:])
+        told = frames.read_observations(data[frames.HEADER.size :])
         self.nodes[node].observations_received(told.label, told.observations, self.now_us)
         for observation in told.observations if told.label != self.labels[node] else []:
             place, version = (node, told.label, observation.kind), (observation.born, observation.number)
@@ -91,7 +96,7 @@
     while fleet.now_us <= last_us + most_us:
         for one in range(size):
             data = fleet.heartbeat(one)
-            for other in ({(one + 1) % size, (one + 7) % size, (one + 31) % size} - {one}):
+            for other in {(one + 1) % size, (one + 7) % size, (one + 31) % size} - {one}:
                 fleet.hear(other, data)
         fleet.now_us += 3 * SECOND
     for node in fleet.nodes:
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -22,21 +22,27 @@
     try:
         return Timing(settings_of(facts))
     except SettingsError as error:
-        assert any(f"facts.workers.{name} = {value:g}: " in str(error) for name, value in
-                   (("report_s", report_s), ("lease_s", lease_s), ("cancel_s", cancel_s))), str(error)
+        assert any(
+            f"facts.workers.{name} = {value:g}: " in str(error)
+            for name, value in (("report_s", report_s), ("lease_s", lease_s), ("cancel_s", cancel_s))
+        ), str(error)
         return None
 
 
 @given(seconds, seconds, seconds)
 @settings(max_examples=400, deadline=None, database=None, derandomize=True)
 def test_a_cancellation_outlasts_what_an_owner_that_cannot_hear_of_it_renews(
-        report_s: float, lease_s: float, cancel_s: float) -> None:
+    report_s: float, lease_s: float, cancel_s: float
+) -> None:
     found = timing(report_s, lease_s, cancel_s)
     lease, cancel = Fraction(lease_s), Fraction(cancel_s)
     if found is None:
         # Refused is only what leaves an owner's lease no second, no lease between two reports, or is no such period.
-        assert cancel - lease < Fraction(31, 10) + cancel / 400 or report_s * 1.25 >= lease_s or \
-            max(report_s, lease_s, cancel_s) > 86_400
+        assert (
+            cancel - lease < Fraction(31, 10) + cancel / 400
+            or report_s * 1.25 >= lease_s
+            or max(report_s, lease_s, cancel_s) > 86_400
+        )
         return
     slow = 1 + Fraction(DRIFT)  # a second by a clock that is slow lasts so long
     # The owner's clock: from its last proof of contact to the end of its grace. The worker's: its lease, from a report
@@ -50,8 +56,15 @@
 
 def test_settings_of_usual_sites_are_accepted_with_a_grace() -> None:
     """Both deployments' orders of magnitude, the tests' own, and beyond."""
-    for report_s, lease_s, cancel_s in ((4, 26, 46), (2.5, 15.25, 40.25), (3, 26, 46), (1, 10, 35), (0.5, 5, 20),
-                                        (30, 300, 900), (60, 3600, 10_000)):
+    for report_s, lease_s, cancel_s in (
+        (4, 26, 46),
+        (2.5, 15.25, 40.25),
+        (3, 26, 46),
+        (1, 10, 35),
+        (0.5, 5, 20),
+        (30, 300, 900),
+        (60, 3600, 10_000),
+    ):
         found = timing(report_s, lease_s, cancel_s)
         assert found is not None and found.grace_us > found.leader_lease_us // 2, (report_s, lease_s, cancel_s)
 
--- a/tests/troubles.py
+++ b/tests/troubles.py
@@ -50,10 +50,16 @@
             self._meets("close_looks")
             for label in world.machines:
                 for _ in range(2):
-                    world.after(world.random.randint(1, 8000), lambda n=label: self.ask(
-                        "poll", job_id, lambda s, b: world.checker.polled(job_id, s, b), by=n))
-                world.after(world.random.randint(1, 8000), lambda n=label: self.ask(
-                    "submit", job_id, lambda s, b: world.checker.submitted(job_id, s, b), world.jobs[job_id], by=n))
+                    world.after(
+                        world.random.randint(1, 8000),
+                        lambda n=label: self.ask("poll", job_id, lambda s, b: world.checker.polled(job_id, s, b), by=n),
+                    )
+                world.after(
+                    world.random.randint(1, 8000),
+                    lambda n=label: self.ask(
+                        "submit", job_id, lambda s, b: world.checker.submitted(job_id, s, b), world.jobs[job_id], by=n
+                    ),
+                )
             if status not in ("done", "withdrawn") and world.random.random() < share:
                 self._cancel_in(job_id, 0.001)
 
@@ -121,8 +127,10 @@
         world, hang_s = self.w(), float(named.get("hang", 0))
         within_s, by = float(named.get("within", 0.2)), str(named.get("by", ""))
         where = world.checker.where
-        running = sorted({t.rpartition("/")[0] for t, places in where.items() if places} - world.checker.cancel_asked,
-                         key=lambda u: (world.jobs[u]["shape"] != "standing", -world.run_s.get(u, 0), u))
+        running = sorted(
+            {t.rpartition("/")[0] for t, places in where.items() if places} - world.checker.cancel_asked,
+            key=lambda u: (world.jobs[u]["shape"] != "standing", -world.run_s.get(u, 0), u),
+        )
         hung: list[str] = []
         for job_id in running[: int(args[0])]:
             self._meets("cancel_now")
--- a/tests/world.py
+++ b/tests/world.py
@@ -29,8 +29,13 @@
 
 
 class World:
-    def __init__(self, facts: dict[str, Any], types: list[dict[str, Any]], seed: int = 1,
-                 operators: dict[str, dict[str, str]] | None = None) -> None:
+    def __init__(
+        self,
+        facts: dict[str, Any],
+        types: list[dict[str, Any]],
+        seed: int = 1,
+        operators: dict[str, dict[str, str]] | None = None,
+    ) -> None:
         self.now_us = 0
         self.calm_us = 0  # when the last trouble is over
         self.operators = operators or {}  # sections of the operators' INI file
@@ -79,8 +84,10 @@
         self.kept_came += len(heartbeats) * len(self.machines)
         for heartbeat in heartbeats:
             for host in self.machines.values():
-                self.after(self.latency(), lambda h=host, r=heartbeat: h.worker_reports(
-                    r, lambda status, body: None, copy=True))
+                self.after(
+                    self.latency(),
+                    lambda h=host, r=heartbeat: h.worker_reports(r, lambda status, body: None, copy=True),
+                )
 
     def trouble(self, seconds: float) -> int:
         """A trouble begins now and lasts so long; returns its end."""
@@ -95,8 +102,11 @@
         work_s = sum(j["picks"] * j["vcpus"] * self.run_s.get(u, 0) for u, j in jobs) / cpus
         way_s: dict[str, float] = {}  # of the longest chain that ends with a job; what it names was submitted before
         for job_id, job in jobs:
-            way_s[job_id] = self.run_s.get(job_id, 0) + job["picks"] * self.apart_s.get(job_id, 0) + max(
-                (way_s.get(u, 0) + 3 for u in job["waitsOn"]), default=0)
+            way_s[job_id] = (
+                self.run_s.get(job_id, 0)
+                + job["picks"] * self.apart_s.get(job_id, 0)
+                + max((way_s.get(u, 0) + 3 for u in job["waitsOn"]), default=0)
+            )
         longest_s = max(way_s.values(), default=0)
         boot_s = max(t["startupS"] for t in self.types.values())
         return int((4 * self.facts["workers"]["lease_s"] + 3 * boot_s + 2 * (work_s + longest_s) + 20) * US)
@@ -176,7 +186,7 @@
             life_us = self.holds[hold][0]
             self.holds[hold] = (life_us, self.world.now_us + life_us)
             return 200, {"hold": hold}
-        key = path[len("/kv/"):]
+        key = path[len("/kv/") :]
         if key in self.data:
             value, mod_revision, _ = self.data[key]
             return 200, {"k": key, "v": value, "stamp": mod_revision}
@@ -194,8 +204,11 @@
         sizes = [len(json.dumps(op["v"], separators=(",", ":")).encode()) for op in ops if "write" in op]
         assert max(sizes, default=0) <= facts["value_kb"] * 1024, "too large a value"
         most = self.limits.get("txn_ops", facts["txn_ops"])
-        if len(ops) > most or len(body["if"]) > 4 * most or max(sizes, default=0) > 1024 * self.limits.get(
-                "value_kb", facts["value_kb"]):
+        if (
+            len(ops) > most
+            or len(body["if"]) > 4 * most
+            or max(sizes, default=0) > 1024 * self.limits.get("value_kb", facts["value_kb"])
+        ):
             self.too_large.append(json.dumps(ops))
             return 400, {"error": "over the limits"}
         if ops:
@@ -241,8 +254,16 @@
     def start(self, kind: str, zone: str, spot: bool, boot_us: int) -> str:
         name = f"n-{self.next:06d}"
         self.next += 1
-        self.machines[name] = {"uid": name, "endpoint": f"10.1.0.{self.next}:9000", "build": kind, "yard": zone,
-                               "loaners": spot, "status": "booting", "ageS": 0.0, "born": self.world.now_us}
+        self.machines[name] = {
+            "uid": name,
+            "endpoint": f"10.1.0.{self.next}:9000",
+            "build": kind,
+            "yard": zone,
+            "loaners": spot,
+            "status": "booting",
+            "ageS": 0.0,
+            "born": self.world.now_us,
+        }
         if self.never_boot > 0 and boot_us > 0:
             self.never_boot -= 1
         else:
@@ -275,8 +296,9 @@
                 if room <= 0:
                     return 503, {"error": "no capacity"}
                 boot_us = self.boot_us or int(world.types[body["build"]]["startupS"] * US)
-                self.requests[body["hire"]] = [self.start(body["build"], body["yard"], body["loaners"], boot_us)
-                                            for _ in range(room)]
+                self.requests[body["hire"]] = [
+                    self.start(body["build"], body["yard"], body["loaners"], boot_us) for _ in range(room)
+                ]
             if self.lost_answers > 0:
                 self.lost_answers -= 1
                 return 0, {}
@@ -288,8 +310,9 @@
         lag_us = int(world.facts["cloud"]["list_lag_s"] * US)
         at_us = world.now_us - lag_us - self.extra_lag_us
         then = [*self.machines.values(), *(h for h, gone_us in self.past.values() if gone_us > at_us)]
-        listed = [{**h, "ageS": (at_us - h["born"]) / US} for h in sorted(then, key=lambda h: h["uid"])
-                  if h["born"] <= at_us]
+        listed = [
+            {**h, "ageS": (at_us - h["born"]) / US} for h in sorted(then, key=lambda h: h["uid"]) if h["born"] <= at_us
+        ]
         return 200, {"berths": listed, "hasNext": False}
 
 
@@ -371,18 +394,32 @@
                 self.do(body)
         period_us = world.facts["workers"]["report_s"] * US
         gap_us = now_us - self.last_report_us
-        if not self.busy and now_us >= self.not_before_us and (
-                gap_us >= period_us or (self.changed and gap_us >= US // 2)):
+        if (
+            not self.busy
+            and now_us >= self.not_before_us
+            and (gap_us >= period_us or (self.changed and gap_us >= US // 2))
+        ):
             self._report()
 
     def heartbeat(self) -> dict[str, Any]:
         self.seq += 1
         notice_s = None if self.notice_us is None else max(0.0, (self.notice_us - self.world.now_us) / US)
-        picks = [{k: v for k, v in t.items() if k in ("pick", "try", "status", "cause", "saved")}
-                 for t in self.tasks.values()]
-        return {"berth": self.name, "endpoint": self.host["endpoint"], "build": self.host["build"],
-                "yard": self.host["yard"], "loaners": self.host["loaners"], "stint": self.epoch,
-                "tick": self.seq, "baton": self.fencing_token, "warningS": notice_s, "picks": picks}
+        picks = [
+            {k: v for k, v in t.items() if k in ("pick", "try", "status", "cause", "saved")}
+            for t in self.tasks.values()
+        ]
+        return {
+            "berth": self.name,
+            "endpoint": self.host["endpoint"],
+            "build": self.host["build"],
+            "yard": self.host["yard"],
+            "loaners": self.host["loaners"],
+            "stint": self.epoch,
+            "tick": self.seq,
+            "baton": self.fencing_token,
+            "warningS": notice_s,
+            "picks": picks,
+        }
 
     def _report(self) -> None:
         world = self.world
@@ -427,8 +464,10 @@
             for _ in range(times if world.now_us < until_us else 0):
                 # A copy comes by another connection: whatever it is answered, nobody takes it.
                 other = world.machines[world.random.choice(sorted(world.machines))]
-                world.after(world.random.randint(US, late_us),
-                            lambda o=other: o.worker_reports(heartbeat, lambda status, body: None, copy=True))
+                world.after(
+                    world.random.randint(US, late_us),
+                    lambda o=other: o.worker_reports(heartbeat, lambda status, body: None, copy=True),
+                )
 
     def _next_node(self) -> None:
         names = sorted(self.world.machines)
@@ -462,8 +501,9 @@
                     saved = task["spec"]["markEveryS"] > 0 and order.get("windDownS", 0) >= task["spec"]["markCostS"]
                     if saved and task["status"] == "running":
                         task["status"] = "flushing"
-                        self.world.after(task["spec"]["markCostS"] * US,
-                                         lambda n=name, t=number: self._exit(n, t, "halted"))
+                        self.world.after(
+                            task["spec"]["markCostS"] * US, lambda n=name, t=number: self._exit(n, t, "halted")
+                        )
                     else:
                         self._exit(name, number, "halted")
             elif task and task["try"] == number and task["status"] == "exited":
@@ -507,8 +547,7 @@
         task = self.tasks.get(name)
         if task and task["try"] == number and task["status"] == "running" and not self.dead:
             if self.world.now_us < self.hung_until_us:
-                self.world.after(self.hung_until_us - self.world.now_us + 100_000,
-                                 lambda: self._complete(name, number))
+                self.world.after(self.hung_until_us - self.world.now_us + 100_000, lambda: self._complete(name, number))
                 return
             self.world.checker.completed.add(name)
             self.world.checker.done_us.setdefault(name, self.world.now_us)
@@ -552,7 +591,9 @@
         settings = settings_of(self.world.facts, self.label)
         self.life += 1
         self.waiting.clear()
-        self.actor = Controller(settings, Tuning(), self.world.now_us, self.world.now_us, subsystem_factories(settings, self.operators))
+        self.actor = Controller(
+            settings, Tuning(), self.world.now_us, self.world.now_us, subsystem_factories(settings, self.operators)
+        )
         self.actor.feature_gate.supported_level *= not self.old
         self._heartbeat(self.life)
         self._list(self.life)
@@ -588,21 +629,40 @@
             for kind, known in theirs.items():
                 mine = own.get(kind)
                 version = (known.observation.born, known.observation.number)
-                if known.at_us > self.world.now_us or (
-                        mine is not None and version > (mine.observation.born, mine.observation.number)) or (
-                        mine is not None and version == (mine.observation.born, mine.observation.number)
-                        and not mine.at_us <= known.at_us <= mine.at_us + LATE_US + self.world.links_us):
+                if (
+                    known.at_us > self.world.now_us
+                    or (mine is not None and version > (mine.observation.born, mine.observation.number))
+                    or (
+                        mine is not None
+                        and version == (mine.observation.born, mine.observation.number)
+                        and not mine.at_us <= known.at_us <= mine.at_us + LATE_US + self.world.links_us
+                    )
+                ):
                     self.world.checker.breach("hearsay", f"{self.label} knows more of {kind} than {origin} saw")
 
     def _nothing_is_lost(self) -> None:
         """Every task of ours that is not done waits, runs, or is known to be in doubt: none that nobody will start."""
         for shard in self.actor.shards.values() if self.actor is not None else ():
             for partition in shard.partitions.values():
-                left = partition.assigned - partition.done - partition.unrecorded_done - partition.pending.members - partition.attempts.keys() \
-                    - partition.unreconciled - partition.indeterminate - partition.crash_loop.on_hold
+                left = (
+                    partition.assigned
+                    - partition.done
+                    - partition.unrecorded_done
+                    - partition.pending.members
+                    - partition.attempts.keys()
+                    - partition.unreconciled
+                    - partition.indeterminate
+                    - partition.crash_loop.on_hold
+                )
                 if left:
-                    self.world.checker.breach("stuck", f"{self.label} has lost {sorted(left)[:3]} of {partition.job_id}")
-                if partition.crash_loop.on_hold and not partition.pending and not (partition.attempts or partition.indeterminate or partition.unreconciled):
+                    self.world.checker.breach(
+                        "stuck", f"{self.label} has lost {sorted(left)[:3]} of {partition.job_id}"
+                    )
+                if (
+                    partition.crash_loop.on_hold
+                    and not partition.pending
+                    and not (partition.attempts or partition.indeterminate or partition.unreconciled)
+                ):
                     self.world.checker.breach("stuck", f"{self.label} tries nothing of {partition.job_id}")
 
     # The watch.
@@ -625,8 +685,11 @@
             if not state.reachable(self.label):
                 self._list(life)
                 return
-            items += [m.Item(k, msgspec.Raw(msgspec.json.encode(v)), s) for k, (v, s, _) in sorted(state.data.items())
-                      if not kinds or k.split("/")[1] == kinds[place]]
+            items += [
+                m.Item(k, msgspec.Raw(msgspec.json.encode(v)), s)
+                for k, (v, s, _) in sorted(state.data.items())
+                if not kinds or k.split("/")[1] == kinds[place]
+            ]
             if place + 1 < len(kinds):
                 world.after(state.page_gap_us, lambda: page(place + 1, items))
                 return
@@ -650,13 +713,15 @@
         if life != self.life:
             return
         world, state = self.world, self.world.state
-        if not state.reachable(self.label) or world.now_us < max(
-                self.watch_hung_until_us, self.state_cut[0]):
+        if not state.reachable(self.label) or world.now_us < max(self.watch_hung_until_us, self.state_cut[0]):
             world.after(300_000, lambda: self._watch(life, since))
             return
         asked_us = world.now_us
-        events = [msgspec.convert({**e, "v": msgspec.Raw(msgspec.json.encode(e.get("v")))}, m.Event)
-                  for e in state.history if e["stamp"] > since]
+        events = [
+            msgspec.convert({**e, "v": msgspec.Raw(msgspec.json.encode(e.get("v")))}, m.Event)
+            for e in state.history
+            if e["stamp"] > since
+        ]
         revision = state.revision
         comes_us = world.latency()
         self._trace("in", "state", "watch", comes_us, revision, events)
@@ -679,13 +744,22 @@
             self._trace("out", "peers", effect.frames.hex())
             for other in world.machines.values():
                 if other is not self and world.now_us >= max(
-                        other.deaf_peers_until_us, other.deaf_in_until_us, self.deaf_peers_until_us):
+                    other.deaf_peers_until_us, other.deaf_in_until_us, self.deaf_peers_until_us
+                ):
                     for said in read_frames(effect.frames):
                         world.after(world.latency(), lambda o=other, s=said: o.deliver(fx.PeerFrameReceived(s)))
             return
         body = json.loads(msgspec.json.encode(effect.body))
-        self._trace("out", effect.target, effect.method, effect.path, body, effect.timeout_us, effect.writes,
-                    int(effect.urgency))
+        self._trace(
+            "out",
+            effect.target,
+            effect.method,
+            effect.path,
+            body,
+            effect.timeout_us,
+            effect.writes,
+            int(effect.urgency),
+        )
 
         def back(status: int, answer: Any) -> None:
             data = json.dumps(answer).encode()
@@ -697,14 +771,18 @@
             if world.now_us < cut_until_us:
                 # Held: it arrives when the cut ends, and its sender has given up. Reset: it never does.
                 if how == "held":
-                    world.after(cut_until_us - world.now_us + world.latency(),
-                                lambda: world.state.answer("", effect.method, effect.path, body))
+                    world.after(
+                        cut_until_us - world.now_us + world.latency(),
+                        lambda: world.state.answer("", effect.method, effect.path, body),
+                    )
                 world.after(effect.timeout_us if how == "held" else world.latency(), lambda: back(0, {}))
                 return
             until_us, least_us, most_us, share = world.state.late.get(self.label, (0, 0, 0, 0.0))
             if effect.path == "/txn" and world.now_us < until_us and world.random.random() < share:
-                world.after(world.random.randint(least_us, most_us),
-                            lambda: world.state.answer("", effect.method, effect.path, body))
+                world.after(
+                    world.random.randint(least_us, most_us),
+                    lambda: world.state.answer("", effect.method, effect.path, body),
+                )
                 world.after(effect.timeout_us, lambda: back(0, {}))
                 return
             until_us, share = world.state.unanswered.get(self.label, (0, 0.0))
@@ -734,8 +812,9 @@
                 world.after(there_us + world.latency(), carried_out)
                 world.after(effect.timeout_us, lambda: back(0, {}))
                 return
-            world.after(world.latency(), lambda: back(*world.state.answer(
-                self.label, effect.method, effect.path, body)))
+            world.after(
+                world.latency(), lambda: back(*world.state.answer(self.label, effect.method, effect.path, body))
+            )
         elif effect.target == "cloud":
             world.after(world.latency(), lambda: back(*world.cloud.answer(effect.method, effect.path, body)))
         else:
@@ -747,7 +826,8 @@
         if worker is None:
             world.after(effect.timeout_us, lambda: back(fx.NOT_SENT, {}))
         elif self._is_cut_from(worker) or world.now_us < max(
-                worker.cut_until_us, worker.hung_until_us, worker.unheard_until_us):
+            worker.cut_until_us, worker.hung_until_us, worker.unheard_until_us
+        ):
             # Held back by the network, delivered when the interruption ends.
             if effect.path == "/do" and not worker.drops:
                 worker.held.append((body, back))
@@ -810,24 +890,55 @@
     while data:
         kind, length = frames.read_header(data[: frames.HEADER.size])
         end = frames.HEADER.size + length
-        found.append(frames.read_frame(kind, data[frames.HEADER.size: end]))
+        found.append(frames.read_frame(kind, data[frames.HEADER.size : end]))
         data = data[end:]
     return [said for said in found if said is not None]
 
 
 def settings_of(facts: dict[str, Any], label: str = "berth-0") -> Settings:
     """What the platform hands over to one controller of such a site."""
-    others = [{"label": n, "location": "z", "endpoint": "10.0.0.9:1"}
-              for n in (f"berth-{i}" for i in range(facts["size"])) if n != label]
+    others = [
+        {"label": n, "location": "z", "endpoint": "10.0.0.9:1"}
+        for n in (f"berth-{i}" for i in range(facts["size"]))
+        if n != label
+    ]
     return msgspec.convert(
-        {"label": label, "location": "z", "api_addr": "10.0.0.1:80", "peer_bind": "10.0.0.1:81",
-         "outside": {"cloud": "10.2.0.2:1", "state": "10.2.0.1:1"}, "known": others, "facts": facts}, Settings)
+        {
+            "label": label,
+            "location": "z",
+            "api_addr": "10.0.0.1:80",
+            "peer_bind": "10.0.0.1:81",
+            "outside": {"cloud": "10.2.0.2:1", "state": "10.2.0.1:1"},
+            "known": others,
+            "facts": facts,
+        },
+        Settings,
+    )
 
 
 def job_spec(job_id: str, **changes: Any) -> dict[str, Any]:
-    spec = {"uid": job_id, "lane": "batch", "crew": "team", "shape": "array", "rank": "normal", "picks": 1,
-            "vcpus": 2.0, "gpus": 0.0, "memGb": 1.0, "kit": "img-1", "sizeGb": 1.0, "builds": None, "yard": None,
-            "together": False, "spread": False, "loaners": True, "expectS": 5.0, "markEveryS": 0.0,
-            "markCostS": 0.0, "dueS": None, "waitsOn": []}
+    spec = {
+        "uid": job_id,
+        "lane": "batch",
+        "crew": "team",
+        "shape": "array",
+        "rank": "normal",
+        "picks": 1,
+        "vcpus": 2.0,
+        "gpus": 0.0,
+        "memGb": 1.0,
+        "kit": "img-1",
+        "sizeGb": 1.0,
+        "builds": None,
+        "yard": None,
+        "together": False,
+        "spread": False,
+        "loaners": True,
+        "expectS": 5.0,
+        "markEveryS": 0.0,
+        "markCostS": 0.0,
+        "dueS": None,
+        "waitsOn": [],
+    }
     assert changes.keys() <= spec.keys(), f"no such field of a job: {sorted(changes.keys() - spec.keys())}"
     return {**spec, **changes}
