--- a/quinceslip/bench/capacity.py
+++ b/quinceslip/bench/capacity.py
@@ -1,8 +1,8 @@
 """How often many controllers ask the cloud for what it has not, and how soon they find what it has again.
 
-The real `CapacityObservations` of each controller, in virtual time, against a cloud whose kinds of machines run short and come back.
-All controllers want machines of every kind all the time, which is the worst there is. Heartbeats arrive at once, and
-some are lost. Counts repeat exactly for one seed.
+The real `CapacityObservations` of each controller, in virtual time, against a cloud whose kinds of machines run short
+and come back. All controllers want machines of every kind all the time, which is the worst there is. Heartbeats
+arrive at once, and some are lost. Counts repeat exactly for one seed.
 """
 
 import random
@@ -12,7 +12,7 @@
 from typing import Any
 
 from quinceslip import plotting
-from quinceslip.coordination.actor.context import SECOND
+from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.autoscaling.capacity import CapacityObservations, Kind
 from quinceslip.coordination.controller.controller import NEWS_US
 from quinceslip.protocol import frames
--- a/quinceslip/cli.py
+++ b/quinceslip/cli.py
@@ -243,7 +243,7 @@
 
 
 def _load(arguments: argparse.Namespace) -> tuple[Settings, Tuning, str, list[SubsystemFactory]]:
-    from quinceslip.coordination.actor.context import Timing
+    from quinceslip.coordination.actor.timing import Timing
 
     settings = load_settings(arguments.config)
     operators = read_operator_file(arguments.operator_config)
--- a/quinceslip/coordination/actor/__init__.py
+++ b/quinceslip/coordination/actor/__init__.py
@@ -1,1 +1,1 @@
-"""What every part of the controller actor shares: its context, its messages and effects, and the subsystem interface."""
+"""What the parts of the controller actor share: context, timing, messages and effects, and the subsystem interface."""
--- a/quinceslip/coordination/autoscaling/autoscaler.py
+++ b/quinceslip/coordination/autoscaling/autoscaler.py
@@ -7,16 +7,18 @@
 
 import msgspec
 
-from quinceslip.coordination.actor.context import SECOND, Context, micros
+from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.effects import Urgency
+from quinceslip.coordination.actor.timing import SECOND, micros
 from quinceslip.coordination.autoscaling.consolidation import Consolidator
 from quinceslip.coordination.autoscaling.inventory import MachineInventory
 from quinceslip.coordination.autoscaling.scale_out import ScaleOut
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.load_balancing.queueing_model import Station, credible, credible_rate
 from quinceslip.coordination.reconciliation.delivery import MAX_UNANSWERED_PROBES
+from quinceslip.coordination.shard.partition import JobPartition
 from quinceslip.coordination.shard.shard import Shard
-from quinceslip.coordination.shard.state import JobPartition, Worker, fits
+from quinceslip.coordination.shard.worker import Worker, fits
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 
--- a/quinceslip/coordination/autoscaling/consolidation.py
+++ b/quinceslip/coordination/autoscaling/consolidation.py
@@ -7,10 +7,11 @@
 
 import logging
 
-from quinceslip.coordination.actor.context import SECOND, Context, micros
+from quinceslip.coordination.actor.context import Context
+from quinceslip.coordination.actor.timing import SECOND, micros
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.shard.shard import Shard
-from quinceslip.coordination.shard.state import Attempt, Worker, fits
+from quinceslip.coordination.shard.worker import Attempt, Worker, fits
 
 log = logging.getLogger(__name__)
 
--- a/quinceslip/coordination/autoscaling/inventory.py
+++ b/quinceslip/coordination/autoscaling/inventory.py
@@ -5,8 +5,9 @@
 
 import msgspec
 
-from quinceslip.coordination.actor.context import SECOND, CompareAndSwapDone, Context, micros
+from quinceslip.coordination.actor.context import CompareAndSwapDone, Context
 from quinceslip.coordination.actor.effects import NOT_SENT, Urgency
+from quinceslip.coordination.actor.timing import SECOND, micros
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.shard.shard import Shard
 from quinceslip.protocol import messages as m
--- a/quinceslip/coordination/autoscaling/scale_out.py
+++ b/quinceslip/coordination/autoscaling/scale_out.py
@@ -7,8 +7,9 @@
 
 import msgspec
 
-from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.effects import Urgency
+from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.autoscaling.capacity import CapacityObservations
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.shard.shard import Shard
--- a/quinceslip/coordination/controller/controller.py
+++ b/quinceslip/coordination/controller/controller.py
@@ -3,7 +3,7 @@
 import logging
 from collections.abc import Iterable, Sequence
 
-from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.effects import (
     BatchEnd,
     CallResult,
@@ -19,6 +19,7 @@
     UserRequest,
 )
 from quinceslip.coordination.actor.subsystem import SubsystemFactory
+from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.autoscaling.autoscaler import Autoscaler
 from quinceslip.coordination.controller.user_requests import UserRequests
 from quinceslip.coordination.leadership.connectivity import WorkerConnectivity
@@ -30,7 +31,7 @@
 from quinceslip.protocol import frames
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import Settings, Tuning
-from quinceslip.storage import records
+from quinceslip.storage.cache import StoreCache
 
 log = logging.getLogger(__name__)
 
@@ -115,11 +116,11 @@
         keys = list(keys)
         # First who waits for whom: whether a job may start rests on the records of others in the same batch.
         pipelines = self.ctx.graph.records_changed(
-            [name for kind, name in map(records.StoreCache.split, keys) if kind == "job"]
+            [name for kind, name in map(StoreCache.split, keys) if kind == "job"]
         )
         for key in keys:
             self.ctx.records_applied += 1
-            kind, name = records.StoreCache.split(key)
+            kind, name = StoreCache.split(key)
             if kind == "job":
                 for shard in self.shards.values():
                     shard.persistence.load(name)
--- a/quinceslip/coordination/controller/user_requests.py
+++ b/quinceslip/coordination/controller/user_requests.py
@@ -6,9 +6,10 @@
 
 import msgspec
 
-from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.effects import Urgency, UserRequest
 from quinceslip.coordination.actor.subsystem import Subsystem
+from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.load_balancing.load_balancer import LoadBalancer
 from quinceslip.coordination.shard.shard import Shard
 from quinceslip.feature_gate import PIPELINES
--- a/quinceslip/coordination/jobs/persistence.py
+++ b/quinceslip/coordination/jobs/persistence.py
@@ -6,9 +6,11 @@
 
 import msgspec
 
-from quinceslip.coordination.actor.context import SECOND, micros
 from quinceslip.coordination.actor.effects import NOT_SENT, Urgency
-from quinceslip.coordination.shard.state import Attempt, JobPartition, ShardState
+from quinceslip.coordination.actor.timing import SECOND, micros
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard.worker import Attempt
 from quinceslip.crash_loops.detector import CrashLoopDetector
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import Objective
--- a/quinceslip/coordination/leadership/connectivity.py
+++ b/quinceslip/coordination/leadership/connectivity.py
@@ -15,9 +15,10 @@
 import logging
 from collections.abc import Iterable
 
-from quinceslip.coordination.actor.context import REPORT_WAIT_US, SECOND, Context
+from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.effects import Urgency
-from quinceslip.coordination.shard.state import Worker
+from quinceslip.coordination.actor.timing import HEARTBEAT_TIMEOUT_US, SECOND
+from quinceslip.coordination.shard.worker import Worker
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 
@@ -28,7 +29,7 @@
 #: while it stands aside, a controller asks one worker so often
 ASK_US = 2 * SECOND
 #: strays are written down so often while it is needed; what was written counts for twice as long
-WRITE_US = REPORT_WAIT_US
+WRITE_US = HEARTBEAT_TIMEOUT_US
 
 
 class WorkerConnectivity:
@@ -66,7 +67,7 @@
 
     def misrouted_counts(self) -> list[tuple[int, int]]:
         """Shard and number of workers that came here in vain lately: once at least while each tries all controllers."""
-        since_us = self.ctx.now_us - 2 * REPORT_WAIT_US
+        since_us = self.ctx.now_us - 2 * HEARTBEAT_TIMEOUT_US
         found = []
         for shard, workers in list(self._misrouted.items()):
             for name in [n for n, at_us in workers.items() if at_us < since_us]:
--- a/quinceslip/coordination/leadership/election.py
+++ b/quinceslip/coordination/leadership/election.py
@@ -10,8 +10,9 @@
 
 import msgspec
 
-from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.effects import NOT_SENT, Urgency
+from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.protocol import messages
 from quinceslip.storage import records
 
--- a/quinceslip/coordination/load_balancing/load_balancer.py
+++ b/quinceslip/coordination/load_balancing/load_balancer.py
@@ -4,11 +4,12 @@
 import math
 from dataclasses import dataclass
 
-from quinceslip.coordination.actor.context import SECOND, Context, micros
+from quinceslip.coordination.actor.context import Context
+from quinceslip.coordination.actor.timing import SECOND, micros
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.load_balancing import queueing_model
+from quinceslip.coordination.shard.partition import JobPartition
 from quinceslip.coordination.shard.shard import Shard
-from quinceslip.coordination.shard.state import JobPartition
 from quinceslip.protocol import frames
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
--- a/quinceslip/coordination/reconciliation/commands.py
+++ b/quinceslip/coordination/reconciliation/commands.py
@@ -9,11 +9,12 @@
 
 import msgspec
 
-from quinceslip.coordination.actor.context import SECOND
 from quinceslip.coordination.actor.effects import NOT_SENT
+from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.jobs.persistence import JobPersistence
 from quinceslip.coordination.reconciliation.delivery import MAX_UNANSWERED_PROBES
-from quinceslip.coordination.shard.state import Attempt, ShardState, Worker
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 
--- a/quinceslip/coordination/reconciliation/reconciler.py
+++ b/quinceslip/coordination/reconciliation/reconciler.py
@@ -13,9 +13,12 @@
 
 import logging
 
-from quinceslip.coordination.actor.context import REPORT_WAIT_US, SECOND, Context, micros
+from quinceslip.coordination.actor.context import Context
+from quinceslip.coordination.actor.timing import HEARTBEAT_TIMEOUT_US, SECOND, micros
 from quinceslip.coordination.leadership.election import LeaderElection
-from quinceslip.coordination.shard.state import Attempt, JobPartition, ShardState, Worker
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
@@ -116,7 +119,7 @@
         self._reconcile_attempts(worker)
         if self.previous_own_term and not worker.fenced and heartbeat.fencing_token >= self.previous_own_term:
             # It had seen the term of our earlier life, so it has dropped all answers but that one's, which has ended.
-            ended_us = self.led_since_us + REPORT_WAIT_US
+            ended_us = self.led_since_us + HEARTBEAT_TIMEOUT_US
             if worker.lease_renewed_us == worker.predecessor_renewed_us:
                 worker.lease_renewed_us = min(worker.lease_renewed_us, ended_us)
             worker.predecessor_renewed_us = min(worker.predecessor_renewed_us, ended_us)
--- a/quinceslip/coordination/scheduling/ageing.py
+++ b/quinceslip/coordination/scheduling/ageing.py
@@ -14,8 +14,10 @@
 import logging
 from collections.abc import Iterable
 
-from quinceslip.coordination.actor.context import SECOND, Context, micros
-from quinceslip.coordination.shard.state import NOT, OLD, ONE, WHOLE, JobPartition, Worker, fits
+from quinceslip.coordination.actor.context import Context
+from quinceslip.coordination.actor.timing import SECOND, micros
+from quinceslip.coordination.shard.partition import NOT, OLD, ONE, WHOLE, JobPartition
+from quinceslip.coordination.shard.worker import Worker, fits
 
 log = logging.getLogger(__name__)
 
--- a/quinceslip/coordination/scheduling/candidates.py
+++ b/quinceslip/coordination/scheduling/candidates.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from quinceslip.coordination.shard.state import Worker
+from quinceslip.coordination.shard.worker import Worker
 
 
 class UsabilityCheck(Protocol):
--- a/quinceslip/coordination/scheduling/deadline_order.py
+++ b/quinceslip/coordination/scheduling/deadline_order.py
@@ -8,8 +8,8 @@
 
 import heapq
 
-from quinceslip.coordination.actor.context import SECOND, micros
-from quinceslip.coordination.shard.state import JobPartition
+from quinceslip.coordination.actor.timing import SECOND, micros
+from quinceslip.coordination.shard.partition import JobPartition
 
 #: estimates are often wrong by half: a job is only given up on when this part of its run time is too long
 LATE_PART = 0.5
--- a/quinceslip/coordination/scheduling/placement.py
+++ b/quinceslip/coordination/scheduling/placement.py
@@ -9,10 +9,12 @@
 from collections import deque
 from collections.abc import Iterable
 
-from quinceslip.coordination.actor.context import SECOND
+from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.scheduling.ageing import Ageing
 from quinceslip.coordination.scheduling.candidates import CandidateMachines
-from quinceslip.coordination.shard.state import EPSILON, NOT, ONE, Attempt, JobPartition, ShardState, Worker, fits
+from quinceslip.coordination.shard.partition import NOT, ONE, JobPartition
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard.worker import EPSILON, Attempt, Worker, fits
 from quinceslip.protocol import messages as m
 from quinceslip.storage import task_sets
 
--- a/quinceslip/coordination/shard/shard.py
+++ b/quinceslip/coordination/shard/shard.py
@@ -5,15 +5,17 @@
 
 import msgspec
 
-from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.effects import Urgency
+from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.jobs.persistence import JobPersistence
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.reconciliation.commands import CommandSender
 from quinceslip.coordination.reconciliation.reconciler import Reconciler
 from quinceslip.coordination.scheduling.deadline_order import order_by_deadline
 from quinceslip.coordination.scheduling.placement import Placement
-from quinceslip.coordination.shard.state import Attempt, JobPartition, Worker
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 
--- a/quinceslip/dependencies/cancellation.py
+++ b/quinceslip/dependencies/cancellation.py
@@ -8,8 +8,9 @@
 
 from collections.abc import Callable
 
-from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.effects import Urgency
+from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.dependencies.graph import Graph
 from quinceslip.protocol.messages import CANCELLED
 from quinceslip.storage import records
--- a/quinceslip/feature_gate/gate.py
+++ b/quinceslip/feature_gate/gate.py
@@ -17,8 +17,9 @@
 
 import logging
 
-from quinceslip.coordination.actor.context import SECOND, CompareAndSwapDone, Context
+from quinceslip.coordination.actor.context import CompareAndSwapDone, Context
 from quinceslip.coordination.actor.effects import Urgency
+from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.feature_gate import CURRENT
 from quinceslip.storage import records
--- a/quinceslip/models/gap.py
+++ b/quinceslip/models/gap.py
@@ -1,16 +1,16 @@
 """Explores every history of a cancellation that the owner of a task cannot hear of, or could and not pass on.
 
-What is real: the periods (`Timing`), what an owner may do (`LeaderElection.may_launch`, `LeaderElection.answering`) and what its
-answers say (`CommandSender.orders`). What is modelled: one owner, one worker with a task that never ends (it runs, or its
-launch is on its way and arrives when it likes within the session), and a peer that confirms a cancellation at any
-moment. All of it in steps of one unit of time, in every order. Whoever plays against the service decides whether a
-renewal or a watch is answered: one that is not may have been refused to the owner alone, lost, or be part of an outage,
-after which each lease has its full time again, so the owner never loses its shard here. An open watch may end with no
-more than what was when it was sent. Reports and answers are lost at will, and the owner ends and is back at once
-without knowing its earlier contact.
-
-Checked: no task of a cancelled job is on the worker once `cancel_s` is over, counted from the confirmation. The search
-is exhaustive: ages beyond what matters count as one, so there is no bound in depth.
+What is real: the periods (`Timing`), what an owner may do (`LeaderElection.may_launch`, `LeaderElection.answering`)
+and what its answers say (`CommandSender.orders`). What is modelled: one owner, one worker with a task that never ends
+(it runs, or its launch is on its way and arrives when it likes within the session), and a peer that confirms a
+cancellation at any moment. All of it in steps of one unit of time, in every order. Whoever plays against the service
+decides whether a renewal or a watch is answered: one that is not may have been refused to the owner alone, lost, or
+be part of an outage, after which each lease has its full time again, so the owner never loses its shard here. An open
+watch may end with no more than what was when it was sent. Reports and answers are lost at will, and the owner ends
+and is back at once without knowing its earlier contact.
+
+Checked: no task of a cancelled job is on the worker once `cancel_s` is over, counted from the confirmation. The
+search is exhaustive: ages beyond what matters count as one, so there is no bound in depth.
 """
 
 from collections import deque
@@ -21,11 +21,12 @@
 
 import msgspec
 
-from quinceslip.coordination.actor.context import SECOND, Timing
+from quinceslip.coordination.actor.timing import SECOND, Timing
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.reconciliation.commands import CommandSender
 from quinceslip.coordination.reconciliation.reconciler import Reconciler
-from quinceslip.coordination.shard.state import Attempt, JobPartition, Worker
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.worker import Attempt, Worker
 from quinceslip.models.takeover import JOB_ID, SPEC, Found
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import Settings
--- a/quinceslip/models/takeover.py
+++ b/quinceslip/models/takeover.py
@@ -1,11 +1,11 @@
 """Explores exhaustively, to a stated depth, what one shard's owner and its workers can do to each other.
 
 What is real: `Reconciler` (reports, inheritance, ends) and `CommandSender` (answers to reports, direct commands).
-What is modelled: workers that keep to the protocol's tokens, sessions and leases, a network that holds back
-reports and direct commands for as long as it likes, answers that are lost, owners that end and are followed
-by another under a higher term, and a state service that keeps what is done: it carries out writes that were never
-answered when it likes, if their conditions (`JobPersistence`: the shard's record and the job's) still hold. Placement is
-free: a waiting task may go to any worker that has shown the term.
+What is modelled: workers that keep to the protocol's tokens, sessions and leases, a network that holds back reports
+and direct commands for as long as it likes, answers that are lost, owners that end and are followed by another under
+a higher term, and a state service that keeps what is done: it carries out writes that were never answered when it
+likes, if their conditions (`JobPersistence`: the shard's record and the job's) still hold. Placement is free: a
+waiting task may go to any worker that has shown the term.
 
 Checked in every state: no task lives on two workers, none is started after its result was recorded, no result
 is dropped by its worker before that, and from here every task can still be done when the trouble is over.
@@ -13,6 +13,7 @@
 States are rebuilt by playing their history from the start, so that callbacks on their way are as real as the
 rest. Terms, attempts and sequence numbers count by their order only, so histories that differ in nothing
 else are one state.
+
 """
 
 from collections import deque
@@ -27,7 +28,9 @@
 from quinceslip.coordination.reconciliation.commands import CommandSender
 from quinceslip.coordination.reconciliation.delivery import MAX_UNACKNOWLEDGED, MAX_UNANSWERED_PROBES
 from quinceslip.coordination.reconciliation.reconciler import Reconciler
-from quinceslip.coordination.shard.state import ALL_GUARDS, Attempt, JobPartition, Worker
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.state import ALL_GUARDS
+from quinceslip.coordination.shard.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.storage.records import JobRecord
 
--- a/quinceslip/quota/admission.py
+++ b/quinceslip/quota/admission.py
@@ -9,8 +9,10 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from quinceslip.coordination.actor.context import SECOND
-from quinceslip.coordination.shard.state import Attempt, JobPartition, ShardState, Worker, fits
+from quinceslip.coordination.actor.timing import SECOND
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard.worker import Attempt, Worker, fits
 from quinceslip.protocol import messages as m
 from quinceslip.quota.allocations import Allocations
 from quinceslip.quota.fair_share_order import FairShareOrder
--- a/quinceslip/quota/allocation_manager.py
+++ b/quinceslip/quota/allocation_manager.py
@@ -13,9 +13,10 @@
 
 import msgspec
 
-from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.effects import NOT_SENT, Urgency
 from quinceslip.coordination.actor.subsystem import Subsystem, SubsystemFactory
+from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.shard.shard import Shard
 from quinceslip.protocol import messages as m
--- a/quinceslip/quota/allocations.py
+++ b/quinceslip/quota/allocations.py
@@ -7,6 +7,7 @@
 from quinceslip.quota.allocation import Allocation, GrantRecord
 from quinceslip.quota.tree import Tree
 from quinceslip.storage import records
+from quinceslip.storage.cache import StoreCache
 
 GRANT, WANT, TREE = "grant", "want", "tree"
 CAP, OWN = "cap", "own"
@@ -52,7 +53,7 @@
 class Allocations:
     """Made as they are asked for: thousands of levels that nobody uses cost nothing."""
 
-    def __init__(self, tree: Tree, cache: records.StoreCache) -> None:
+    def __init__(self, tree: Tree, cache: StoreCache) -> None:
         self.tree = tree
         self.cache = cache
         self.by_name: dict[str, Allocation] = {}
--- a/quinceslip/quota/bench.py
+++ b/quinceslip/quota/bench.py
@@ -11,9 +11,12 @@
 
 import msgspec
 
-from quinceslip.coordination.actor.context import SECOND, Context
+from quinceslip.coordination.actor.context import Context
+from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.scheduling.placement import Placement
-from quinceslip.coordination.shard.state import Attempt, JobPartition, ShardState, Worker
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import Settings, Tuning
 from quinceslip.quota.admission import QuotaAdmission
@@ -103,10 +106,10 @@
             job_class="c",
             team=team,
             kind=kind,  # type: ignore[arg-type]
-            priority_class=priority_class,
+            priority_class=priority_class,  # type: ignore[arg-type]
             tasks=tasks,
             cpus=cpus,
-            gpus=0.0,  # type: ignore[arg-type]
+            gpus=0.0,
             memory_gb=0.0,
             image="i",
             image_gb=0.0,
--- a/quinceslip/quota/fair_share_order.py
+++ b/quinceslip/quota/fair_share_order.py
@@ -4,7 +4,9 @@
 from collections.abc import Iterable, Iterator, Sequence
 from itertools import groupby, islice
 
-from quinceslip.coordination.shard.state import JobPartition, ShardState, Worker
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard.worker import Worker
 from quinceslip.quota.allocations import Allocations
 from quinceslip.quota.max_min import divide
 from quinceslip.quota.tree import (
--- a/quinceslip/quota/preemption.py
+++ b/quinceslip/quota/preemption.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from quinceslip.coordination.shard.state import EPSILON, Attempt, Worker
+from quinceslip.coordination.shard.worker import EPSILON, Attempt, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.quota.tree import ZERO, Amounts, add, within
 
--- a/quinceslip/quota/usage.py
+++ b/quinceslip/quota/usage.py
@@ -3,7 +3,8 @@
 from collections.abc import Container, Iterable
 from dataclasses import dataclass, field
 
-from quinceslip.coordination.shard.state import Attempt, ShardState, Worker
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.quota.allocation import may_start
 from quinceslip.quota.allocations import Allocations
--- a/quinceslip/service.py
+++ b/quinceslip/service.py
@@ -4,9 +4,9 @@
 import threading
 from collections.abc import Sequence
 
-from quinceslip.coordination.actor.context import SECOND, Timing
 from quinceslip.coordination.actor.effects import Call, Effect, PeerFrameReceived, Reply
 from quinceslip.coordination.actor.subsystem import SubsystemFactory
+from quinceslip.coordination.actor.timing import SECOND, Timing
 from quinceslip.coordination.controller.controller import Controller
 from quinceslip.protocol.settings import Settings, Tuning, split_address
 from quinceslip.storage.watch import Watch
--- a/tests/test_golden_samples.py
+++ b/tests/test_golden_samples.py
@@ -26,7 +26,6 @@
 import msgspec
 import pytest
 
-# Adapter: the names of the program. A rename edits this block and nothing else.
 from quinceslip.cli import main as command_line
 from quinceslip.liveness import stall_records
 from quinceslip.protocol import frames
@@ -39,6 +38,9 @@
 from quinceslip.quota.status_page import page as quota_page
 from quinceslip.storage import records, task_sets
 
+# Adapter: the names of the program. A rename edits this block and nothing else.
+from quinceslip.storage.cache import StoreCache
+
 SAMPLES = Path(__file__).resolve().parent / "samples" / "golden"
 ROOT = Path(__file__).resolve().parents[1]
 
@@ -115,7 +117,7 @@
     "key of standstill": stall_records.key,
     "key of want": allocations.want_key,
     "name of grant": allocations.grant_name,
-    "kind and name of key": records.StoreCache.split,
+    "kind and name of key": StoreCache.split,
     "other keys": lambda: [
         records.PREFIX,
         records.TERM,
@@ -208,7 +210,7 @@
     """The quota tree of an operators' file, with the teams of `full.toml` and one stored grant of level guild."""
     tree = load_tree(read_operator_file(path), load_settings(SAMPLES / "full.toml").facts.teams, str(path), True)
     assert tree is not None
-    cache = records.StoreCache()
+    cache = StoreCache()
     cache.register_kind(AllocationManager.kinds)
     grant = {"version": 1, "total": [9000, 0, 0, 0], "parts": {"0": [4000, 0, 0, 0], "2": [6000, 0, 0, 0]}}
     cache.store(
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -14,7 +14,8 @@
 from quinceslip.protocol import frames
 from quinceslip.protocol import messages as m
 from quinceslip.quota.allocation_manager import AllocationManager
-from quinceslip.storage.records import KINDS, JobRecord, PartitionRecord, StoreCache, final_record
+from quinceslip.storage.cache import StoreCache
+from quinceslip.storage.records import KINDS, JobRecord, PartitionRecord, final_record
 from tests.world import job_spec
 
 SAMPLES = json.loads((Path(__file__).parent / "samples" / "production.json").read_text(encoding="utf-8"))
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -50,7 +50,7 @@
     wait_probability,
 )
 from quinceslip.coordination.scheduling.deadline_order import order_by_deadline
-from quinceslip.coordination.shard.state import JobPartition
+from quinceslip.coordination.shard.partition import JobPartition
 from quinceslip.feature_gate import PIPELINES
 from quinceslip.liveness import stall_records
 from quinceslip.liveness.stall_detector import Sample, StallDetector
@@ -63,7 +63,8 @@
 from quinceslip.quota.model import explore
 from quinceslip.quota.plots import merged
 from quinceslip.storage import task_sets
-from quinceslip.storage.records import JobRecord, StallRecord, StoreCache
+from quinceslip.storage.cache import StoreCache
+from quinceslip.storage.records import JobRecord, StallRecord
 from quinceslip.transport.actor import ActorThread
 from quinceslip.transport.clients import Budget, Pool
 from tests.checker import SILENT_S, WAIT_S, Checker
--- a/tests/test_supply_properties.py
+++ b/tests/test_supply_properties.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quinceslip.coordination.actor.context import SECOND
+from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.autoscaling.capacity import (
     MAX_BACKOFF_US,
     MIN_BACKOFF_US,
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quinceslip.coordination.actor.context import DRIFT, SECOND, Timing
+from quinceslip.coordination.actor.timing import DRIFT, SECOND, Timing
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.protocol.settings import SettingsError
 from tests.test_scenarios import Runner
--- a/tests/world.py
+++ b/tests/world.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from quinceslip.coordination.actor import effects as fx
-from quinceslip.coordination.actor.context import SECOND
+from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.controller.controller import Controller
 from quinceslip.protocol import frames
 from quinceslip.protocol import messages as m
