--- a/quinceslip/coordination/controller/user_requests.py
+++ b/quinceslip/coordination/controller/user_requests.py
@@ -88,7 +88,7 @@
             return m.job_answer(job_id, m.CANCELLED, 0, 0)
         partitions = [s.partitions[job_id] for s in self.shards.values() if job_id in s.partitions]
         running = sum(a.state == m.RUNNING for c in partitions for a in c.attempts.values())
-        done = records.done_count(self.ctx.cache, job_id)
+        done = self.ctx.cache.done_count(job_id)
         why = next((c.crash_loop.reason() for c in partitions if c.crash_loop.suspected), None)
         return m.job_answer(job_id, m.RUNNING if running else m.QUEUED, done, running, why)
 
@@ -301,7 +301,7 @@
         ]
         most = ctx.limits.txn_ops - 1  # nobody reads the parts of a job that is over
         key = records.job_key(job_id)
-        final = records.final_record(job, m.CANCELLED, records.done_count(ctx.cache, job_id))
+        final = records.final_record(job, m.CANCELLED, ctx.cache.done_count(job_id))
 
         def done(status: int, failed: list[str]) -> None:
             if status == 200:
--- a/quinceslip/coordination/jobs/persistence.py
+++ b/quinceslip/coordination/jobs/persistence.py
@@ -279,7 +279,7 @@
             return
         if len(partition.done) < len(partition.assigned):
             return
-        count = records.done_count(cache, job_id)
+        count = cache.done_count(job_id)
         if count == job.tasks:
             self._finish(partition, job, count)
 
--- a/quinceslip/storage/cache.py
+++ b/quinceslip/storage/cache.py
@@ -7,6 +7,7 @@
 import msgspec
 
 from quinceslip.protocol.messages import QUEUED, Event, Item
+from quinceslip.storage import task_sets
 from quinceslip.storage.records import ADVISORY, KINDS, JobRecord, PartitionRecord, ShardRecord
 
 log = logging.getLogger(__name__)
@@ -147,3 +148,7 @@
             return {}
         found = {shard: self.partition(shard, job_id) for shard in {job.shard, *job.parts}}
         return {shard: partition for shard, partition in found.items() if partition is not None}
+
+    def done_count(self, job_id: str) -> int:
+        """How many tasks of a job are recorded as done, over all its partitions."""
+        return sum(len(task_sets.decode(partition.done)) for partition in self.partitions(job_id).values())
--- a/quinceslip/storage/records.py
+++ b/quinceslip/storage/records.py
@@ -21,8 +21,6 @@
 import msgspec
 
 from quinceslip.protocol.messages import CANCELLED, DONE, JobSpec, MachineType
-from quinceslip.storage import task_sets
-from quinceslip.storage.cache import StoreCache
 
 log = logging.getLogger(__name__)
 
@@ -170,7 +168,3 @@
 def final_record(job: JobRecord, state: str, done: int, at_us: int = 0) -> JobRecord:
     """What is kept of a job for ever: enough to answer its users, and since when those may start that needed it."""
     return JobRecord(state=state, tasks=job.tasks, done=done, at_us=at_us)
-
-
-def done_count(cache: StoreCache, job_id: str) -> int:
-    return sum(len(task_sets.decode(partition.done)) for partition in cache.partitions(job_id).values())
