--- /dev/null
+++ b/quinceslip/protocol/messages/fields.py
@@ -0,0 +1,13 @@
+"""Bounds that several messages share for their fields."""
+
+from typing import Annotated
+
+from msgspec import Meta
+
+#: the largest request body that is read, in bytes (PROTOCOL)
+MAX_BODY = 64 * 1024
+
+UnsignedInteger = Annotated[int, Meta(ge=0)]
+Amount = Annotated[float, Meta(ge=0)]
+Text = Annotated[str, Meta(min_length=1, max_length=200)]
+JobId = Annotated[str, Meta(pattern=r"^req-[0-9]{1,32}$")]
