--- /dev/null
+++ b/quinceslip/cli/quota.py
@@ -0,0 +1,109 @@
+"""`quinceslip quota ...`: check a tree of quotas, or show, record and plot it as controllers see it."""
+
+import argparse
+from pathlib import Path
+
+from quinceslip.cli.common import Subcommands, add_output
+
+
+def add_commands(commands: Subcommands) -> None:
+    """Add `quota` with its subcommands."""
+    quota = commands.add_parser("quota", help="check a tree of quotas, or show it as a controller sees it")
+    parts = quota.add_subparsers(dest="part", required=True, metavar="COMMAND")
+    _add_check(parts)
+    _add_show(parts)
+    _add_record(parts)
+    _add_plot(parts)
+    _add_bench(parts)
+
+
+def _add_check(parts: Subcommands) -> None:
+    command = parts.add_parser("check", help="check the tree in an operators' file")
+    command.add_argument("file", type=Path, metavar="FILE")
+    command.add_argument(
+        "--config",
+        type=Path,
+        metavar="FILE",
+        help="the platform's settings, for its teams; else levels with none beneath them are teams",
+    )
+    command.set_defaults(act=quota_check)
+
+
+def _add_show(parts: Subcommands) -> None:
+    command = parts.add_parser("show", help="the tree as a controller sees it")
+    command.add_argument("--from", dest="address", required=True, metavar="ADDRESS", help="a controller's api_addr")
+    command.add_argument("--json", action="store_true", help="one JSON object instead of a table")
+    command.set_defaults(act=quota_show)
+
+
+def _add_record(parts: Subcommands) -> None:
+    command = parts.add_parser("record", help="write samples of the tree while a run goes on")
+    command.add_argument(
+        "--from",
+        dest="address",
+        required=True,
+        action="append",
+        metavar="ADDRESS",
+        help="a controller's api_addr; give it once for each controller",
+    )
+    command.add_argument("--every", type=float, default=1.0, metavar="SECONDS")
+    command.add_argument("--for", dest="length", type=float, default=60.0, metavar="SECONDS")
+    add_output(command, required=True)
+    command.set_defaults(act=quota_record)
+
+
+def _add_plot(parts: Subcommands) -> None:
+    command = parts.add_parser("plot", help="one HTML page of such samples (needs requirements-plots.txt)")
+    command.add_argument("file", type=Path, metavar="FILE")
+    add_output(command, required=True)
+    command.add_argument("--resource", default="cpus")
+    command.set_defaults(act=quota_plot)
+
+
+def _add_bench(parts: Subcommands) -> None:
+    command = parts.add_parser("bench", help="what a pass costs with and without a tree, in one run")
+    command.add_argument("--leaves", type=int, default=5000)
+    command.add_argument("--machines", type=int, default=300)
+    command.set_defaults(act=quota_bench)
+
+
+def quota_check(arguments: argparse.Namespace) -> int:
+    """Check the tree in an operators' file."""
+    from quinceslip.quota.commands import check_file
+
+    print(check_file(arguments.file, arguments.config))
+    return 0
+
+
+def quota_show(arguments: argparse.Namespace) -> int:
+    """Print the tree as a controller sees it."""
+    from quinceslip.quota.commands import fetch, lines
+
+    for line in lines(fetch(arguments.address), arguments.json):
+        print(line)
+    return 0
+
+
+def quota_record(arguments: argparse.Namespace) -> int:
+    """Write samples of the tree to a file."""
+    from quinceslip.quota.commands import record_to
+
+    print(record_to(arguments.output, arguments.address, arguments.every, arguments.length))
+    return 0
+
+
+def quota_plot(arguments: argparse.Namespace) -> int:
+    """Draw recorded samples."""
+    from quinceslip.quota.plots import write_page
+
+    print(write_page(arguments.file, arguments.output, arguments.resource))
+    return 0
+
+
+def quota_bench(arguments: argparse.Namespace) -> int:
+    """Print what a pass costs with and without a tree."""
+    from quinceslip.quota.commands import bench_lines
+
+    for line in bench_lines(arguments.leaves, arguments.machines):
+        print(line)
+    return 0
