--- a/quinceslip/service.py
+++ b/quinceslip/service.py
@@ -13,8 +13,9 @@
 from quinceslip.transport.actor import ActorThread
 from quinceslip.transport.clients import Budget, Pool
 from quinceslip.transport.clock import steady_us, wall_us
-from quinceslip.transport.http_server import ApiServer, Replies
+from quinceslip.transport.http_server import ApiServer
 from quinceslip.transport.peers import PeerLink, PeerServer
+from quinceslip.transport.replies import Replies
 
 log = logging.getLogger(__name__)
 
@@ -88,7 +89,7 @@
 
     def run(self) -> None:
         log.info("%s serves users and workers on %s", self.settings.label, self.settings.api_addr)
-        self.api.serve_forever(poll_interval=5.0)
+        self.api.serve_forever()
 
 
 def void(_: object) -> None:
--- a/quinceslip/transport/http_server.py
+++ b/quinceslip/transport/http_server.py
@@ -1,15 +1,9 @@
-"""HTTP for users, workers and health checks, on `http.server`.
+"""The HTTP API for users, workers and health checks: its paths, on the request parser of `http.server`."""
 
-A thread serves one connection. Their number is bounded; at the bound the connection that has been
-quiet longest is closed, never one of a worker, so that slow clients cannot starve reports.
-"""
-
-import itertools
 import logging
 import socket
-import threading
 from collections.abc import Callable, Sequence
-from http.server import BaseHTTPRequestHandler, HTTPServer
+from http.server import BaseHTTPRequestHandler
 from typing import Any
 from urllib.parse import parse_qs
 
@@ -18,54 +12,52 @@
 from quinceslip.coordination.effects import Asked, Reply, Reported, UserRequest
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import split_address
-from quinceslip.transport.clock import steady_us
+from quinceslip.transport.connections import Connection, ConnectionTable
+from quinceslip.transport.event_loop import EventLoop
 from quinceslip.transport.headers import HeaderError, read_headers
+from quinceslip.transport.replies import Replies
 
 log = logging.getLogger(__name__)
 
-IDLE_S = 20.0
-ANSWER_S = 4.5
-_report_decoder = msgspec.json.Decoder(m.WorkerReport)
-
-
-class Replies:
-    """Hands the actor's replies to the threads that wait for them."""
+SECOND_US = 1_000_000
+#: a connection has so long to begin a request, so long to send all of it, and so long to take the answer
+IDLE_TIMEOUT_S = 20.0
+#: how long the actor may take for its reply; then the answer is 503
+USER_REPLY_TIMEOUT_S = 4.5
+HEARTBEAT_REPLY_TIMEOUT_S = 3.0
+READY_REPLY_TIMEOUT_S = 0.9
+#: connections that the kernel holds until they are accepted
+LISTEN_BACKLOG = 128
 
-    def __init__(self, post: Callable[[Any], bool]) -> None:
-        self._post = post
-        self._ids = itertools.count(1)
-        self._waiting: dict[int, tuple[threading.Lock, list[Reply]]] = {}
-
-    def ask(self, make: Callable[[int], Any], timeout_s: float) -> Reply | None:
-        number = next(self._ids)
-        answered = threading.Lock()  # held until the answer is there; an Event is three times as dear
-        answered.acquire()
-        slot: list[Reply] = []
-        self._waiting[number] = (answered, slot)
-        try:
-            if not self._post(make(number)) or not answered.acquire(timeout=timeout_s):
-                return None
-            return slot[0]
-        finally:
-            self._waiting.pop(number, None)
+_report_decoder = msgspec.json.Decoder(m.WorkerReport)
 
-    def give(self, reply: Reply) -> None:
-        found = self._waiting.get(reply.request)
-        if found is not None and not found[1]:
-            found[1].append(reply)
-            found[0].release()
 
+class RequestHandler(BaseHTTPRequestHandler):
+    """Reads one request and answers it, at once or when the actor's reply is there (`PendingRequest`)."""
 
-class Handler(BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.1"
     server_version = "quinceslip"
     sys_version = ""
-    disable_nagle_algorithm = True
-    timeout = IDLE_S
-    wbufsize = -1  # one packet for each answer
-    server: "ApiServer"
     raw_requestline: bytes
 
+    def __init__(self, connection: Connection, api: "ApiServer") -> None:
+        # Not the base class's, which would serve the whole connection at once.
+        self.api = api
+        self.peer = connection
+        self.client_address = connection.address
+        self.rfile = connection.incoming  # type: ignore[assignment]
+        self.wfile = connection.outgoing  # type: ignore[assignment]
+        self.close_connection = True
+        self.request_number: int | None = None
+        self.reply_timeout_us = 0
+
+    def answer(self, reply: Reply | None) -> None:
+        """Write the answer that the actor gave; None where it gave none in time."""
+        if reply is None:
+            self._send(503, {"error": "busy"}, {"Retry-After": "1"})
+        else:
+            self._send(reply.status, reply.body, reply.headers)
+
     def log_message(self, format: str, *args: Any) -> None:
         log.debug("%s: " + format, self.client_address[0], *args)
 
@@ -78,15 +70,11 @@
             lines.append("Connection: close")
         payload = b"" if self.command == "HEAD" else data
         self.wfile.write("\r\n".join(lines).encode() + b"\r\n\r\n" + payload)
-        self.wfile.flush()
 
     def send_error(self, code: int, message: str | None = None, explain: str | None = None) -> None:
         self.close_connection = True
         self.command = getattr(self, "command", None) or "GET"
-        try:
-            self._send(int(code), {"error": message or "bad request"})
-        except OSError:
-            pass
+        self._send(int(code), {"error": message or "bad request"})
 
     def _body(self) -> bytes | None:
         """The body; None after an error was answered. Nothing over the limit is read."""
@@ -108,7 +96,6 @@
 
     def parse_request(self) -> bool:
         """`http.server`'s, with a reader of its own for the header lines (`transport/headers.py`)."""
-        self.server.active(self.connection)
         self.command, self.close_connection = "", True
         self.requestline = self.raw_requestline.decode("latin-1").rstrip("\r\n")
         words = self.requestline.split()
@@ -128,9 +115,10 @@
         connection = (found.get("connection") or "").lower()
         self.close_connection = connection == "close" or (
             self.request_version == "HTTP/1.0" and connection != "keep-alive")
-        if (found.get("expect") or "").lower() == "100-continue" and self.request_version != "HTTP/1.0":
+        if (found.get("expect") or "").lower() == "100-continue" and self.request_version != "HTTP/1.0" \
+                and not self.peer.continue_sent:
             self.wfile.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-            self.wfile.flush()
+            self.peer.continue_sent = True  # the header is read again when the body has arrived
         return True
 
     def _serve(self) -> None:
@@ -139,57 +127,55 @@
             return
         path = self.path.partition("?")[0]
         if path == m.PATH_REPORT:
-            self._report(body)
+            self._heartbeat(body)
         elif path == m.PATH_READY:
             if self._allow("GET"):
-                self._ask(lambda n: UserRequest(n, "ready"), 0.9)
+                self._ask(lambda n: UserRequest(n, "ready"), READY_REPLY_TIMEOUT_S)
         elif path == m.PATH_JOBS:
             if self._allow("POST"):
                 self._submit(body)
         elif path.startswith(m.PATH_JOBS + "/"):
-            uid = path[len(m.PATH_JOBS) + 1:]
-            if uid.endswith(m.CANCEL_END):
-                uid = uid[: -len(m.CANCEL_END)]
-                if "/" in uid or not uid:
-                    self._send(404, {"error": "no such path"})
-                elif self._allow("POST"):
-                    self._ask(lambda n: UserRequest(n, "cancel", uid), ANSWER_S)
-            elif "/" in uid or not uid:
-                self._send(404, {"error": "no such path"})
-            elif self._allow("GET"):
-                self._ask(lambda n: UserRequest(n, "poll", uid), ANSWER_S)
-        elif path in self.server.questions:
+            self._poll_or_cancel(path.removeprefix(m.PATH_JOBS + "/"))
+        elif path in self.api.questions:
             if self._allow("GET"):
                 after = parse_qs(self.path.partition("?")[2]).get("after", [""])[0]
-                self._ask(lambda n: Asked(n, path[1:], after), ANSWER_S)
+                self._ask(lambda n: Asked(n, path[1:], after), USER_REPLY_TIMEOUT_S)
         else:
             self._send(404, {"error": "no such path"})
 
+    def _poll_or_cancel(self, path: str) -> None:
+        job_id = path.removesuffix(m.CANCEL_END)
+        verb, method = ("poll", "GET") if job_id == path else ("cancel", "POST")
+        if not job_id or "/" in job_id:
+            self._send(404, {"error": "no such path"})
+        elif self._allow(method):
+            self._ask(lambda n: UserRequest(n, verb, job_id), USER_REPLY_TIMEOUT_S)
+
     def _allow(self, method: str) -> bool:
         if self.command == method or (method == "GET" and self.command == "HEAD"):
             return True
         self._send(405, {"error": "method not allowed"}, {"Allow": method})
         return False
 
-    def _ask(self, make: Callable[[int], Any], timeout_s: float) -> None:
-        reply = self.server.replies.ask(make, timeout_s)
-        if reply is None:
-            self._send(503, {"error": "busy"}, {"Retry-After": "1"})
-        else:
-            self._send(reply.status, reply.body, reply.headers)
+    def _ask(self, make_message: Callable[[int], Any], timeout_s: float) -> None:
+        """Ask the actor; the answer follows by `answer`."""
+        self.request_number = self.api.replies.ask(make_message)
+        self.reply_timeout_us = int(timeout_s * SECOND_US)
+        if self.request_number is None:
+            self.answer(None)
 
     def _submit(self, body: bytes) -> None:
         spec = m.read_submission(body)
         if isinstance(spec, m.Malformed):
             if spec.uid:
                 # Guard: a repeat of an accepted job gets its state, however it is written; 400 would be for ever.
-                self._ask(lambda n: UserRequest(n, "malformed", spec.uid, spec), ANSWER_S)
+                self._ask(lambda n: UserRequest(n, "malformed", spec.uid, spec), USER_REPLY_TIMEOUT_S)
             else:
                 self._send(400, {"error": spec.why})
             return
-        self._ask(lambda n: UserRequest(n, "submit", spec.uid, spec), ANSWER_S)
+        self._ask(lambda n: UserRequest(n, "submit", spec.uid, spec), USER_REPLY_TIMEOUT_S)
 
-    def _report(self, body: bytes) -> None:
+    def _heartbeat(self, body: bytes) -> None:
         if not self._allow("POST"):
             return
         try:
@@ -199,77 +185,45 @@
             log.error("malformed report from %s: %s", self.client_address[0], error)
             self._send(400, {"error": str(error)})
             return
-        self.server.is_worker(self.connection)
-        self._ask(lambda n: Reported(n, report), 3.0)
+        self.api.mark_worker(self.peer)
+        self._ask(lambda n: Reported(n, report), HEARTBEAT_REPLY_TIMEOUT_S)
 
     do_GET = do_POST = do_PUT = do_DELETE = do_HEAD = do_PATCH = do_OPTIONS = _serve
 
 
-class ApiServer(HTTPServer):
-    """Bounded threads, one for each connection."""
+class ApiServer:
+    """Listens on an address and serves the HTTP API there, all connections in the thread of `serve_forever`."""
 
-    request_queue_size = 128
-    allow_reuse_address = True
-
-    def __init__(self, address: tuple[str, int], replies: Replies, most: int, questions: Sequence[str] = ()) -> None:
+    def __init__(self, address: tuple[str, int], replies: Replies, max_connections: int,
+                 questions: Sequence[str] = (), idle_timeout_s: float = IDLE_TIMEOUT_S) -> None:
+        """Begin to listen; raises `OSError` where the address can't be had."""
         self.replies = replies
         self.questions = questions  # paths that subsystems answer
-        self.most = most
-        self._lock = threading.Lock()
-        self._open: dict[socket.socket, list[int]] = {}  # last active, 1 if a worker's
-        super().__init__(address, Handler)
-
-    def server_bind(self) -> None:
-        # Not HTTPServer's: that looks up the host's name, and there is no name service.
-        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.socket.bind(self.server_address)
-        self.server_address = self.socket.getsockname()
-        self.server_name, self.server_port = str(self.server_address[0]), int(self.server_address[1])
-
-    def active(self, connection: socket.socket) -> None:
-        entry = self._open.get(connection)
-        if entry is not None:
-            entry[0] = steady_us()
-
-    def is_worker(self, connection: socket.socket) -> None:
-        entry = self._open.get(connection)
-        if entry is not None:
-            entry[1] = 1
-
-    def process_request(self, request: Any, client_address: Any) -> None:
-        with self._lock:
-            if len(self._open) >= self.most:
-                self._evict()
-            if len(self._open) >= self.most + 16:
-                self.shutdown_request(request)
-                return
-            self._open[request] = [steady_us(), 0]
-        try:
-            threading.Thread(target=self._run, args=(request, client_address), daemon=True).start()
-        except RuntimeError:
-            log.error("no more threads")
-            with self._lock:
-                self._open.pop(request, None)
-            self.shutdown_request(request)
-
-    def _evict(self) -> None:
-        quiet = min(self._open.items(), key=lambda kv: (kv[1][1], kv[1][0]), default=None)
-        if quiet is not None and not quiet[1][1]:
-            # Its thread may take a moment to end; the next one to be closed must be another.
-            del self._open[quiet[0]]
-            try:
-                quiet[0].shutdown(socket.SHUT_RDWR)
-            except OSError:
-                pass
-
-    def _run(self, request: Any, client_address: Any) -> None:
-        try:
-            self.finish_request(request, client_address)
-        except (OSError, ValueError) as error:
-            log.debug("connection of %s ended: %s", client_address, error)
-        except Exception:
-            log.exception("while serving %s", client_address)
-        finally:
-            with self._lock:
-                self._open.pop(request, None)
-            self.shutdown_request(request)
+        self._listener = socket.create_server(address, backlog=LISTEN_BACKLOG)
+        self._listener.setblocking(False)
+        self.address: tuple[str, int] = self._listener.getsockname()
+        self._loop = EventLoop(self._listener, replies, max_connections, int(idle_timeout_s * SECOND_US),
+                               self._read_request)
+
+    def serve_forever(self) -> None:
+        """Serve until `shutdown` is called from another thread; then the address is free again."""
+        with self._listener:
+            self._loop.serve_forever()
+
+    def shutdown(self) -> None:
+        """Let `serve_forever` return."""
+        self._loop.shutdown()
+
+    @property
+    def connections(self) -> ConnectionTable:
+        """Those that are open."""
+        return self._loop.connections
+
+    def mark_worker(self, connection: Connection) -> None:
+        """A heartbeat came through this connection: it is never closed in favour of another one."""
+        self.connections.mark_worker(connection)
+
+    def _read_request(self, connection: Connection) -> "RequestHandler":
+        handler = RequestHandler(connection, self)
+        handler.handle_one_request()
+        return handler
