--- a/quinceslip/transport/http_server.py
+++ b/quinceslip/transport/http_server.py
@@ -26,8 +26,9 @@
 USER_REPLY_TIMEOUT_S = 4.5
 HEARTBEAT_REPLY_TIMEOUT_S = 3.0
 READY_REPLY_TIMEOUT_S = 0.9
-#: connections that the kernel holds until they are accepted
-LISTEN_BACKLOG = 128
+#: connections that the kernel is asked to hold until they are accepted: all workers of a large site may come at once,
+#: from a controller that ended. The kernel caps it (net.core.somaxconn, mostly 4,096)
+LISTEN_BACKLOG = 16_384
 
 _report_decoder = msgspec.json.Decoder(m.WorkerReport)
 
