--- a/quinceslip/service.py
+++ b/quinceslip/service.py
@@ -8,7 +8,7 @@
 from quinceslip.coordination.effects import Call, Effect, PeerSaid, Reply
 from quinceslip.coordination.node import Node
 from quinceslip.coordination.subsystem import Maker
-from quinceslip.protocol.settings import Settings, Tuning, split_address
+from quinceslip.protocol.settings import Limits, Settings, Tuning, split_address
 from quinceslip.storage.watch import Watch
 from quinceslip.transport.actor import ActorThread
 from quinceslip.transport.clients import Budget, Pool
@@ -24,10 +24,20 @@
 STATE_THREADS = 8
 WORKER_THREADS = 12
 #: part of the sockets that users and workers may hold
-API_SOCKETS = 0.75
-#: what the process takes without connections, and what one connection's thread adds (measured)
+API_SOCKET_SHARE = 0.75
+MIN_API_CONNECTIONS = 64
+#: what the process takes without connections
 BASE_MB = 40.0
-CONNECTION_MB = 0.08
+#: what one connection adds: 0.003 MB measured at rest after a few heartbeats (4,000 connections), the rest is for the
+#: request it has under way and for the kernel's buffers
+CONNECTION_MB = 0.02
+
+
+def max_api_connections(limits: Limits) -> int:
+    """Connections that sockets and memory allow: every worker of the site may come while other controllers are down."""
+    by_sockets = limits.max_sockets * API_SOCKET_SHARE
+    by_memory = (limits.memory_mb - BASE_MB) / CONNECTION_MB
+    return max(MIN_API_CONNECTIONS, int(min(by_sockets, by_memory)))
 
 
 class Service:
@@ -49,11 +59,9 @@
         self.probes = Pool("probe", WORKER_THREADS, post, most_idle=0)
         self.replies = Replies(self.actor.post)
         self.links = [PeerLink(split_address(p.endpoint)) for p in settings.known]
-        # Every worker of the site may report here while the other controllers are down.
-        most = max(64, int(min(facts.limits.max_sockets * API_SOCKETS,
-                               (facts.limits.memory_mb - BASE_MB) / CONNECTION_MB)))
         questions = [f"/{question}" for subsystem in node.subsystems for question in subsystem.questions]
-        self.api = ApiServer(split_address(settings.api_addr), self.replies, most, questions)
+        self.api = ApiServer(split_address(settings.api_addr), self.replies, max_api_connections(facts.limits),
+                             questions)
         self.peers = PeerServer(split_address(settings.peer_bind), 4 * facts.size,
                                 lambda said: void(self.actor.post(PeerSaid(said))))
         timing = Timing(settings)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -16,7 +16,8 @@
 from hypothesis import strategies as st
 
 from quinceslip.coordination.effects import Reply, Reported, UserRequest
-from quinceslip.service import CONNECTION_MB
+from quinceslip.protocol.settings import Limits
+from quinceslip.service import CONNECTION_MB, max_api_connections
 from quinceslip.transport.buffers import IncompleteRequest, ReceiveBuffer
 from quinceslip.transport.deadlines import DeadlineQueue
 from quinceslip.transport.http_server import ApiServer
@@ -353,6 +354,12 @@
         assert "no such actor" in caplog.text
 
 
+def test_sockets_and_memory_bound_the_connections() -> None:
+    assert max_api_connections(Limits(memory_mb=256.0, max_sockets=8_192)) == 6_144
+    assert FLEET <= max_api_connections(Limits(memory_mb=128.0, max_sockets=8_192)) < 6_144
+    assert max_api_connections(Limits(memory_mb=30.0, max_sockets=16)) == 64
+
+
 def read_all(source: ReceiveBuffer, pieces: list[bytes]) -> list[bytes]:
     """The requests of a line and, after it, three bytes, read as they arrive."""
     server, client = socket.socketpair()
