--- a/quinceslip/service.py
+++ b/quinceslip/service.py
@@ -31,6 +31,8 @@
 #: what one connection adds: 0.003 MB measured at rest after a few heartbeats (4,000 connections), the rest is for the
 #: request it has under way and for the kernel's buffers
 CONNECTION_MB = 0.02
+#: room in the actor's inbox beside the requests of connections: heartbeats of peers, answers to the actor's own calls
+INBOX_MARGIN = 1_000
 
 
 def max_api_connections(limits: Limits) -> int:
@@ -45,9 +47,12 @@
         threading.stack_size(STACK_BYTES)
         facts = settings.facts
         limits = facts.state.lasting()
+        max_connections = max_api_connections(facts.limits)
         self.settings = settings
         node = Node(settings, tuning, steady_us(), wall_us(), makers)
-        self.actor = ActorThread(node.handle, self._carry_out, BEAT_US, inbox=1000)
+        # Each connection has one request under way. The inbox is full only when the actor is so late that requests
+        # have had their time limits in it: then they are answered 503.
+        self.actor = ActorThread(node.handle, self._carry_out, BEAT_US, inbox=max_connections + INBOX_MARGIN)
         post = self.actor.post_sure
         budget = Budget(limits.rps, limits.write_rps, facts.size)
         self.state = Pool("state", STATE_THREADS, post, budget)
@@ -60,8 +65,7 @@
         self.replies = Replies(self.actor.post)
         self.links = [PeerLink(split_address(p.endpoint)) for p in settings.known]
         questions = [f"/{question}" for subsystem in node.subsystems for question in subsystem.questions]
-        self.api = ApiServer(split_address(settings.api_addr), self.replies, max_api_connections(facts.limits),
-                             questions)
+        self.api = ApiServer(split_address(settings.api_addr), self.replies, max_connections, questions)
         self.peers = PeerServer(split_address(settings.peer_bind), 4 * facts.size,
                                 lambda said: void(self.actor.post(PeerSaid(said))))
         timing = Timing(settings)
