--- a/quinceslip/transport/clients.py
+++ b/quinceslip/transport/clients.py
@@ -20,7 +20,9 @@
 log = logging.getLogger(__name__)
 
 MAX_ANSWER = 64 * 1024 * 1024
-MOST_CALLS = 2000
+#: calls that wait in one pool, about 0.3 kB each. A worker has no more than one command and one probe under way, each
+#: in a pool of its own, so this is four times what a fleet of 4,000 machines needs.
+MAX_QUEUED_CALLS = 16_384
 
 
 class Response(http.client.HTTPResponse):
@@ -155,7 +157,7 @@
     def submit(self, call: Call, address: str) -> None:
         call.target = address
         # The queue itself has no bound: threads put back what must wait, and would lock up at one.
-        if self.calls.qsize() >= MOST_CALLS:
+        if self.calls.qsize() >= MAX_QUEUED_CALLS:
             self.post(Answer(call.id, NOT_SENT))
         else:
             self.calls.put((call.urgency, next(self.order), steady_us() + call.timeout_us, call))
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -15,10 +15,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quinceslip.coordination.effects import Reply, Reported, UserRequest
+from quinceslip.coordination.effects import Answer, Call, Reply, Reported, UserRequest
 from quinceslip.protocol.settings import Limits
 from quinceslip.service import CONNECTION_MB, max_api_connections
 from quinceslip.transport.buffers import IncompleteRequest, ReceiveBuffer
+from quinceslip.transport.clients import Pool
 from quinceslip.transport.deadlines import DeadlineQueue
 from quinceslip.transport.http_server import ApiServer
 from quinceslip.transport.replies import Replies
@@ -360,6 +361,14 @@
     assert max_api_connections(Limits(memory_mb=30.0, max_sockets=16)) == 64
 
 
+def test_a_pool_takes_a_call_to_every_worker_of_a_fleet() -> None:
+    refused: list[Answer] = []
+    pool = Pool("test", 0, lambda answer: bool(refused.append(answer)))
+    for number in range(2 * FLEET):
+        pool.submit(Call("10.0.0.1:1", number, "GET", "/inspect"), "10.0.0.1:1")
+    assert not refused
+
+
 def read_all(source: ReceiveBuffer, pieces: list[bytes]) -> list[bytes]:
     """The requests of a line and, after it, three bytes, read as they arrive."""
     server, client = socket.socketpair()
