--- a/quinceslip/service.py
+++ b/quinceslip/service.py
@@ -22,7 +22,16 @@
 STACK_BYTES = 256 * 1024
 BEAT_US = 100_000
 STATE_THREADS = 8
+LEASE_THREADS = 2
+CLOUD_THREADS = 4
 WORKER_THREADS = 12
+#: a probe of a silent machine takes its thread for a second; so many sockets allow one thread for probes
+SOCKETS_PER_PROBE_THREAD = 64
+#: these and the 35 others of one of three controllers are far below the 2,000 threads that a process may have
+MAX_PROBE_THREADS = 96
+#: part of the sockets that stay open to workers between two commands. With more machines than that, the connection that
+#: was used longest ago is closed, and the next command to its worker opens another one.
+IDLE_COMMAND_SOCKET_SHARE = 0.125
 #: part of the sockets that users and workers may hold
 API_SOCKET_SHARE = 0.75
 MIN_API_CONNECTIONS = 64
@@ -42,6 +51,11 @@
     return max(MIN_API_CONNECTIONS, int(min(by_sockets, by_memory)))
 
 
+def probe_threads(limits: Limits) -> int:
+    """Threads for probes: at least as many as for commands, more where the sockets are meant for a large site."""
+    return max(WORKER_THREADS, min(MAX_PROBE_THREADS, limits.max_sockets // SOCKETS_PER_PROBE_THREAD))
+
+
 class Service:
     def __init__(self, settings: Settings, tuning: Tuning, makers: Sequence[Maker] = ()) -> None:
         threading.stack_size(STACK_BYTES)
@@ -56,12 +70,13 @@
         post = self.actor.post_sure
         budget = Budget(limits.rps, limits.write_rps, facts.size)
         self.state = Pool("state", STATE_THREADS, post, budget)
-        self.leases = Pool("lease", 2, post)  # renewals never wait behind anything else
-        self.cloud = Pool("cloud", 4, post, Budget(facts.cloud.rps, facts.cloud.rps, facts.size))
+        self.leases = Pool("lease", LEASE_THREADS, post)  # renewals never wait behind anything else
+        self.cloud = Pool("cloud", CLOUD_THREADS, post, Budget(facts.cloud.rps, facts.cloud.rps, facts.size))
         # A silent worker keeps a thread until the time limit. Probes are mostly of such workers, so
         # they have threads of their own, and commands to healthy ones never wait behind them.
-        self.workers = Pool("worker", WORKER_THREADS, post, most_idle=facts.limits.max_sockets // 8)
-        self.probes = Pool("probe", WORKER_THREADS, post, most_idle=0)
+        self.workers = Pool("worker", WORKER_THREADS, post,
+                            max_idle=int(facts.limits.max_sockets * IDLE_COMMAND_SOCKET_SHARE))
+        self.probes = Pool("probe", probe_threads(facts.limits), post, max_idle=0)
         self.replies = Replies(self.actor.post)
         self.links = [PeerLink(split_address(p.endpoint)) for p in settings.known]
         questions = [f"/{question}" for subsystem in node.subsystems for question in subsystem.questions]
--- a/quinceslip/transport/clients.py
+++ b/quinceslip/transport/clients.py
@@ -142,10 +142,10 @@
     """Threads that carry out calls, the most urgent first, and post their answers."""
 
     def __init__(self, name: str, threads: int, post: Callable[[Any], bool], budget: Budget | None = None,
-                 most_idle: int = 64) -> None:
+                 max_idle: int = 64) -> None:
         self.post = post
         self.budget = budget
-        self.most_idle = most_idle
+        self.max_idle = max_idle
         self.calls: queue.PriorityQueue[tuple[int, int, int, Call]] = queue.PriorityQueue()
         self.order = itertools.count()
         self.choosing = threading.Lock()
@@ -219,11 +219,11 @@
         return Connection(host, port)
 
     def _keep(self, address: str, connection: Connection) -> None:
-        if not self.most_idle:
+        if not self.max_idle:
             connection.close()
             return
         with self.lock:
-            if sum(map(len, self.idle.values())) >= self.most_idle:
+            if sum(map(len, self.idle.values())) >= self.max_idle:
                 oldest = min((a for a in self.idle if self.idle[a]), key=lambda a: self.idle[a][0][0])
                 self.idle[oldest].pop(0)[1].close()
             self.idle.setdefault(address, []).append((steady_us(), connection))
--- a/quinceslip/transport/peers.py
+++ b/quinceslip/transport/peers.py
@@ -10,6 +10,9 @@
 log = logging.getLogger(__name__)
 
 SILENCE_S = 6.0
+#: connections that may wait to be accepted. Only controllers come here, 64 at the most, and one that is turned away
+#: connects again for its next heartbeat: the number of machines has no part in it.
+LISTEN_BACKLOG = 128
 
 
 def _read(connection: socket.socket, count: int) -> bytes:
@@ -29,7 +32,7 @@
                  heard: Callable[[frames.Beat | frames.Sightings], None]) -> None:
         self.heard = heard
         self.slots = threading.BoundedSemaphore(most)
-        self.listener = socket.create_server(address, backlog=16)
+        self.listener = socket.create_server(address, backlog=LISTEN_BACKLOG)
         threading.Thread(target=self._accept, name="peers", daemon=True).start()
 
     def _accept(self) -> None:
@@ -43,7 +46,7 @@
             if not self.slots.acquire(blocking=False):
                 connection.close()
                 continue
-            threading.Thread(target=self._serve, args=(connection,), daemon=True).start()
+            threading.Thread(target=self._serve, args=(connection,), name="peer-reader", daemon=True).start()
 
     def _serve(self, connection: socket.socket) -> None:
         try:
--- a/quinceslip/transport/watchdog.py
+++ b/quinceslip/transport/watchdog.py
@@ -82,7 +82,7 @@
 
     def _say(self, *lines: Callable[[], object]) -> None:
         """Log without waiting for long: the actor may stand still since nobody reads the log, and hold its lock."""
-        saying = threading.Thread(target=lambda: [line() for line in lines], daemon=True)
+        saying = threading.Thread(target=lambda: [line() for line in lines], name="watchdog-log", daemon=True)
         saying.start()
         saying.join(SAY_S)
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -17,7 +17,7 @@
 
 from quinceslip.coordination.effects import Answer, Call, Reply, Reported, UserRequest
 from quinceslip.protocol.settings import Limits
-from quinceslip.service import CONNECTION_MB, max_api_connections
+from quinceslip.service import CONNECTION_MB, max_api_connections, probe_threads
 from quinceslip.transport.buffers import IncompleteRequest, ReceiveBuffer
 from quinceslip.transport.clients import Pool
 from quinceslip.transport.deadlines import DeadlineQueue
@@ -361,6 +361,10 @@
     assert max_api_connections(Limits(memory_mb=30.0, max_sockets=16)) == 64
 
 
+def test_a_site_with_more_sockets_has_more_threads_for_probes() -> None:
+    assert [probe_threads(Limits(max_sockets=sockets)) for sockets in (16, 1_024, 6_144, 10**6)] == [12, 16, 96, 96]
+
+
 def test_a_pool_takes_a_call_to_every_worker_of_a_fleet() -> None:
     refused: list[Answer] = []
     pool = Pool("test", 0, lambda answer: bool(refused.append(answer)))
