--- a/quinceslip/service.py
+++ b/quinceslip/service.py
@@ -57,6 +57,8 @@
 
 
 class Service:
+    """One controller: its actor, the clients it calls with, and the sockets it serves."""
+
     def __init__(self, settings: Settings, tuning: Tuning, makers: Sequence[Maker] = ()) -> None:
         threading.stack_size(STACK_BYTES)
         facts = settings.facts
@@ -66,7 +68,7 @@
         node = Node(settings, tuning, steady_us(), wall_us(), makers)
         # Each connection has one request under way. The inbox is full only when the actor is so late that requests
         # have had their time limits in it: then they are answered 503.
-        self.actor = ActorThread(node.handle, self._carry_out, BEAT_US, inbox=max_connections + INBOX_MARGIN)
+        self.actor = ActorThread(node.handle, self._carry_out, BEAT_US, max_inbox=max_connections + INBOX_MARGIN)
         post = self.actor.post_sure
         budget = Budget(limits.rps, limits.write_rps, facts.size)
         self.state = Pool("state", STATE_THREADS, post, budget)
@@ -115,6 +117,7 @@
                 link.send(effect.frames)
 
     def run(self) -> None:
+        """Serve until the process ends."""
         log.info("%s serves users and workers on %s", self.settings.label, self.settings.api_addr)
         self.api.serve_forever()
 
--- a/quinceslip/transport/actor.py
+++ b/quinceslip/transport/actor.py
@@ -16,12 +16,14 @@
 
 
 class ActorThread:
+    """Hands messages to `handle` one at a time, and the effects it returns to `carry_out`; a `Tick` every `beat_us`."""
+
     def __init__(self, handle: Callable[[Any, int], list[Effect]], carry_out: Callable[[Effect], None],
-                 beat_us: int, inbox: int) -> None:
+                 beat_us: int, max_inbox: int) -> None:
         self.handle = handle
         self.carry_out = carry_out
         self.beat_us = beat_us
-        self.most = inbox
+        self.max_inbox = max_inbox
         # Answers are a few for each call, and calls are bounded; only requests can come without end.
         self.inbox: queue.SimpleQueue[Any] = queue.SimpleQueue()
         self.turns = 0  # messages taken; while idle, one for each beat
@@ -29,11 +31,12 @@
         self.thread = threading.Thread(target=self._run, name="actor", daemon=True)
 
     def start(self) -> None:
+        """Begin to take messages."""
         self.thread.start()
 
     def post(self, message: Any) -> bool:
         """Requests from outside: refused when the inbox is full."""
-        if self.inbox.qsize() >= self.most:
+        if self.inbox.qsize() >= self.max_inbox:
             return False
         self.inbox.put(message)
         return True
--- a/quinceslip/transport/headers.py
+++ b/quinceslip/transport/headers.py
@@ -6,8 +6,9 @@
 
 from typing import Protocol
 
-MOST_LINE = 64 * 1024
-MOST_LINES = 100
+#: a longer header line, and a block of more lines, is refused with 431
+MAX_LINE_BYTES = 64 * 1024
+MAX_LINES = 100
 
 
 class Source(Protocol):
@@ -35,11 +36,11 @@
     Repeated lengths are refused, however alike: two readers that choose differently would see two messages.
     """
     found = Headers()
-    for _ in range(MOST_LINES + 1):
-        line = source.readline(MOST_LINE + 1)
+    for _ in range(MAX_LINES + 1):
+        line = source.readline(MAX_LINE_BYTES + 1)
         if line in (b"\r\n", b"\n", b""):
             return found
-        if len(line) > MOST_LINE:
+        if len(line) > MAX_LINE_BYTES:
             raise HeaderError(431, "header line too long")
         name, colon, value = line.decode("latin-1").partition(":")
         if not colon or not name or name != name.strip():
--- a/quinceslip/transport/peers.py
+++ b/quinceslip/transport/peers.py
@@ -28,10 +28,10 @@
 class PeerServer:
     """Takes frames from peers; anything else ends the connection and nothing more."""
 
-    def __init__(self, address: tuple[str, int], most: int,
+    def __init__(self, address: tuple[str, int], max_connections: int,
                  heard: Callable[[frames.Beat | frames.Sightings], None]) -> None:
         self.heard = heard
-        self.slots = threading.BoundedSemaphore(most)
+        self.slots = threading.BoundedSemaphore(max_connections)
         self.listener = socket.create_server(address, backlog=LISTEN_BACKLOG)
         threading.Thread(target=self._accept, name="peers", daemon=True).start()
 
