--- a/quinceslip/transport/wakeup.py
+++ b/quinceslip/transport/wakeup.py
@@ -1,7 +1,6 @@
 """Wakes the thread that waits in a selector."""
 
 import socket
-from typing import Any
 
 
 class Wakeup:
@@ -24,8 +23,8 @@
         self._signalled = True
         try:
             self._sender.send(b"\0")
-        except BlockingIOError:
-            pass  # so many signals are on their way that one more changes nothing
+        except OSError:
+            pass  # so many signals are on their way that one more changes nothing, or the loop has ended
 
     def clear(self) -> None:
         """Take the signals back. What was handed over before a `wake` is to be looked at after this."""
@@ -36,11 +35,6 @@
         self._signalled = False
 
     def close(self) -> None:
+        """Free the sockets; a `wake` afterwards does nothing."""
         self._receiver.close()
         self._sender.close()
-
-    def __enter__(self) -> "Wakeup":
-        return self
-
-    def __exit__(self, *_: Any) -> None:
-        self.close()
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -206,6 +206,13 @@
         assert user.exchange(POLL)[0] == 200  # the connection stays
 
 
+def test_a_reply_after_the_server_has_ended_is_dropped() -> None:
+    actor = EchoActor()
+    with serving(actor):
+        pass
+    actor.replies.give(Reply(1, 200))
+
+
 def test_a_full_inbox_is_busy() -> None:
     with serving(EchoActor(accepts=False)) as api, Client(api) as user:
         for data in (HEARTBEAT, POLL):
