--- a/quinceslip/service.py
+++ b/quinceslip/service.py
@@ -8,54 +8,84 @@
 from quinceslip.coordination.actor.subsystem import SubsystemFactory
 from quinceslip.coordination.actor.timing import SECOND, Timing
 from quinceslip.coordination.controller.controller import Controller
-from quinceslip.protocol.settings import Settings, Tuning, split_address
+from quinceslip.protocol.settings import Limits, Settings, Tuning, split_address
 from quinceslip.storage.watch import Watch
 from quinceslip.transport.actor import ActorThread
 from quinceslip.transport.clients import Budget, Pool
 from quinceslip.transport.clock import steady_us, wall_us
-from quinceslip.transport.http_server import ApiServer, Replies
+from quinceslip.transport.http_server import ApiServer
 from quinceslip.transport.peers import PeerLink, PeerServer
+from quinceslip.transport.replies import Replies
 
 log = logging.getLogger(__name__)
 
 STACK_BYTES = 256 * 1024
 BEAT_US = 100_000
 STATE_THREADS = 8
+LEASE_THREADS = 2
+CLOUD_THREADS = 4
 WORKER_THREADS = 12
+#: a probe of a silent machine takes its thread for a second; so many sockets allow one thread for probes
+SOCKETS_PER_PROBE_THREAD = 64
+#: these and the 35 others of one of three controllers are far below the 2,000 threads that a process may have
+MAX_PROBE_THREADS = 96
+#: part of the sockets that stay open to workers between two commands. With more machines than that, the connection that
+#: was used longest ago is closed, and the next command to its worker opens another one.
+IDLE_COMMAND_SOCKET_SHARE = 0.125
 #: part of the sockets that users and workers may hold
-API_SOCKETS = 0.75
-#: what the process takes without connections, and what one connection's thread adds (measured)
+API_SOCKET_SHARE = 0.75
+MIN_API_CONNECTIONS = 64
+#: what the process takes without connections
 BASE_MB = 40.0
-CONNECTION_MB = 0.08
+#: what one connection adds: 0.003 MB measured at rest after a few heartbeats (4,000 connections), the rest is for the
+#: request it has under way and for the kernel's buffers
+CONNECTION_MB = 0.02
+#: room in the actor's inbox beside the requests of connections: heartbeats of peers, answers to the actor's own calls
+INBOX_MARGIN = 1_000
+
+
+def max_api_connections(limits: Limits) -> int:
+    """Connections that sockets and memory allow: every worker of the site may come while other controllers are down."""
+    by_sockets = limits.max_sockets * API_SOCKET_SHARE
+    by_memory = (limits.memory_mb - BASE_MB) / CONNECTION_MB
+    return max(MIN_API_CONNECTIONS, int(min(by_sockets, by_memory)))
+
+
+def probe_threads(limits: Limits) -> int:
+    """Threads for probes: at least as many as for commands, more where the sockets are meant for a large site."""
+    return max(WORKER_THREADS, min(MAX_PROBE_THREADS, limits.max_sockets // SOCKETS_PER_PROBE_THREAD))
 
 
 class Service:
+    """One controller: its actor, the clients it calls with, and the sockets it serves."""
+
     def __init__(
         self, settings: Settings, tuning: Tuning, subsystem_factories: Sequence[SubsystemFactory] = ()
     ) -> None:
         threading.stack_size(STACK_BYTES)
         facts = settings.facts
         limits = facts.state.lasting()
+        max_connections = max_api_connections(facts.limits)
         self.settings = settings
         node = Controller(settings, tuning, steady_us(), wall_us(), subsystem_factories)
-        self.actor = ActorThread(node.handle, self._carry_out, BEAT_US, inbox=1000)
+        # Each connection has one request under way. The inbox is full only when the actor is so late that requests
+        # have had their time limits in it: then they are answered 503.
+        self.actor = ActorThread(node.handle, self._carry_out, BEAT_US, max_inbox=max_connections + INBOX_MARGIN)
         post = self.actor.post_sure
         budget = Budget(limits.rps, limits.write_rps, facts.size)
         self.state = Pool("state", STATE_THREADS, post, budget)
-        self.leases = Pool("lease", 2, post)  # renewals never wait behind anything else
-        self.cloud = Pool("cloud", 4, post, Budget(facts.cloud.rps, facts.cloud.rps, facts.size))
+        self.leases = Pool("lease", LEASE_THREADS, post)  # renewals never wait behind anything else
+        self.cloud = Pool("cloud", CLOUD_THREADS, post, Budget(facts.cloud.rps, facts.cloud.rps, facts.size))
         # A silent worker keeps a thread until the time limit. Probes are mostly of such workers, so
         # they have threads of their own, and commands to healthy ones never wait behind them.
-        self.workers = Pool("worker", WORKER_THREADS, post, most_idle=facts.limits.max_sockets // 8)
-        self.probes = Pool("probe", WORKER_THREADS, post, most_idle=0)
+        self.workers = Pool(
+            "worker", WORKER_THREADS, post, max_idle=int(facts.limits.max_sockets * IDLE_COMMAND_SOCKET_SHARE)
+        )
+        self.probes = Pool("probe", probe_threads(facts.limits), post, max_idle=0)
         self.replies = Replies(self.actor.post)
         self.links = [PeerLink(split_address(p.endpoint)) for p in settings.known]
-        # Every worker of the site may report here while the other controllers are down.
-        most = max(
-            64, int(min(facts.limits.max_sockets * API_SOCKETS, (facts.limits.memory_mb - BASE_MB) / CONNECTION_MB))
-        )
         questions = [f"/{question}" for subsystem in node.subsystems for question in subsystem.questions]
-        self.api = ApiServer(split_address(settings.api_addr), self.replies, most, questions)
+        self.api = ApiServer(split_address(settings.api_addr), self.replies, max_connections, questions)
         self.peers = PeerServer(
             split_address(settings.peer_bind),
             4 * facts.size,
@@ -103,8 +133,9 @@
                 link.send(effect.frames)
 
     def run(self) -> None:
+        """Serve until the process ends."""
         log.info("%s serves users and workers on %s", self.settings.label, self.settings.api_addr)
-        self.api.serve_forever(poll_interval=5.0)
+        self.api.serve_forever()
 
 
 def void(_: object) -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -146,7 +146,7 @@
         # So little memory that no more than 64 connections are served at once.
         config.write_text(
             settings_text(api=port, peer=_free_port(), cloud=outside.port, state=outside.port)
-            + "[facts.limits]\nmemory_mb = 45.0\n"
+            + "[facts.limits]\nmemory_mb = 45.0\nmax_sockets = 80\n"
         )
         tree = Path(folder) / "quotas.ini"
         tree.write_text("[quota]\nversion = 1\n[quota guild]\ncpus_max = 8\nteams = team\n")
