--- a/tests/inputs.py
+++ b/tests/inputs.py
@@ -15,7 +15,7 @@
 from quinceslip.quota.config import load_tree
 from quinceslip.quota.plots import merged
 from quinceslip.quota.tree import Tree
-from tests.world import job_spec
+from tests.simulation.inputs import job_spec
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,7 +16,7 @@
 
 from quinceslip.transport.watchdog import STATUS
 from tests.inputs import ROOT, settings_text
-from tests.world import job_spec
+from tests.simulation.inputs import job_spec
 
 
 class Outside:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -15,8 +15,8 @@
 from quinceslip.dependencies.graph import Graph, Urgency
 from quinceslip.protocol import messages as m
 from quinceslip.storage.records import JobRecord, PartitionRecord, final_record
+from tests.simulation.inputs import job_spec
 from tests.test_random_days import days
-from tests.world import job_spec
 
 RUN_US = 7
 
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -16,7 +16,7 @@
 from quinceslip.quota.allocation_manager import AllocationManager
 from quinceslip.storage.cache import StoreCache
 from quinceslip.storage.records import KINDS, JobRecord, PartitionRecord, final_record
-from tests.world import job_spec
+from tests.simulation.inputs import job_spec
 
 SAMPLES = json.loads((Path(__file__).parent / "samples" / "production.json").read_text(encoding="utf-8"))
 #: fields that the version in production knows, by kind of record: it drops all others
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -67,12 +67,14 @@
 from quinceslip.storage.records import JobRecord, StallRecord
 from quinceslip.transport.actor import ActorThread
 from quinceslip.transport.clients import Budget, Pool
-from tests.checker import SILENT_S, WAIT_S, Checker
 from tests.inputs import ROOT, bad_input
 from tests.loopback import loopback, standstill
-from tests.tracing import Trace, open_trace
+from tests.simulation.checker import SILENT_S, WAIT_S, Checker
+from tests.simulation.clock import US
+from tests.simulation.inputs import job_spec, settings_of
+from tests.simulation.tracing import Trace, open_trace
+from tests.simulation.world import World
 from tests.troubles import Troubles
-from tests.world import US, World, job_spec, settings_of
 
 COMPARE = {"==": operator.eq, "<=": operator.le, ">=": operator.ge}
 FOLDER = Path(__file__).parent / "scenarios"
--- a/tests/troubles.py
+++ b/tests/troubles.py
@@ -2,7 +2,8 @@
 
 from typing import Any
 
-from tests.world import US, World
+from tests.simulation.clock import US
+from tests.simulation.world import World
 
 #: hosts of cancelled jobs that hang, at the most
 MAX_HUNG_MACHINES = 8
