--- /dev/null
+++ b/tests/scenario/setup.py
@@ -0,0 +1,174 @@
+"""Lines that describe the world and play it."""
+
+from types import SimpleNamespace
+from typing import Any
+
+from tests.scenario.state import RunnerState
+from tests.simulation.checker import SILENT_S, WAIT_S, Checker
+from tests.simulation.clock import US
+from tests.simulation.inputs import job_spec
+from tests.simulation.world import World
+
+
+class WorldSetup(RunnerState):
+    """Lines that describe the world and play it."""
+
+    def do_seed(self, plain: list[str], named: dict[str, Any]) -> None:
+        self.seed = int(plain[0])
+
+    def do_site(self, plain: list[str], named: dict[str, Any]) -> None:
+        for key, given in named.items():
+            if key == "zones":
+                self.facts["zones"] = str(given).split(",")
+            elif key == "size":
+                self.facts["size"] = given
+            elif key == "list_lag":
+                self.facts["cloud"]["list_lag_s"] = float(given)
+            elif key.startswith("next_"):
+                self.facts["state"].setdefault("next", {})[key.removeprefix("next_")] = given
+            else:
+                self.facts["workers"][key + "_s"] = given
+
+    def do_team(self, plain: list[str], named: dict[str, Any]) -> None:
+        self.facts["teams"].append({"name": plain[0], **named})
+
+    def do_tree(self, plain: list[str], named: dict[str, Any]) -> None:
+        """tree version=N: quotas are on; `level` lines say what it has"""
+        self.operators["quota"] = {k: str(v) for k, v in named.items()}
+
+    def do_level(self, plain: list[str], named: dict[str, Any]) -> None:
+        """level NAME parent=P cpus_max=N ...: a section of the operators' file; teams it names exist"""
+        self.operators[f"quota {plain[0]}"] = {k: str(v) for k, v in named.items()}
+        for team in str(named.get("teams", "")).split(","):
+            if team and team not in [t["name"] for t in self.facts["teams"]]:
+                self.facts["teams"].append({"name": team})
+
+    def do_levels_many(self, plain: list[str], named: dict[str, Any]) -> None:
+        """levels_many PARENT COUNT ...: a level for each of so many teams, t-1, t-2, ..."""
+        for number in range(1, int(plain[1]) + 1):
+            self.facts["teams"].append({"name": f"t-{number}"})
+            self.operators[f"quota t-{number}"] = {"parent": plain[0], **{k: str(v) for k, v in named.items()}}
+
+    def on_tree(self, args: list[str], named: dict[str, Any]) -> None:
+        """tree NAME version=N LEVEL.KEY=VALUE ...: a controller's own file, read at its next start"""
+        operators = self.w().machines[args[0]].operators
+        for key, given in named.items():
+            level, _, name = key.rpartition(".")
+            operators.read_dict({f"quota {level}" if level else "quota": {name: str(given)}})
+
+    def do_type(self, plain: list[str], named: dict[str, Any]) -> None:
+        made = {
+            "label": plain[0],
+            "vcpus": 16.0,
+            "gpus": 0.0,
+            "memGb": 64.0,
+            "cacheGb": 50.0,
+            "pullGbPerS": 1.0,
+            "price": 1.0,
+            "lowPrice": 0.4,
+            "startupS": 5.0,
+            "yards": self.facts["zones"],
+        }
+        names = {"cpus": "vcpus", "memory": "memGb", "boot": "startupS", "spot_price": "lowPrice"}
+        self.types.append({**made, **{names.get(k, k): v for k, v in named.items()}})
+
+    def do_machines(self, plain: list[str], named: dict[str, Any]) -> None:
+        self.initial.append((int(plain[0]), plain[1], plain[2], "spot" in plain))
+
+    def do_objective(self, plain: list[str], named: dict[str, Any]) -> None:
+        """objective KIND CLASS within=S share=P: what users ask of a class"""
+        self.facts.setdefault("objectives", []).append(
+            {
+                "kind": plain[0],
+                "class": plain[1],
+                "within_s": float(named.get("within", 0)),
+                "share": named.get("share", 1.0),
+                "times": float(named.get("times", 1)),
+            }
+        )
+
+    def do_cloud_full(self, plain: list[str], named: dict[str, Any]) -> None:
+        """cloud_full: no machine is to be had"""
+        self.full = True
+
+    def do_at(self, plain: list[str], named: dict[str, Any]) -> None:
+        self.actions.append((float(plain[0]), plain[1], plain[2:], {**named}))
+
+    def do_errors(self, plain: list[str], named: dict[str, Any]) -> None:
+        """errors TEXT: such lines may be in the log; any other line at this level fails the scenario"""
+        self.errors_expected.append(" ".join(plain))
+
+    def do_old(self, plain: list[str], named: dict[str, Any]) -> None:
+        """old NAME...: these start with the version before this one"""
+        self.old += plain
+
+    def do_unserved(self, plain: list[str], named: dict[str, Any]) -> None:
+        """unserved WHY: capacity, caps or priorities keep part of the work from ever being served"""
+        self.excused = " ".join(plain)
+
+    def do_broken(self, plain: list[str], named: dict[str, Any]) -> None:
+        self.expect_broken = plain[0]
+
+    def do_run(self, plain: list[str], named: dict[str, Any]) -> None:
+        if self.world is None:
+            if not self.types:
+                self.do_type(["m"], {})
+            self.world = World(self.facts, self.types, self.seed, self.operators)
+            self.world.trace = self.trace
+            for name in self.old:
+                self.world.machines[name].old = True
+            if self.full:
+                self.world.cloud.capacity = 0
+            for count, kind, zone, spot in self.initial:
+                for _ in range(count):
+                    self.world.cloud.start(kind, zone, spot, 0)
+        for at_s, verb, args, given in self.actions:
+            self.world.after(
+                max(1, at_s * US - self.world.now_us), lambda v=verb, a=args, g=given: self.obey("on_" + v, a, g)
+            )
+        last_us = max((int(at_s * US) for at_s, *_ in self.actions), default=0)
+        self.actions = []
+        if plain[0] == "calm":
+            # To the end of all troubles, and on until everything must be served and a silence would be noticed.
+            self.world.run(max(last_us, self.world.now_us) + 1)
+            wait_us = max(self.world.bound_us(), SILENT_S * US, WAIT_S * US) + US
+            self.world.run(max(self.world.calm_us, self.world.now_us) + wait_us)
+        else:
+            self.world.run(int(float(plain[0]) * US))
+
+    def do_breach(self, plain: list[str], named: dict[str, Any]) -> None:
+        if self.world is None:
+            self.do_run(["0"], {})
+        checker: Checker = self.w().checker
+        what, rest = plain[0], plain[1:]
+        if what == "job":
+            given = {k: str(v).split(",") if k in ("builds", "waitsOn") else v for k, v in named.items()}
+            self.w().jobs[rest[0]] = job_spec(rest[0], **given)
+        elif what == "on":
+            host = {
+                "build": named.get("type", "m"),
+                "yard": named.get("zone", "a"),
+                "loaners": named.get("spot", False),
+            }
+            worker = SimpleNamespace(name=rest[1], host=host)
+            self.w().workers[rest[1]] = worker  # type: ignore[assignment]
+            checker.on(rest[0], worker)
+        elif what == "ask":
+            checker.cancel_asked.add(rest[0])
+        elif what == "asks":
+            checker.asks(rest[0])
+        elif what == "off":
+            checker.off(rest[0], rest[1])
+        elif what == "complete":
+            checker.completed.add(rest[0])
+        elif what == "odd":
+            self.w().odd[rest[0]] = {}
+        elif what == "asked_ago":
+            checker.question_us = self.w().now_us - int(float(rest[0]) * US)
+        elif what == "trouble":
+            self.w().trouble(float(rest[0]))
+        elif what == "wait":
+            self.w().now_us += int(float(rest[0]) * US)
+        else:
+            told = {"submitted": checker.submitted, "polled": checker.polled, "cancelled": checker.cancel_answer}
+            told[what](rest[0], int(rest[1]), {"uid": rest[0], "status": rest[2] if len(rest) > 2 else ""})
--- a/tests/troubles.py
+++ b/tests/scenario/troubles.py
@@ -2,29 +2,21 @@
 
 from typing import Any
 
+from tests.scenario.users import UserVerbs
 from tests.simulation.clock import US
-from tests.simulation.world import World
 
 #: hosts of cancelled jobs that hang, at the most
 MAX_HUNG_MACHINES = 8
 
 
-class Troubles:
+class Troubles(UserVerbs):
     """A part of the runner: what `at T VERB ...` says, for verbs that watch the day and step in."""
 
     def __init__(self) -> None:
+        super().__init__()
         self.next_odd = 900_000
         self.met: dict[str, int] = {}  # how often each of these troubles met something
 
-    def w(self) -> World:
-        raise NotImplementedError
-
-    def ask(self, verb: str, job_id: str, heard: Any, spec: Any = None, by: str = "") -> None:
-        raise NotImplementedError
-
-    def on_cancel(self, args: list[str], named: dict[str, Any]) -> None:
-        raise NotImplementedError
-
     def _meets(self, what: str) -> None:
         self.met[what] = self.met.get(what, 0) + 1
 
--- /dev/null
+++ b/tests/scenario/users.py
@@ -0,0 +1,231 @@
+"""What users do at a moment, and what is expected of their answers."""
+
+import json
+from typing import Any
+
+from quinceslip.quota.plots import merged
+from tests.scenario.state import RunnerState
+from tests.scenario.tools import COMPARE
+from tests.simulation.clock import US
+from tests.simulation.inputs import job_spec
+
+
+class UserVerbs(RunnerState):
+    """What users do at a moment, and what is expected of their answers."""
+
+    def on_sample(self, args: list[str], named: dict[str, Any]) -> None:
+        """sample FILE every=S until=T: what `quota record` would write of all controllers"""
+        world = self.w()
+        pages: list[Any] = []
+        for host in world.machines.values():
+            host.ask("quota", lambda status, body: pages.append(body))
+
+        def write() -> None:
+            with open(args[0], "a", encoding="utf-8") as out:
+                out.write(json.dumps({"at_s": world.now_us / US, "levels": merged(pages)}) + "\n")
+
+        world.after(20_000, write)
+        if world.now_us < named["until"] * US:
+            world.after(named["every"] * US, lambda: self.on_sample(args, named))
+
+    def on_submit(self, args: list[str], named: dict[str, Any]) -> None:
+        world, job_id = self.w(), args[0]
+        names = {
+            "tasks": "picks",
+            "cpus": "vcpus",
+            "team": "crew",
+            "memory": "memGb",
+            "spot": "loaners",
+            "zone": "yard",
+            "estimate": "expectS",
+            "checkpoint": "markEveryS",
+            "save": "markCostS",
+        }
+        run_s, by, apart_s = named.pop("run", 5), named.pop("by", ""), named.pop("apart", 0)
+        failing, poll_s, lacks = named.pop("fails", 0), named.pop("poll", 2), named.pop("lacks", "")
+        given = {names.get(k, k): v for k, v in named.items()}
+        if "after" in given:
+            given["waitsOn"] = str(given.pop("after")).split(",")
+        for key in ("vcpus", "memGb", "gpus", "dueS", "expectS", "markEveryS", "markCostS"):
+            if key in given:
+                given[key] = float(given[key])
+        if "types" in given:
+            given["builds"] = str(given.pop("types")).split(",")
+        spec = job_spec(
+            job_id, shape="standing" if "service" in args else "group" if "gang" in args else "array", **given
+        )
+        if lacks:
+            del spec[lacks]
+        if job_id in world.jobs:
+            spec = spec if lacks else world.jobs[job_id] | {k: spec[k] for k in ("picks", "vcpus")}
+        elif lacks:
+            world.odd[job_id] = spec
+        else:
+            world.jobs[job_id], world.run_s[job_id], world.failing[job_id] = spec, run_s, failing
+            world.apart_s[job_id] = apart_s
+        until_us = world.now_us + 60 * US
+        world.checker.asks(job_id)
+        settled = [False]
+
+        def heard(status: int, body: Any) -> None:
+            self.statuses.setdefault(job_id, []).append(status)
+            world.checker.submitted(job_id, status, body)
+            if status in (200, 201) and not settled[0]:
+                settled[0] = True
+                poll()
+            elif status in (400, 422):
+                settled[0] = True
+                self.reasons[job_id] = body
+
+        def attempt() -> None:
+            # Users name what was accepted: they wait for that, save where no such job is ever submitted.
+            if (
+                any(
+                    u in world.jobs and u != job_id and u not in world.checker.accepted and u not in self.reasons
+                    for u in given.get("waitsOn", ())
+                )
+                and world.now_us < until_us
+            ):
+                world.after(US // 5, attempt)
+            elif not settled[0] and world.now_us < until_us:
+                self.ask("submit", job_id, heard, spec, by)
+                world.after(2 * US, attempt)
+
+        def poll() -> None:
+            self.ask("poll", job_id, lambda s, b: world.checker.polled(job_id, s, b))
+            world.after(poll_s * US, poll)
+
+        attempt()
+
+    def on_submit_many(self, args: list[str], named: dict[str, Any]) -> None:
+        """submit_many FIRST COUNT [every=S] [off=S] ...: jobs of one kind, with numbers from FIRST on, at once or one
+        by one; with `off`, each fourth is cancelled so long after; with `needs=N`, each needs the one N numbers before
+        """
+        needs = int(named.pop("needs", 0))
+        every_us, off_s, named = int(named.pop("every", 0) * US), named.pop("off", None), {**named}
+        for place in range(int(args[1])):
+            what = [f"req-{int(args[0]) + place:06d}", *args[2:]]
+            after = {"after": f"req-{int(args[0]) + place - needs:06d}"} if needs else {}
+            self.w().after(place * every_us + 1, lambda w=what, a=after: self.on_submit(w, {**named, **a}))
+            if off_s is not None and place % 4 == 3:
+                self.w().after(place * every_us + off_s * US, lambda w=what: self.on_cancel(w[:1], {}))
+
+    def on_submit_teams(self, args: list[str], named: dict[str, Any]) -> None:
+        """submit_teams FIRST COUNT ...: a job of each of the teams t-1, t-2, ..."""
+        for number in range(int(args[1])):
+            self.on_submit([f"req-{int(args[0]) + number:06d}", *args[2:]], {**named, "team": f"t-{number + 1}"})
+
+    def on_cancel_many(self, args: list[str], named: dict[str, Any]) -> None:
+        for number in range(int(args[0]), int(args[0]) + int(args[1]), int(named.get("step", 1))):
+            self.on_cancel([f"req-{number:06d}"], {})
+
+    def on_count(self, args: list[str], named: dict[str, Any]) -> None:
+        """count: what is counted from here on"""
+        world = self.w()
+        starts = {task: len(times) for task, times in world.checker.starts.items()}
+        self.counted = {
+            "puts": world.state.puts,
+            "reports": world.heartbeats,
+            "looked": self._looked(),
+            "starts": starts,
+            "reads": self._reads(),
+            "asked": world.cloud.asked,
+            "second": world.now_us // US,
+            "grants": world.state.grants,
+        }
+
+    def on_poll(self, args: list[str], named: dict[str, Any]) -> None:
+        """poll UID [by=NAME]"""
+        by = str(named.get("by", ""))
+
+        def heard(status: int, body: Any) -> None:
+            self.statuses.setdefault(args[0], []).append(status)
+            self.whys.setdefault(args[0], {})[by] = body.get("why", "")
+            self.w().checker.polled(args[0], status, body)
+
+        self.ask("poll", args[0], heard, by=by)
+
+    def on_poll_many(self, args: list[str], named: dict[str, Any]) -> None:
+        """poll_many UID COUNT over=S: spread evenly"""
+        for number in range(int(args[1])):
+            self.w().after(number * named["over"] * US // int(args[1]), lambda: self.on_poll(args, {}))
+
+    def _reads(self) -> int:
+        return sum(h.actor.user_requests.read_barriers for h in self.w().machines.values() if h.actor is not None)
+
+    def check_reads_since(self, args: list[str], named: dict[str, Any]) -> None:
+        """reads_since OP N: reads of the ledger for users, since `count`"""
+        count = self._reads() - self.counted["reads"]
+        assert COMPARE[args[0]](count, int(args[1])), f"{count} reads"
+
+    def check_polls_within(self, args: list[str], named: dict[str, Any]) -> None:
+        """polls_within S: no controller that went on has taken longer over a poll"""
+        limit_us = int(float(args[0]) * US)
+        late = [
+            job_id
+            for (asked_us, job_id), (host, life) in self.open_polls.items()
+            if host.life == life and asked_us + limit_us < self.w().now_us
+        ]
+        assert not late and self.slowest_us <= limit_us, (late[:3], self.slowest_us)
+
+    def check_answered(self, args: list[str], named: dict[str, Any]) -> None:
+        """answered UID N: so many requests of users for it were answered with 200 or 201"""
+        assert sum(s in (200, 201) for s in self.statuses[args[0]]) == int(args[1]), len(self.statuses[args[0]])
+
+    def on_cancel(self, args: list[str], named: dict[str, Any]) -> None:
+        """cancel UID [by=NAME]: asked of that controller, or of any"""
+        world, job_id = self.w(), args[0]
+        world.checker.cancel_asked.add(job_id)
+        settled = [False]
+
+        def heard(status: int, body: Any) -> None:
+            self.statuses.setdefault(job_id, []).append(status)
+            settled[0] = settled[0] or status == 200
+            world.checker.cancel_answer(job_id, status, body)
+
+        def attempt() -> None:
+            if not settled[0]:
+                self.ask("cancel", job_id, heard, by=named.get("by", ""))
+                world.after(2 * US, attempt)
+
+        attempt()
+
+    def check_done(self, args: list[str], named: dict[str, Any]) -> None:
+        for job_id in args:
+            assert self.w().checker.told.get(job_id) == "done", f"{job_id}: {self.w().checker.told.get(job_id)}"
+
+    def check_told(self, args: list[str], named: dict[str, Any]) -> None:
+        assert self.w().checker.told.get(args[0]) == args[1]
+
+    def check_status(self, args: list[str], named: dict[str, Any]) -> None:
+        assert int(args[1]) in self.statuses[args[0]], self.statuses[args[0]]
+
+    def check_why(self, args: list[str], named: dict[str, Any]) -> None:
+        """why UID TEXT: what its user is told of a job beside its state, by the one controller that answers for it"""
+        assert sum(" ".join(args[1:]) in text for text in self.whys[args[0]].values()) == 1, self.whys
+
+    def check_all_done(self, args: list[str], named: dict[str, Any]) -> None:
+        told = self.w().checker.told
+        left = [u for u, spec in self.w().jobs.items() if spec["shape"] == "array" and told.get(u) != "done"]
+        assert not left, left[:5]
+
+    def check_open_jobs(self, args: list[str], named: dict[str, Any]) -> None:
+        """open_jobs N: records of jobs that are not over"""
+        left = [k for k, (v, *_) in self.w().state.data.items() if k.startswith("q/job/") and v["state"] == "queued"]
+        assert len(left) == int(args[0]), left[:5]
+
+    def check_late_starts(self, args: list[str], named: dict[str, Any]) -> None:
+        """late_starts OP N: tasks that began after their job was confirmed as cancelled, by commands on their way"""
+        assert COMPARE[args[0]](self.w().checker.late_starts, int(args[1])), self.w().checker.late_starts
+
+    def check_refused_for(self, args: list[str], named: dict[str, Any]) -> None:
+        """refused_for UID LEVEL RESOURCE: the 422 names them"""
+        text = str(self.reasons[args[0]])
+        assert all(word in text for word in args[1:]), text
+
+    def check_running_team(self, args: list[str], named: dict[str, Any]) -> None:
+        """running_team TEAM OP N"""
+        there = [
+            t for t, p in self.w().checker.where.items() if p and self.w().jobs[t.rpartition("/")[0]]["crew"] == args[0]
+        ]
+        assert COMPARE[args[1]](len(there), int(args[2])), f"{len(there)} tasks of {args[0]}"
--- /dev/null
+++ b/tests/scenario/workers.py
@@ -0,0 +1,176 @@
+"""What happens to workers and the cloud, and what is expected of tasks and machines."""
+
+from typing import Any
+
+from tests.scenario.state import RunnerState
+from tests.scenario.tools import COMPARE
+from tests.simulation.clock import US
+
+
+class WorkerVerbs(RunnerState):
+    """What happens to workers and the cloud, and what is expected of tasks and machines."""
+
+    def _workers(self, args: list[str]) -> list[Any]:
+        world = self.w()
+        if args[0] == "all":
+            return list(world.workers.values())
+        if args[0] == "busiest":
+            return sorted(world.workers.values(), key=lambda w: -sum(t["on"] for t in w.tasks.values()))[:1]
+        if args[0].startswith("zone:"):
+            return [w for w in world.workers.values() if w.host["yard"] == args[0][5:]]
+        if args[0] == "third":
+            return [world.workers[name] for name in sorted(world.workers)[::3]]
+        return [world.workers[args[0]]] if args[0] in world.workers else []
+
+    def on_cut(self, args: list[str], named: dict[str, Any]) -> None:
+        """cut WORKER|... S [lost]: the network holds everything back until it ends, or loses it."""
+        for worker in self._workers(args):
+            worker.cut_until_us, worker.drops = self.w().trouble(float(args[1])), "lost" in args
+
+    def on_cut_zone(self, args: list[str], named: dict[str, Any]) -> None:
+        """cut_zone ZONE S"""
+        self.on_cut([f"zone:{args[0]}", args[1]], named)
+
+    def on_unheard(self, args: list[str], named: dict[str, Any]) -> None:
+        """unheard WORKER|busiest|third|zone:Z|all S [lost]: reports arrive; answers, commands, questions do not."""
+        for worker in self._workers(args):
+            worker.unheard_until_us, worker.drops = self.w().trouble(float(args[1])), "lost" in args
+
+    def on_copies(self, args: list[str], named: dict[str, Any]) -> None:
+        """copies WORKER|... S times=N late=S: each report comes again so often, a second to so long after.
+
+        `copies WORKER|... S for_next`: one of its latest is kept, and reaches every controller as a shard is claimed.
+        """
+        if "for_next" in args:
+            for worker in self._workers(args):
+                worker.for_next_until_us = self.w().trouble(float(args[1]))
+            return
+        late_s, times = float(named.get("late", 3 * self.facts["workers"]["lease_s"])), named.get("times", 1)
+        for worker in self._workers(args):
+            worker.copies = (self.w().trouble(float(args[1])), times, int(late_s * US))
+            self.w().trouble(float(args[1]) + late_s)
+
+    def on_reboot(self, args: list[str], named: dict[str, Any]) -> None:
+        """reboot WORKER|... [other]: back at once with nothing; `other`: another machine at its address"""
+        self.w().trouble(0)
+        for worker in self._workers(args):
+            if "other" in args:
+                cloud, host = self.w().cloud, worker.host
+                cloud.gone(worker.name)
+                name = cloud.start(host["build"], host["yard"], host["loaners"], 0)
+                cloud.machines[name]["endpoint"] = host["endpoint"]
+            else:
+                worker.reboot()
+
+    def on_mute(self, args: list[str], named: dict[str, Any]) -> None:
+        """mute WORKER|... S [refused]: it reaches no controller, while direct commands reach it."""
+        for worker in self._workers(args):
+            worker.mute_until_us, worker.mute_refused = self.w().trouble(float(args[1])), "refused" in args
+
+    def on_hang(self, args: list[str], named: dict[str, Any]) -> None:
+        for worker in self._workers(args):
+            worker.hung_until_us = self.w().trouble(float(args[1]))
+
+    def on_take(self, args: list[str], named: dict[str, Any]) -> None:
+        """take WORKER [notice=S]: the cloud takes the machine."""
+        notice_s = named.get("notice", 0)
+        for worker in self._workers(args):
+            self.w().trouble(notice_s)
+            worker.notice_us = self.w().now_us + int(notice_s * US)
+            worker.changed = True
+            self.w().after(notice_s * US + 1, lambda n=worker.name: self.w().cloud.gone(n))
+
+    def on_token(self, args: list[str], named: dict[str, Any]) -> None:
+        """token WORKER N: the worker has seen a higher token than its owner's."""
+        for worker in self._workers(args):
+            worker.fencing_token, worker.changed = int(args[1]), True
+
+    def on_cloud(self, args: list[str], named: dict[str, Any]) -> None:
+        """cloud capacity|never_boot|lost_answers N"""
+        self.w().trouble(0)
+        setattr(self.w().cloud, args[0], int(args[1]))
+
+    def on_slow_commands(self, args: list[str], named: dict[str, Any]) -> None:
+        """slow_commands WORKER|... S there=MOST back=MOST: direct commands, or their answers, are held up alone"""
+        there_s, back_s = float(named.get("there", 0)), float(named.get("back", 0))
+        for worker in self._workers(args):
+            worker.slow_do = (self.w().trouble(float(args[1])), int(there_s * US), int(back_s * US))
+            self.w().trouble(float(args[1]) + there_s)
+
+    def check_nowhere(self, args: list[str], named: dict[str, Any]) -> None:
+        there = {t: p for t, p in self.w().checker.where.items() if p and t.startswith(args[0] + "/")}
+        assert not there, there
+
+    def check_running(self, args: list[str], named: dict[str, Any]) -> None:
+        there = [t for t, p in self.w().checker.where.items() if p and t.startswith(args[0] + "/")]
+        assert len(there) == int(args[1]), there
+
+    def check_starts(self, args: list[str], named: dict[str, Any]) -> None:
+        count = sum(len(s) for t, s in self.w().checker.starts.items() if t.startswith(args[0] + "/"))
+        assert COMPARE[args[1]](count, int(args[2])), f"{args[0]} was started {count} times"
+
+    def check_starts_since(self, args: list[str], named: dict[str, Any]) -> None:
+        """starts_since UID OP N: since `count`"""
+        before: Any = self.counted["starts"]
+        starts = self.w().checker.starts
+        count = sum(len(s) - before.get(t, 0) for t, s in starts.items() if t.startswith(args[0] + "/"))
+        assert COMPARE[args[1]](count, int(args[2])), f"{args[0]} was started {count} times since"
+
+    def check_services_restarted_by(self, args: list[str], named: dict[str, Any]) -> None:
+        """Some replica was started again, and the last such start was by then."""
+        again = [s[-1] / US for s in self.w().checker.starts.values() if len(s) > 1]
+        assert again and max(again) <= float(args[0]), again
+
+    def check_started_by(self, args: list[str], named: dict[str, Any]) -> None:
+        times = [s[-1] / US for t, s in self.w().checker.starts.items() if t.startswith(args[0] + "/")]
+        assert times and max(times) <= float(args[1]), times
+
+    def check_together(self, args: list[str], named: dict[str, Any]) -> None:
+        times = [s[-1] for t, s in self.w().checker.starts.items() if t.startswith(args[0] + "/")]
+        assert max(times) - min(times) < 3 * US, times
+
+    def check_killed(self, args: list[str], named: dict[str, Any]) -> None:
+        """killed OP N: tasks that the lease of their worker ended"""
+        assert COMPARE[args[0]](self.w().killed, int(args[1])), f"{self.w().killed} tasks killed by their lease"
+
+    def check_machines(self, args: list[str], named: dict[str, Any]) -> None:
+        count = len(self.w().cloud.machines)
+        assert COMPARE[args[0]](count, int(args[1])), f"{count} machines"
+
+    def check_rented(self, args: list[str], named: dict[str, Any]) -> None:
+        """rented OP N: machines there ever were"""
+        count = self.w().cloud.next - 1
+        assert COMPARE[args[0]](count, int(args[1])), f"{count} machines rented"
+
+    def check_rental_calls(self, args: list[str], named: dict[str, Any]) -> None:
+        asked = self.w().cloud.asked - self.counted["asked"]
+        assert COMPARE[args[0]](asked, int(args[1])), f"{asked} rental requests"
+
+    def check_on_type(self, args: list[str], named: dict[str, Any]) -> None:
+        """on_type UID TYPE: every task of it that runs does so there"""
+        places = [n for t, p in self.w().checker.where.items() if t.startswith(args[0] + "/") for n in p]
+        assert places and all(self.w().workers[n].host["build"] == args[1] for n in places), places
+
+    def check_kept_came(self, args: list[str], named: dict[str, Any]) -> None:
+        """kept_came N: so many old reports at least arrived as a shard got an owner"""
+        assert self.w().kept_came >= int(args[0]), self.w().kept_came
+
+    def check_looked_per_report(self, args: list[str], named: dict[str, Any]) -> None:
+        heartbeats = self.w().heartbeats - self.counted["reports"]
+        assert heartbeats > int(named["reports"]), heartbeats
+        looked = self._looked() - self.counted["looked"]
+        assert COMPARE[args[0]](looked / heartbeats, float(args[1])), f"{looked} workers for {heartbeats} reports"
+
+    def check_most_used(self, args: list[str], named: dict[str, Any]) -> None:
+        """most_used LEVEL OP N: at any instant so far"""
+        used = self.w().checker.most_used[args[0]]
+        assert COMPARE[args[1]](used, float(args[2])), f"{args[0]} used {used}"
+
+    def check_level_at_most(self, args: list[str], named: dict[str, Any]) -> None:
+        """level_at_most LEVEL N: CPUs in use beneath it now"""
+        assert self.w().checker.used_now(args[0]) <= float(args[1]), self.w().checker.used_now(args[0])
+
+    def check_since_at_most(self, args: list[str], named: dict[str, Any]) -> None:
+        """since_at_most LEVEL T N: CPUs in use beneath it at every start after T"""
+        later = [used for at_us, used in self.w().checker.history[args[0]] if at_us >= float(args[1]) * US]
+        assert later and max(later) <= float(args[2]), max(later)
--- a/tests/simulation/tracing.py
+++ b/tests/simulation/tracing.py
@@ -2,7 +2,8 @@
 
 The simulated world runs in virtual time from a seed, so equal behaviour is equal bytes. With the environment variable
 `QUINCESLIP_TRACES` naming a folder, every scenario and every example of a random day writes a digest there, and with
-`QUINCESLIP_TRACES_FULL=1` its whole text as well. `python -m tests.simulation.tracing BEFORE AFTER` compares two folders.
+`QUINCESLIP_TRACES_FULL=1` its whole text as well. `python -m
+tests.simulation.tracing BEFORE AFTER` compares two such folders.
 Record both with `PYTHONHASHSEED=0`. Only what is on the wire is traced, so a trace outlives renames in the source.
 """
 
--- a/tests/test_hearing.py
+++ b/tests/test_hearing.py
@@ -7,7 +7,7 @@
 from quinceslip.coordination.reconciliation.delivery import MAX_UNACKNOWLEDGED, DeliveryTracker
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
-from tests.test_scenarios import Runner
+from tests.scenario.runner import Runner
 
 
 def heartbeat(epoch: int, seq: int, fencing_token: int, launches: set[str]) -> m.WorkerHeartbeat:
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -10,7 +10,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from tests.test_scenarios import play
+from tests.scenario.runner import play
 
 settings.register_profile("ci", max_examples=6, derandomize=True)
 settings.register_profile("long", max_examples=170)
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -10,8 +10,8 @@
 from quinceslip.coordination.actor.timing import DRIFT, SECOND, Timing
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.protocol.settings import SettingsError
+from tests.scenario.runner import Runner
 from tests.simulation.inputs import settings_of
-from tests.test_scenarios import Runner
 
 seconds = st.one_of(st.floats(0.01, 100.0), st.floats(0.01, 100_000.0), st.sampled_from([1.0, 4.0, 10.0, 15.25, 26.0]))
 
