--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -213,7 +213,12 @@
                 process.send_signal(signal.SIGCONT)
                 worker.runs(f"req-1{int(10 * stopped_s):05d}")
             until = time.monotonic() + hold_s
-            _wait(lambda: worker.heartbeat() or time.monotonic() > until)
+
+            def heartbeats_until_then() -> bool:
+                worker.heartbeat()
+                return time.monotonic() > until
+
+            _wait(heartbeats_until_then)
             assert process.poll() is None
             # Now the actor stands still in earnest: ended with its own status, after the limit and two calls. (A
             # machine that is busy gives it half the limit of processor time later.)
--- a/tests/scenario/controllers.py
+++ b/tests/scenario/controllers.py
@@ -19,7 +19,7 @@
         """crash NAME... [back=S]: processes end, and start again after some seconds."""
         self.w().trouble(named.get("back", 0))
         for name in args:
-            host = self.w().machines[name]
+            host = self.w().controllers[name]
             host.crash()
             if "back" in named:
                 self.w().after(named["back"] * US, host.start)
@@ -27,7 +27,7 @@
     def on_upgrade(self, args: list[str], named: dict[str, Any], old: bool = False) -> None:
         """upgrade NAME... back=S: processes end, and come back with this version"""
         for name in args:
-            self.w().machines[name].old = old
+            self.w().controllers[name].old = old
         self.on_crash(args, named)
 
     def on_downgrade(self, args: list[str], named: dict[str, Any]) -> None:
@@ -35,15 +35,15 @@
         self.on_upgrade(args, named, old=True)
 
     def on_start(self, args: list[str], named: dict[str, Any]) -> None:
-        self.w().machines[args[0]].start()
+        self.w().controllers[args[0]].start()
 
     def on_hang_watch(self, args: list[str], named: dict[str, Any]) -> None:
         """hang_watch NAME S: a controller's watch brings nothing, while its other calls are answered."""
-        self.w().machines[args[0]].watch_hung_until_us = self.w().trouble(float(args[1]))
+        self.w().controllers[args[0]].watch_hung_until_us = self.w().trouble(float(args[1]))
 
     def on_deaf(self, args: list[str], named: dict[str, Any]) -> None:
         """deaf NAME S [in]: no frames to or from its peers; with `in`, none to it, while its own arrive."""
-        host, until_us = self.w().machines[args[0]], self.w().trouble(float(args[1]))
+        host, until_us = self.w().controllers[args[0]], self.w().trouble(float(args[1]))
         if "in" in args:
             host.deaf_in_until_us = until_us
         else:
@@ -51,10 +51,10 @@
 
     def on_isolate(self, args: list[str], named: dict[str, Any]) -> None:
         """isolate NAME S held|refused|reset: it loses the state service and its peers, but not its workers."""
-        host, until_us = self.w().machines[args[0]], self.w().trouble(float(args[1]))
+        host, until_us = self.w().controllers[args[0]], self.w().trouble(float(args[1]))
         host.deaf_peers_until_us = until_us
         if args[2] == "refused":
-            self.w().state.refused[args[0]] = until_us
+            self.w().store.refused[args[0]] = until_us
         else:
             host.state_cut = (until_us, args[2])
 
@@ -62,13 +62,13 @@
         """cut_state NAME S held|refused|reset: it loses the state service alone, keeps peers, workers and users"""
         until_us = self.w().trouble(float(args[1]))
         if args[2] == "refused":
-            self.w().state.refused[args[0]] = until_us
+            self.w().store.refused[args[0]] = until_us
         else:
-            self.w().machines[args[0]].state_cut = (until_us, args[2])
+            self.w().controllers[args[0]].state_cut = (until_us, args[2])
 
     def on_cut_workers(self, args: list[str], named: dict[str, Any]) -> None:
         """cut_workers NAME S [zone=Z]: nothing passes between a controller and any worker, or those of a zone."""
-        self.w().machines[args[0]].cut_workers = (self.w().trouble(float(args[1])), str(named.get("zone", "")))
+        self.w().controllers[args[0]].cut_workers = (self.w().trouble(float(args[1])), str(named.get("zone", "")))
 
     def on_load_told(self, args: list[str], named: dict[str, Any]) -> None:
         """load_told NAME SHARD,... slots=N rate=R: a peer's frame tells every other controller so; twice a second"""
@@ -77,21 +77,21 @@
             for shard in args[1].split(",")
         ]
         body = pack_heartbeat(PeerHeartbeat(args[0], True, 0, loads))[HEADER.size :]
-        for host in self.w().machines.values():
+        for host in self.w().controllers.values():
             if host.label != args[0]:
                 host.deliver(PeerFrameReceived(read_heartbeat(body)))
         self.w().after(US // 2, lambda: self.on_load_told(args, named))
 
     def check_levels(self, args: list[str], named: dict[str, Any]) -> None:
         """levels SHARD OP N: at every controller that is up"""
-        up = [h.actor.load_balancer for h in self.w().machines.values() if h.actor is not None]
+        up = [h.actor.load_balancer for h in self.w().controllers.values() if h.actor is not None]
         found = [load_balancer.levels.get(int(args[0])) for load_balancer in up]
         assert all(set(load_balancer.levels) <= set(range(self.facts["size"])) for load_balancer in up)
         assert found and all(n is not None and COMPARE[args[1]](n, int(args[2])) for n in found), found
 
     def check_least_loaded(self, args: list[str], named: dict[str, Any]) -> None:
         """least_loaded NAME not SHARD: where that controller sends a job while no shard is below its level"""
-        node = self.w().machines[args[0]].actor
+        node = self.w().controllers[args[0]].actor
         assert node is not None
         node.load_balancer.levels = {}
         assert node.load_balancer.shard_for() not in (None, int(args[2]))
@@ -99,35 +99,37 @@
     def check_gate(self, args: list[str], named: dict[str, Any]) -> None:
         """gate open|shut: at all controllers of this version that are up"""
         found = {
-            h.label: h.actor.ctx.feature_active(PIPELINES) for h in self.w().machines.values() if h.actor and not h.old
+            h.label: h.actor.ctx.feature_active(PIPELINES)
+            for h in self.w().controllers.values()
+            if h.actor and not h.old
         }
         assert found and set(found.values()) == {args[0] == "open"}, found
 
     def check_ready(self, args: list[str], named: dict[str, Any]) -> None:
         """ready NAME true|false, now"""
-        node = self.w().machines[args[0]].actor
+        node = self.w().controllers[args[0]].actor
         assert node is not None
         node.ctx.now_us = self.w().now_us
         assert node.ready() is (args[1] == "true")
 
     def check_terms(self, args: list[str], named: dict[str, Any]) -> None:
         """terms OP N: shards got an owner so often"""
-        count = self.w().state.data["q/term"][0]["term"]
+        count = self.w().store.data["q/term"][0]["term"]
         assert COMPARE[args[0]](count, int(args[1])), f"{count} terms"
 
     def check_told_something(self, args: list[str], named: dict[str, Any]) -> None:
         """told_something: refusals were seen and heard, strays written down, wants recorded"""
-        kinds = {e.get("write", "").split("/")[1] for e in self.w().state.history if "write" in e}
+        kinds = {e.get("write", "").split("/")[1] for e in self.w().store.history if "write" in e}
         assert {"stray", "want", "load"} <= kinds, kinds
         known = [
-            h.actor.autoscaler.capacity.all_observations() for h in self.w().machines.values() if h.actor is not None
+            h.actor.autoscaler.capacity.all_observations() for h in self.w().controllers.values() if h.actor is not None
         ]
         assert any(len(cache) > 1 and any(cache.values()) for cache in known), known
 
     def check_died_out(self, args: list[str], named: dict[str, Any]) -> None:
         """died_out: nothing told in the past is told or counted any more, at any controller"""
         world = self.w()
-        for host in world.machines.values():
+        for host in world.controllers.values():
             node = host.actor
             assert node is not None
             supply = node.autoscaler.capacity
@@ -138,13 +140,13 @@
             )
             loads = {load.shard: load for load in node.load_balancer.peer_loads()}
             assert not any(load.waiting for load in [*loads.values(), *node.load_balancer.loads()])
-            for other in world.machines.values():
+            for other in world.controllers.values():
                 for shard in other.actor.shards.values() if other.actor is not None and other is not host else ():
                     assert abs(loads[shard.index].room - shard.free_slots()) <= 8, (loads, shard.free_slots())
                     assert abs(loads[shard.index].quick_room - shard.quick_room()) <= 16
-        left = [key for key in world.state.data if key.split("/")[1] in ("want", "stray", "hire", "standstill")]
+        left = [key for key in world.store.data if key.split("/")[1] in ("want", "stray", "hire", "standstill")]
         assert not left, left
 
     def check_roster(self, args: list[str], named: dict[str, Any]) -> None:
-        machine_records = [k for k in self.w().state.data if k.startswith("q/roster/")]
+        machine_records = [k for k in self.w().store.data if k.startswith("q/roster/")]
         assert len(machine_records) == len(self.w().cloud.machines), (machine_records, list(self.w().cloud.machines))
--- a/tests/scenario/setup.py
+++ b/tests/scenario/setup.py
@@ -1,5 +1,6 @@
 """Lines that describe the world and play it."""
 
+from functools import partial
 from types import SimpleNamespace
 from typing import Any
 
@@ -51,7 +52,7 @@
 
     def on_tree(self, args: list[str], named: dict[str, Any]) -> None:
         """tree NAME version=N LEVEL.KEY=VALUE ...: a controller's own file, read at its next start"""
-        operators = self.w().machines[args[0]].operators
+        operators = self.w().controllers[args[0]].operators
         for key, given in named.items():
             level, _, name = key.rpartition(".")
             operators.read_dict({f"quota {level}" if level else "quota": {name: str(given)}})
@@ -116,16 +117,14 @@
             self.world = World(self.facts, self.types, self.seed, self.operators)
             self.world.trace = self.trace
             for name in self.old:
-                self.world.machines[name].old = True
+                self.world.controllers[name].old = True
             if self.full:
                 self.world.cloud.capacity = 0
             for count, kind, zone, spot in self.initial:
                 for _ in range(count):
                     self.world.cloud.start(kind, zone, spot, 0)
         for at_s, verb, args, given in self.actions:
-            self.world.after(
-                max(1, at_s * US - self.world.now_us), lambda v=verb, a=args, g=given: self.obey("on_" + v, a, g)
-            )
+            self.world.after(max(1, at_s * US - self.world.now_us), partial(self.obey, "on_" + verb, args, given))
         last_us = max((int(at_s * US) for at_s, *_ in self.actions), default=0)
         self.actions = []
         if plain[0] == "calm":
--- a/tests/scenario/state.py
+++ b/tests/scenario/state.py
@@ -45,7 +45,7 @@
         return self.world
 
     def ask(self, verb: str, job_id: str, heard: Any, spec: Any = None, by: str = "") -> None:
-        alive = [h for h in self.w().machines.values() if h.actor is not None and by in ("", h.label)]
+        alive = [h for h in self.w().controllers.values() if h.actor is not None and by in ("", h.label)]
         if not alive:
             return
         host, asked_us = self.w().random.choice(alive), self.w().now_us
@@ -70,5 +70,8 @@
     def _looked(self) -> int:
         """Workers that placement has looked at, by all controllers."""
         return sum(
-            s.placement.workers_examined for h in self.w().machines.values() if h.actor for s in h.actor.shards.values()
+            s.placement.workers_examined
+            for h in self.w().controllers.values()
+            if h.actor
+            for s in h.actor.shards.values()
         )
--- a/tests/scenario/store.py
+++ b/tests/scenario/store.py
@@ -29,13 +29,13 @@
         """outage state|cloud S"""
         until_us = self.w().trouble(float(args[1]))
         if args[0] == "state":
-            self.w().state.outage(int(float(args[1]) * US))
+            self.w().store.outage(int(float(args[1]) * US))
         else:
             self.w().cloud.down_until_us = until_us
 
     def on_refuse(self, args: list[str], named: dict[str, Any]) -> None:
         """refuse NAME S: the state service answers 503 to this controller alone."""
-        self.w().state.refused[args[0]] = self.w().trouble(float(args[1]))
+        self.w().store.refused[args[0]] = self.w().trouble(float(args[1]))
 
     def on_late(self, args: list[str], named: dict[str, Any]) -> None:
         """late NAME S DELAY [MOST] [share=P]: of its transactions that share is carried out late, unanswered.
@@ -43,11 +43,11 @@
         `late NAME S at_once [share=P]`: they are carried out at once, and only their answers are lost.
         """
         if args[2] == "at_once":
-            for label in self.w().machines if args[0] == "all" else args[:1]:
-                self.w().state.unanswered[label] = (self.w().trouble(float(args[1])), float(named.get("share", 1.0)))
+            for label in self.w().controllers if args[0] == "all" else args[:1]:
+                self.w().store.unanswered[label] = (self.w().trouble(float(args[1])), float(named.get("share", 1.0)))
             return
         least_s, most_s = float(args[2]), float(args[-1])
-        self.w().state.late[args[0]] = (
+        self.w().store.late[args[0]] = (
             self.w().trouble(float(args[1])),
             int(least_s * US),
             int(most_s * US),
@@ -57,25 +57,25 @@
 
     def on_slow(self, args: list[str], named: dict[str, Any]) -> None:
         """slow NAME|all S MOST: the state service takes up to so long to answer."""
-        for label in self.w().machines if args[0] == "all" else args[:1]:
-            self.w().state.slow[label] = (self.w().trouble(float(args[1])), int(float(args[2]) * US))
+        for label in self.w().controllers if args[0] == "all" else args[:1]:
+            self.w().store.slow[label] = (self.w().trouble(float(args[1])), int(float(args[2]) * US))
 
     def on_page_gap(self, args: list[str], named: dict[str, Any]) -> None:
         """page_gap S: a listing of the records is read in pages, so long after one another"""
-        self.w().state.page_gap_us = int(float(args[0]) * US)
+        self.w().store.page_gap_us = int(float(args[0]) * US)
 
     def on_state_limits(self, args: list[str], named: dict[str, Any]) -> None:
         """state_limits value_kb=N txn_ops=N: larger values and transactions are answered 400 from now on"""
-        self.w().state.limits = dict(named.items())
+        self.w().store.limits = dict(named.items())
 
     def check_asked(self, args: list[str], named: dict[str, Any]) -> None:
         """asked KEY OP N: how often a change of a record was asked for, whatever came of it"""
-        count = self.w().state.asked_keys.get("q/" + args[0], 0)
+        count = self.w().store.asked_keys.get("q/" + args[0], 0)
         assert COMPARE[args[1]](count, int(args[2])), f"{args[0]}: {count}"
 
     def check_too_large(self, args: list[str], named: dict[str, Any]) -> None:
         """too_large OP N: changes that the state service refused for its limits; never the same ones again"""
-        refused = self.w().state.too_large
+        refused = self.w().store.too_large
         assert COMPARE[args[0]](len(refused), int(args[1])) and len(set(refused)) == len(refused), refused[:3]
 
     def on_load_record(self, args: list[str], named: dict[str, Any]) -> None:
@@ -83,23 +83,23 @@
         record = {"waiting": 0, "slots": 8, "rate": 0.1, "arrivals": 0.0, "room": 0} | {
             k: None if v == "null" else v for k, v in named.items()
         }
-        self.w().state.answer("", "POST", "/txn", {"if": [], "then": [{"write": f"q/load/{args[0]}", "v": record}]})
+        self.w().store.answer("", "POST", "/txn", {"if": [], "then": [{"write": f"q/load/{args[0]}", "v": record}]})
 
     def check_puts_per_job(self, args: list[str], named: dict[str, Any]) -> None:
-        puts = self.w().state.puts - self.counted["puts"]
+        puts = self.w().store.puts - self.counted["puts"]
         jobs = len(self.w().jobs)
         assert COMPARE[args[0]](puts / jobs, float(args[1])), f"{puts} puts for {jobs} jobs"
 
     def check_puts_per_s(self, args: list[str], named: dict[str, Any]) -> None:
         """in any ten seconds in a row, on average"""
-        seconds = self.w().state.second
+        seconds = self.w().store.second
         first, last = self.counted["second"], self.w().now_us // US
         most = max(sum(seconds.get(t + i, 0) for i in range(10)) / 10 for t in range(first, last - 9))
         assert COMPARE[args[0]](most, float(args[1])), f"{most} puts a second"
 
     def check_grant_writes(self, args: list[str], named: dict[str, Any]) -> None:
         """grant_writes OP N: changes of quotas' records since `count`"""
-        writes = self.w().state.grants - self.counted.get("grants", 0)
+        writes = self.w().store.grants - self.counted.get("grants", 0)
         assert COMPARE[args[0]](writes, float(args[1])), f"{writes} writes for quotas"
 
     def check_grant_writes_per_job(self, args: list[str], named: dict[str, Any]) -> None:
@@ -107,17 +107,17 @@
 
     def check_grant_writes_per_s(self, args: list[str], named: dict[str, Any]) -> None:
         """in any ten seconds in a row, on average"""
-        seconds = self.w().state.grants_in
+        seconds = self.w().store.grants_in
         most = max(sum(seconds.get(t + i, 0) for i in range(10)) / 10 for t in range(self.w().now_us // US))
         assert COMPARE[args[0]](most, float(args[1])), f"{most} writes a second for quotas"
 
     def check_records(self, args: list[str], named: dict[str, Any]) -> None:
         """records KIND N: so many of a kind in the state service"""
-        assert sum(key.startswith(f"q/{args[0]}/") for key in self.w().state.data) == int(args[1])
+        assert sum(key.startswith(f"q/{args[0]}/") for key in self.w().store.data) == int(args[1])
 
     def check_answers_lost(self, args: list[str], named: dict[str, Any]) -> None:
         """answers_lost N: so many transactions at least were carried out at once, without an answer"""
-        assert self.w().state.answers_lost >= int(args[0]), self.w().state.answers_lost
+        assert self.w().store.answers_lost >= int(args[0]), self.w().store.answers_lost
 
     def do_long_listing(self, plain: list[str], named: dict[str, Any]) -> None:
         """long_listing N: one message with so many records makes steps all along, so it is no standstill"""
@@ -131,20 +131,21 @@
     def do_listing_in_pages(self, plain: list[str], named: dict[str, Any]) -> None:
         """listing_in_pages FIRST LAST: read over these ledgers; nothing is decided before the watch brings the last"""
         node = Controller(settings_of({**self.facts, "size": 1}), Tuning(), 0, 0)
-        claims, first, last = [0], int(plain[0]), int(plain[1])
+        claims, first, last = list[int](), int(plain[0]), int(plain[1])
 
         def gives(message: Any, now_us: int) -> None:
             for effect in node.handle(message, now_us):
                 if isinstance(effect, Call) and effect.path == m.PATH_LEASES:
                     gives(CallResult(effect.id, 200, b'{"hold":1}'), now_us)
-                claims[0] += isinstance(effect, Call) and b"q/shard/0" in msgspec.json.encode(effect.body)
+                if isinstance(effect, Call) and b"q/shard/0" in msgspec.json.encode(effect.body):
+                    claims.append(now_us)
 
         gives(Tick(), 1)
         gives(StoreListing([], first, 1, last), 2)
         gives(Tick(), 3)
         gives(StoreChanges([], last - 1, 3), 4)
         gives(Tick(), 5)
-        assert not claims[0] and not node.ready()
+        assert not claims and not node.ready()
         gives(StoreChanges([], last, 5), 6)
         gives(Tick(), 7)
-        assert claims[0] == 1 and node.ready()
+        assert len(claims) == 1 and node.ready()
--- a/tests/scenario/troubles.py
+++ b/tests/scenario/troubles.py
@@ -1,5 +1,6 @@
 """Verbs of scenarios for troubles that meet: users who look closely or ask oddly, cancellations at awkward moments."""
 
+from functools import partial
 from typing import Any
 
 from tests.scenario.users import UserVerbs
@@ -41,16 +42,21 @@
             if world.now_us >= until_us or job_id in world.odd:
                 return
             self._meets("close_looks")
-            for label in world.machines:
+            for label in world.controllers:
                 for _ in range(2):
                     world.after(
                         world.random.randint(1, 8000),
-                        lambda n=label: self.ask("poll", job_id, lambda s, b: world.checker.polled(job_id, s, b), by=n),
+                        partial(self.ask, "poll", job_id, lambda s, b: world.checker.polled(job_id, s, b), by=label),
                     )
                 world.after(
                     world.random.randint(1, 8000),
-                    lambda n=label: self.ask(
-                        "submit", job_id, lambda s, b: world.checker.submitted(job_id, s, b), world.jobs[job_id], by=n
+                    partial(
+                        self.ask,
+                        "submit",
+                        job_id,
+                        lambda s, b: world.checker.submitted(job_id, s, b),
+                        world.jobs[job_id],
+                        by=label,
                     ),
                 )
             if status not in ("done", "withdrawn") and world.random.random() < share:
@@ -148,9 +154,9 @@
         """island ZONE NAME S [MODE]: a zone with its workers and that controller is cut off from all else"""
         world = self.w()
         until_us = world.trouble(float(args[2]))
-        for label, host in world.machines.items():
+        for label, host in world.controllers.items():
             host.cut_workers = (until_us, "!" + args[0] if label == args[1] else args[0])
-        inside = world.machines[args[1]]
+        inside = world.controllers[args[1]]
         inside.deaf_peers_until_us, inside.state_cut = until_us, (until_us, args[3] if args[3:] else "held")
 
     def on_hand_over_unanswered(self, args: list[str], named: dict[str, Any]) -> None:
@@ -158,7 +164,7 @@
 
         `hand_over_unanswered NAME S lost`: it is not carried out either.
         """
-        self.w().state.hand_over_lost[args[0]] = int(float(args[1]) * US), "lost" in args
+        self.w().store.hand_over_lost[args[0]] = int(float(args[1]) * US), "lost" in args
 
     def check_handed_over(self, args: list[str], named: dict[str, Any]) -> None:
         """handed_over: that has met"""
--- a/tests/scenario/users.py
+++ b/tests/scenario/users.py
@@ -1,6 +1,7 @@
 """What users do at a moment, and what is expected of their answers."""
 
 import json
+from functools import partial
 from typing import Any
 
 from quinceslip.quota.plots import merged
@@ -17,7 +18,7 @@
         """sample FILE every=S until=T: what `quota record` would write of all controllers"""
         world = self.w()
         pages: list[Any] = []
-        for host in world.machines.values():
+        for host in world.controllers.values():
             host.ask("quota", lambda status, body: pages.append(body))
 
         def write() -> None:
@@ -106,9 +107,9 @@
         for place in range(int(args[1])):
             what = [f"req-{int(args[0]) + place:06d}", *args[2:]]
             after = {"after": f"req-{int(args[0]) + place - needs:06d}"} if needs else {}
-            self.w().after(place * every_us + 1, lambda w=what, a=after: self.on_submit(w, {**named, **a}))
+            self.w().after(place * every_us + 1, partial(self.on_submit, what, {**named, **after}))
             if off_s is not None and place % 4 == 3:
-                self.w().after(place * every_us + off_s * US, lambda w=what: self.on_cancel(w[:1], {}))
+                self.w().after(place * every_us + off_s * US, partial(self.on_cancel, what[:1], {}))
 
     def on_submit_teams(self, args: list[str], named: dict[str, Any]) -> None:
         """submit_teams FIRST COUNT ...: a job of each of the teams t-1, t-2, ..."""
@@ -124,14 +125,14 @@
         world = self.w()
         starts = {task: len(times) for task, times in world.checker.starts.items()}
         self.counted = {
-            "puts": world.state.puts,
+            "puts": world.store.puts,
             "reports": world.heartbeats,
             "looked": self._looked(),
             "starts": starts,
             "reads": self._reads(),
             "asked": world.cloud.asked,
             "second": world.now_us // US,
-            "grants": world.state.grants,
+            "grants": world.store.grants,
         }
 
     def on_poll(self, args: list[str], named: dict[str, Any]) -> None:
@@ -151,7 +152,7 @@
             self.w().after(number * named["over"] * US // int(args[1]), lambda: self.on_poll(args, {}))
 
     def _reads(self) -> int:
-        return sum(h.actor.user_requests.read_barriers for h in self.w().machines.values() if h.actor is not None)
+        return sum(h.actor.user_requests.read_barriers for h in self.w().controllers.values() if h.actor is not None)
 
     def check_reads_since(self, args: list[str], named: dict[str, Any]) -> None:
         """reads_since OP N: reads of the ledger for users, since `count`"""
@@ -211,7 +212,7 @@
 
     def check_open_jobs(self, args: list[str], named: dict[str, Any]) -> None:
         """open_jobs N: records of jobs that are not over"""
-        left = [k for k, (v, *_) in self.w().state.data.items() if k.startswith("q/job/") and v["state"] == "queued"]
+        left = [k for k, (v, *_) in self.w().store.data.items() if k.startswith("q/job/") and v["state"] == "queued"]
         assert len(left) == int(args[0]), left[:5]
 
     def check_late_starts(self, args: list[str], named: dict[str, Any]) -> None:
--- a/tests/scenario/workers.py
+++ b/tests/scenario/workers.py
@@ -1,5 +1,6 @@
 """What happens to workers and the cloud, and what is expected of tasks and machines."""
 
+from functools import partial
 from typing import Any
 
 from tests.scenario.state import RunnerState
@@ -78,7 +79,7 @@
             self.w().trouble(notice_s)
             worker.notice_us = self.w().now_us + int(notice_s * US)
             worker.changed = True
-            self.w().after(notice_s * US + 1, lambda n=worker.name: self.w().cloud.gone(n))
+            self.w().after(notice_s * US + 1, partial(self.w().cloud.gone, worker.name))
 
     def on_token(self, args: list[str], named: dict[str, Any]) -> None:
         """token WORKER N: the worker has seen a higher token than its owner's."""
--- a/tests/simulation/checker.py
+++ b/tests/simulation/checker.py
@@ -176,7 +176,8 @@
             max(self.done_us.get(f"{u}/{i}", self.world.now_us) for i in range(self.world.jobs[u]["picks"]))
             for u in self.world.jobs[job_id]["waitsOn"]
         ]
-        return max([self.asked_us.get(job_id, self.world.now_us), *ends])
+        asked_us: int = self.asked_us.get(job_id, self.world.now_us)
+        return max(asked_us, *ends) if ends else asked_us
 
     # What users are told.
 
@@ -322,7 +323,7 @@
     def _under_limits(self, spec: dict[str, Any], count: int, machines: list[Any]) -> bool:
         """As `_quota` has the levels, by the lowest cap in any controller's file; what fetches its image counts."""
         caps, above = self._caps()
-        for host in self.world.machines.values():
+        for host in self.world.controllers.values():
             for level, given in ((name.partition(" ")[2], host.operators[name]) for name in host.operators.sections()):
                 for kind in [*KINDS, "tasks"]:
                     if level and kind + "_max" in given:
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -3,6 +3,7 @@
 import configparser
 import json
 from collections.abc import Callable
+from functools import partial
 from typing import TYPE_CHECKING, Any
 
 import msgspec
@@ -81,7 +82,7 @@
         """What is known of a peer's sightings is one of its own, as old as it is; hearsay is nobody's own."""
         supply = self.actor.autoscaler.capacity if self.actor is not None else None
         for origin, theirs in supply.all_observations().items() if supply is not None else ():
-            node = self.world.machines[origin].actor
+            node = self.world.controllers[origin].actor
             own = {} if node is None else node.autoscaler.capacity.all_observations().get(origin, {})
             for kind, known in theirs.items():
                 mine = own.get(kind)
@@ -127,7 +128,7 @@
     def _list(self, life: int) -> None:
         if life != self.life:
             return
-        world, state = self.world, self.world.state
+        world, state = self.world, self.world.store
         if not state.reachable(self.label) or world.now_us < self.state_cut[0]:
             world.after(300_000, lambda: self._list(life))
             return
@@ -169,7 +170,7 @@
     def _watch(self, life: int, since: int) -> None:
         if life != self.life:
             return
-        world, state = self.world, self.world.state
+        world, state = self.world, self.world.store
         if not state.reachable(self.label) or world.now_us < max(self.watch_hung_until_us, self.state_cut[0]):
             world.after(300_000, lambda: self._watch(life, since))
             return
@@ -199,12 +200,12 @@
             return
         if isinstance(effect, fx.ToPeers):
             self._trace("out", "peers", effect.frames.hex())
-            for other in world.machines.values():
+            for other in world.controllers.values():
                 if other is not self and world.now_us >= max(
                     other.deaf_peers_until_us, other.deaf_in_until_us, self.deaf_peers_until_us
                 ):
                     for said in read_frames(effect.frames):
-                        world.after(world.latency(), lambda o=other, s=said: o.deliver(fx.PeerFrameReceived(s)))
+                        world.after(world.latency(), partial(other.deliver, fx.PeerFrameReceived(said)))
             return
         body = json.loads(msgspec.json.encode(effect.body))
         self._trace(
@@ -230,22 +231,22 @@
                 if how == "held":
                     world.after(
                         cut_until_us - world.now_us + world.latency(),
-                        lambda: world.state.answer("", effect.method, effect.path, body),
+                        lambda: world.store.answer("", effect.method, effect.path, body),
                     )
                 world.after(effect.timeout_us if how == "held" else world.latency(), lambda: back(0, {}))
                 return
-            until_us, least_us, most_us, share = world.state.late.get(self.label, (0, 0, 0, 0.0))
+            until_us, least_us, most_us, share = world.store.late.get(self.label, (0, 0, 0, 0.0))
             if effect.path == "/txn" and world.now_us < until_us and world.random.random() < share:
                 world.after(
                     world.random.randint(least_us, most_us),
-                    lambda: world.state.answer("", effect.method, effect.path, body),
+                    lambda: world.store.answer("", effect.method, effect.path, body),
                 )
                 world.after(effect.timeout_us, lambda: back(0, {}))
                 return
-            until_us, share = world.state.unanswered.get(self.label, (0, 0.0))
+            until_us, share = world.store.unanswered.get(self.label, (0, 0.0))
             drops = [op.get("drop", "") for op in body.get("then", [])] if effect.path == "/txn" else []
-            if any(key.startswith("q/shard/") for key in drops) and self.label in world.state.hand_over_lost:
-                hung_us, lost = world.state.hand_over_lost.pop(self.label)
+            if any(key.startswith("q/shard/") for key in drops) and self.label in world.store.hand_over_lost:
+                hung_us, lost = world.store.hand_over_lost.pop(self.label)
                 self.watch_hung_until_us = world.now_us + hung_us
                 until_us, share = world.now_us + 1, 1.0
                 world.handed_over_us = world.now_us
@@ -253,24 +254,24 @@
                     world.after(effect.timeout_us, lambda: back(0, {}))
                     return
             if effect.path == "/txn" and world.now_us < until_us and world.random.random() < share:
-                world.state.answers_lost += 1
-                world.after(world.latency(), lambda: world.state.answer(self.label, effect.method, effect.path, body))
+                world.store.answers_lost += 1
+                world.after(world.latency(), lambda: world.store.answer(self.label, effect.method, effect.path, body))
                 world.after(effect.timeout_us, lambda: back(0, {}))
                 return
-            until_us, most_us = world.state.slow.get(self.label, (0, 0))
+            until_us, most_us = world.store.slow.get(self.label, (0, 0))
             if world.now_us < until_us:
                 # It waits before it is carried out and after; its sender gives up in between.
                 there_us, back_us = (world.random.randint(0, most_us // 2) for _ in range(2))
 
                 def carried_out() -> None:
-                    answer = world.state.answer(self.label, effect.method, effect.path, body)
+                    answer = world.store.answer(self.label, effect.method, effect.path, body)
                     world.after(back_us, lambda: back(*answer))
 
                 world.after(there_us + world.latency(), carried_out)
                 world.after(effect.timeout_us, lambda: back(0, {}))
                 return
             world.after(
-                world.latency(), lambda: back(*world.state.answer(self.label, effect.method, effect.path, body))
+                world.latency(), lambda: back(*world.store.answer(self.label, effect.method, effect.path, body))
             )
         elif effect.target == "cloud":
             world.after(world.latency(), lambda: back(*world.cloud.answer(effect.method, effect.path, body)))
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -1,6 +1,7 @@
 """A simulated machine with its worker: keeps fencing tokens, leases and agent epochs as the protocol says."""
 
 from collections.abc import Callable
+from functools import partial
 from typing import TYPE_CHECKING, Any
 
 from tests.simulation.clock import US
@@ -20,7 +21,7 @@
         self.fencing_token = 0
         self.tasks: dict[str, dict[str, Any]] = {}
         self.started_us = self.answered_us = world.now_us
-        self.node = world.random.choice(sorted(world.machines))
+        self.node = world.random.choice(sorted(world.controllers))
         self.dead = False
         self.life = 0
         self.cut_until_us = 0
@@ -132,7 +133,7 @@
                     self._see(body["baton"])
                     self.answered_us = max(self.answered_us, sent_us)
                     self._execute(body["orders"])
-            elif status == 421 and body.get("foreman") in world.machines and body["foreman"] != self.node:
+            elif status == 421 and body.get("foreman") in world.controllers and body["foreman"] != self.node:
                 self.node, self.changed = body["foreman"], True
             else:
                 self._next_node()
@@ -151,19 +152,19 @@
         if world.now_us < self.for_next_until_us:
             world.for_next = [r for r in world.for_next if r["berth"] != self.name] + [heartbeat]
         if world.now_us >= max(self.cut_until_us, self.mute_until_us):
-            node = world.machines[self.node]
+            node = world.controllers[self.node]
             world.after(world.latency(), lambda: node.worker_reports(heartbeat, answer))
             until_us, times, late_us = self.copies
             for _ in range(times if world.now_us < until_us else 0):
                 # A copy comes by another connection: whatever it is answered, nobody takes it.
-                other = world.machines[world.random.choice(sorted(world.machines))]
+                other = world.controllers[world.random.choice(sorted(world.controllers))]
                 world.after(
                     world.random.randint(US, late_us),
-                    lambda o=other: o.worker_reports(heartbeat, lambda status, body: None, copy=True),
+                    partial(other.worker_reports, heartbeat, lambda status, body: None, copy=True),
                 )
 
     def _next_node(self) -> None:
-        names = sorted(self.world.machines)
+        names = sorted(self.world.controllers)
         self.node = names[(names.index(self.node) + 1) % len(names)]
         self.not_before_us = self.world.now_us + US
 
@@ -194,9 +195,7 @@
                     saved = task["spec"]["markEveryS"] > 0 and order.get("windDownS", 0) >= task["spec"]["markCostS"]
                     if saved and task["status"] == "running":
                         task["status"] = "flushing"
-                        self.world.after(
-                            task["spec"]["markCostS"] * US, lambda n=name, t=number: self._exit(n, t, "halted")
-                        )
+                        self.world.after(task["spec"]["markCostS"] * US, partial(self._exit, name, number, "halted"))
                     else:
                         self._exit(name, number, "halted")
             elif task and task["try"] == number and task["status"] == "exited":
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -7,6 +7,7 @@
 import heapq
 import random
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 from tests.simulation.checker import Checker
@@ -29,7 +30,7 @@
         self.now_us = 0
         self.calm_us = 0  # when the last trouble is over
         self.operators = operators or {}  # sections of the operators' INI file
-        self.queue: list[tuple[int, int, Callable[[], None]]] = []
+        self.queue: list[tuple[int, int, Callable[[], object]]] = []
         self.order = 0
         self.random = random.Random(seed)
         self.facts = facts
@@ -42,7 +43,7 @@
         self.on_news: list[Callable[[str, str], None]] = []  # a user is told of a job what none was told before
         self.on_end: list[Callable[[str], None]] = []  # a job's last task has completed
         self.for_next: list[dict[str, Any]] = []  # copies of reports that wait for the next claim of a shard
-        self.state = SimulatedStore(self)
+        self.store = SimulatedStore(self)
         self.cloud = SimulatedCloud(self)
         self.workers: dict[str, SimulatedWorker] = {}
         self.checker = Checker(self)
@@ -51,7 +52,7 @@
         self.handed_over_us = 0  # a hand-over was carried out, and its answer lost
         self.kept_came = 0  # copies that arrived as a shard got an owner
         self.killed = 0  # tasks that a worker's own lease ended
-        self.machines = {f"berth-{i}": SimulatedController(self, f"berth-{i}") for i in range(facts["size"])}
+        self.controllers = {f"berth-{i}": SimulatedController(self, f"berth-{i}") for i in range(facts["size"])}
         self.log: list[str] = []
         self.trace: Trace | None = None  # where what reaches and leaves the controllers is written down
         self._look()
@@ -60,7 +61,7 @@
         self.checker.look()
         self.after(2 * US, self._look)
 
-    def after(self, delay_us: float, action: Callable[[], None]) -> None:
+    def after(self, delay_us: float, action: Callable[[], object]) -> None:
         self.order += 1
         heapq.heappush(self.queue, (self.now_us + max(1, int(delay_us)), self.order, action))
 
@@ -71,12 +72,11 @@
     def claimed(self) -> None:
         """A shard has an owner anew: old reports that were kept for this arrive at every controller now."""
         heartbeats, self.for_next = self.for_next, []
-        self.kept_came += len(heartbeats) * len(self.machines)
+        self.kept_came += len(heartbeats) * len(self.controllers)
         for heartbeat in heartbeats:
-            for host in self.machines.values():
+            for host in self.controllers.values():
                 self.after(
-                    self.latency(),
-                    lambda h=host, r=heartbeat: h.worker_reports(r, lambda status, body: None, copy=True),
+                    self.latency(), partial(host.worker_reports, heartbeat, lambda status, body: None, copy=True)
                 )
 
     def trouble(self, seconds: float) -> int:
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -83,6 +83,7 @@
         kind, length = frames.read_header(data[: frames.HEADER.size])
         said = frames.read_frame(kind, data[frames.HEADER.size :])
         assert length == len(data) - frames.HEADER.size
+        assert said is not None
         again = (
             frames.pack_heartbeat(said) if isinstance(said, frames.PeerHeartbeat) else frames.pack_observations(said)
         )
--- a/tests/test_quota_properties.py
+++ b/tests/test_quota_properties.py
@@ -1,6 +1,8 @@
 """Properties of quotas over random trees and random work, against oracles that recompute from scratch."""
 
+import random
 from fractions import Fraction
+from typing import Any
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -82,7 +84,7 @@
 
 @settings(max_examples=250, deadline=None, derandomize=True)
 @given(trees(), work, st.integers(1, 4), st.randoms(use_true_random=False))
-def test_caps_hold_and_no_room_is_wasted(tree: Tree, jobs: list, machines: int, chance) -> None:
+def test_caps_hold_and_no_room_is_wasted(tree: Tree, jobs: list[Any], machines: int, chance: random.Random) -> None:
     bed = Bed(tree, machines, 8.0)
     teams = sorted(tree.leaves)
     for team, tasks, cpus, priority_class, kind, ends in jobs:
@@ -187,7 +189,7 @@
     ),
     st.integers(1, 40),
 )
-def test_placement_divides_fairly_between_siblings(groups: list, cpus: int) -> None:
+def test_placement_divides_fairly_between_siblings(groups: list[Any], cpus: int) -> None:
     levels, demands = [], []
     for g, (weight, leaves) in enumerate(groups):
         levels.append(Level(f"g{g}", "", weight))
@@ -219,7 +221,9 @@
 @given(
     st.lists(st.integers(1, 3), min_size=2, max_size=4), arrivals, st.integers(4, 24), st.randoms(use_true_random=False)
 )
-def test_a_flood_leaves_every_team_its_part(weights: list[int], jobs: list, slots: int, chance) -> None:
+def test_a_flood_leaves_every_team_its_part(
+    weights: list[int], jobs: list[Any], slots: int, chance: random.Random
+) -> None:
     """No caps, no guarantees, nothing stopped. Whoever came first and with however much: once what ran when somebody
     came has ended, every team has its part of the places, or all that it asked for.
 
