--- a/quinceslip/protocol/settings.py
+++ b/quinceslip/protocol/settings.py
@@ -1,4 +1,7 @@
-"""The settings file of the platform (TOML) and the optional one of the operators (INI)."""
+"""The settings file of the platform (TOML) and the optional one of the operators (INI).
+
+Fields have the names of the files; what they mean is in README and in the platform's pages.
+"""
 
 import configparser
 from pathlib import Path
@@ -21,17 +24,23 @@
 
 
 class Peer(msgspec.Struct, frozen=True):
+    """Another controller of the site."""
+
     label: Name
     location: Name
     endpoint: str
 
 
 class Outside(msgspec.Struct, frozen=True):
+    """Addresses of the cloud and of the key-value store."""
+
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct, frozen=True):
+    """A team with its guarantee (`cpus`, `gpus`) and its limit (`..._max`); 0: none."""
+
     name: Name
     cpus: Amount = 0.0
     cpus_max: Amount = 0.0
@@ -40,6 +49,8 @@
 
 
 class Objective(msgspec.Struct, frozen=True):
+    """A service-level objective of one class of jobs."""
+
     kind: str
     job_class: str = msgspec.field(name="class", default="")
     within_s: Amount = 0.0
@@ -48,13 +59,15 @@
 
 
 class WorkerFacts(msgspec.Struct, frozen=True):
+    """Seconds between heartbeats, of a worker's lease, and until a confirmed cancellation must have taken effect."""
+
     report_s: Positive
     lease_s: Positive
     cancel_s: Positive
 
 
 class StateNext(msgspec.Struct, frozen=True):
-    """Limits that the state service will have from some moment on, without notice; what is missing stays."""
+    """Limits that the key-value store will have from some moment on, without notice; what is missing stays."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -87,17 +100,23 @@
 
 
 class CloudFacts(msgspec.Struct, frozen=True):
+    """Calls a second that the cloud takes, and by how much its list of machines lags."""
+
     rps: Positive
     list_lag_s: Amount
 
 
 class Limits(msgspec.Struct, frozen=True):
+    """What one controller may use."""
+
     cpu_share: Positive = 1.0
     memory_mb: Positive = 256.0
     max_sockets: Annotated[int, Meta(ge=16)] = 1024
 
 
 class Facts(msgspec.Struct, frozen=True):
+    """Facts of the site; `size` is the number of controllers, and of shards."""
+
     size: Annotated[int, Meta(ge=1, le=64)]
     zones: list[str]
     workers: WorkerFacts
@@ -110,6 +129,8 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
+    """Everything that the platform hands over to one controller."""
+
     label: Name
     location: Name
     api_addr: str
@@ -137,7 +158,7 @@
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Turn "10.0.0.1:8080" into its host and port."""
+    """Turn "10.0.0.1:8080" into its host and port; raises ValueError for anything else."""
     host, sep, port = text.rpartition(":")
     if not sep or not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"not an address HOST:PORT: {text!r}")
@@ -145,7 +166,7 @@
 
 
 def load_settings(path: Path) -> Settings:
-    """Read and check the platform's settings."""
+    """Read and check the platform's settings; raises SettingsError with the file and the field."""
     try:
         data = path.read_bytes()
     except OSError as error:
@@ -154,21 +175,26 @@
         settings = msgspec.toml.decode(data, type=Settings)
     except msgspec.DecodeError as error:
         raise SettingsError(f"{path}: {error}") from error
-    places = {
+    _check_addresses(path, settings)
+    if len({settings.label, *(peer.label for peer in settings.known)}) != settings.facts.size:
+        raise SettingsError(f"{path}: facts.size: {settings.facts.size} does not match label and known")
+    return settings
+
+
+def _check_addresses(path: Path, settings: Settings) -> None:
+    """Raise SettingsError for the first field that holds no address."""
+    addresses = {
         "api_addr": settings.api_addr,
         "peer_bind": settings.peer_bind,
         "outside.cloud": settings.outside.cloud,
         "outside.state": settings.outside.state,
     }
-    places.update({f"known.{p.label}.endpoint": p.endpoint for p in settings.known})
-    for field, address in places.items():
+    addresses.update({f"known.{peer.label}.endpoint": peer.endpoint for peer in settings.known})
+    for field, address in addresses.items():
         try:
             split_address(address)
         except ValueError as error:
             raise SettingsError(f"{path}: {field}: {error}") from error
-    if len({settings.label, *(p.label for p in settings.known)}) != settings.facts.size:
-        raise SettingsError(f"{path}: facts.size: {settings.facts.size} does not match label and known")
-    return settings
 
 
 def read_operator_file(path: Path | None) -> configparser.ConfigParser:
