--- a/quinceslip/models/gap.py
+++ b/quinceslip/models/gap.py
@@ -118,7 +118,7 @@
             owner.attach(worker, attempt)
             if state.runs:
                 worker.reported_tasks = {attempt.name: m.TaskStatus(attempt.name, 1, m.RUNNING)}
-            persistence: Any = SimpleNamespace(recorded=lambda a: True)
+            persistence: Any = SimpleNamespace(is_recorded=lambda a: True)
             command_sender = CommandSender(owner, persistence, lambda r, d: None)
             said = command_sender.commands_for(worker, may_launch) if may_launch or "halts" in self.guards else []
             self.said[key] = any(c.op == "halt" for c in said)
--- a/quinceslip/models/takeover.py
+++ b/quinceslip/models/takeover.py
@@ -185,7 +185,7 @@
                     machine.name, None, "z", False, endpoint=machine.name, registered=True
                 )
                 owner.inherit_worker(worker)
-        self.command_sender = CommandSender(owner, SimpleNamespace(recorded=self._is_recorded), self._hears)  # type: ignore[arg-type]
+        self.command_sender = CommandSender(owner, SimpleNamespace(is_recorded=self._is_recorded), self._hears)  # type: ignore[arg-type]
         owner.release_unreconciled()
 
     def _is_recorded(self, attempt: Attempt) -> bool:
