--- a/quinceslip/coordination/actor/effects.py
+++ b/quinceslip/coordination/actor/effects.py
@@ -1,35 +1,62 @@
-"""What the actors ask the shell to do. They never do it themselves."""
+"""Effects, which the actor asks its shell to carry out, and messages, which the shell posts to the actor.
+
+The actor does no I/O of its own: it takes one message at a time and returns effects (`quinceslip.transport.actor`).
+"""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
 from typing import Any
 
-#: outcome of a call that surely never reached the other side
-NOT_SENT = -1
-#: outcome of a call that may or may not have taken effect
-UNKNOWN = 0
+from quinceslip.protocol import frames
+from quinceslip.protocol import messages as m
+
+#: `Call.target` of requests to the key-value store
+TARGET_STORE = "state"
+#: `Call.target` of requests for the leader lease, which go to the key-value store outside the budget of its rate
+TARGET_LEASE = "lease"
+#: `Call.target` of requests to the cloud
+TARGET_CLOUD = "cloud"
+
+#: a call is given up after this long where nothing else is said
+DEFAULT_TIMEOUT_US = 1_500_000
+
+
+class CallOutcome(IntEnum):
+    """`CallResult.status` of calls that got no HTTP status."""
+
+    #: the request never reached the other side
+    NOT_SENT = -1
+    #: the request may or may not have taken effect
+    UNKNOWN = 0
+
+
+NOT_SENT = CallOutcome.NOT_SENT
+UNKNOWN = CallOutcome.UNKNOWN
 
 
 class Urgency(IntEnum):
-    """The order in which calls to the state service get their share of its budget."""
+    """The order in which calls to the key-value store get their share of its rate limit."""
 
-    USER = 0  # a user waits for it, or the right to a shard does
+    USER = 0  # a user waits for it, or the leadership of a shard does
     LAUNCH = 1  # launches wait for it
     RESULT = 2
     REST = 3
 
 
+# Effects.
+
+
 @dataclass(slots=True)
 class Call:
-    """A request to the state service, the cloud or a worker; answered by `CallResult(id)`."""
+    """A request to the key-value store, the cloud or a worker; answered by a `CallResult` with the same `id`."""
 
-    target: str  # "state", "lease", "cloud" or a worker's address
+    target: str  # one of the `TARGET_` constants, or the address of a worker
     id: int
     method: str
     path: str
     body: Any = None
-    timeout_us: int = 1_500_000
-    writes: int = 0
+    timeout_us: int = DEFAULT_TIMEOUT_US
+    writes: int = 0  # number of changes in it, for the store's limit on writes
     urgency: Urgency = Urgency.USER
 
 
@@ -45,7 +72,7 @@
 
 @dataclass(slots=True)
 class ToPeers:
-    """Frames for every other controller: a heartbeat, and sightings of the cloud's room behind it."""
+    """Frames for every other controller: a heartbeat, and observations of the cloud's capacity behind it."""
 
     frames: bytes
 
@@ -58,7 +85,7 @@
 
 @dataclass(slots=True)
 class Tick:
-    pass
+    """Time has passed; about ten times a second."""
 
 
 @dataclass(slots=True)
@@ -68,6 +95,8 @@
 
 @dataclass(slots=True)
 class CallResult:
+    """The outcome of a `Call`: an HTTP status with its body, or a `CallOutcome`."""
+
     id: int
     status: int
     body: bytes = b""
@@ -75,10 +104,12 @@
 
 @dataclass(slots=True)
 class UserRequest:
+    """A request of a user, or of the load balancer in front of the controllers ("ready")."""
+
     request: int
     verb: str  # "submit", "malformed", "poll", "cancel", "ready"
     job_id: str = ""
-    spec: Any = None  # what is submitted, or why that can't be read
+    spec: Any = None  # with "submit" the JobSpec, with "malformed" the reason why it can't be read
 
 
 @dataclass(slots=True)
@@ -92,30 +123,36 @@
 
 @dataclass(slots=True)
 class HeartbeatReceived:
+    """A heartbeat of a worker; `request` gets the commands for it."""
+
     request: int
-    heartbeat: Any
+    heartbeat: m.WorkerHeartbeat
 
 
 @dataclass(slots=True)
 class StoreListing:
     """A listing of all records, read page by page."""
 
-    items: list[Any]
-    revision: int  # of the first page: the watch goes on from there
-    asked_us: int  # when the first page was asked for
-    until: int = 0  # ledger of the last page: before the watch has brought that much, pages do not fit together
+    items: list[m.Item]
+    revision: int  # of the first page: the watch continues from there
+    asked_us: int  # when the first page was requested
+    until: int = 0  # revision of the last page: before the watch has reached it, the pages are not consistent
 
 
 @dataclass(slots=True)
 class StoreChanges:
-    events: list[Any]
+    """Changes that the watch brought, up to a store revision; requested at `asked_us`."""
+
+    events: list[m.Event]
     revision: int
     asked_us: int
 
 
 @dataclass(slots=True)
 class PeerFrameReceived:
-    said: Any  # a heartbeat, or sightings of the cloud's room
+    """A frame of another controller."""
+
+    said: frames.PeerHeartbeat | frames.PeerObservations
 
 
 Message = (
--- a/quinceslip/coordination/actor/subsystem.py
+++ b/quinceslip/coordination/actor/subsystem.py
@@ -1,8 +1,8 @@
-"""The one way in which a further subsystem hangs on a controller's actor.
+"""The interface through which a further subsystem takes part in a controller's actor.
 
-A subsystem owns its own records and state. It gets the actor's messages through these methods, in the
-actor's thread, acts through `Context` like every other part, and does no I/O of its own. Where it is
-switched off it is not made at all, so nothing of it is loaded.
+A subsystem owns its own records and state. It gets the actor's messages through these methods, in the actor's thread,
+acts through `Context` like every other part, and does no I/O of its own. Where it is switched off it is not made at
+all, so nothing of it is loaded.
 """
 
 from collections.abc import Callable, Mapping
@@ -19,28 +19,28 @@
 class Subsystem:
     """Does nothing at every point; each subsystem overrides what concerns it."""
 
-    #: kinds of records it owns (the part of a key after PREFIX); no other part writes them
+    #: kinds of records it owns (the part of a key after PREFIX), with their types; no other part writes them
     kinds: Mapping[str, Any] = {}
     #: questions to this controller that it answers, by the last part of their path
     questions: tuple[str, ...] = ()
 
     def shard_gained(self, shard: "Shard") -> None:
-        """A shard is ours, after a start or a takeover."""
+        """This controller leads a shard, after a start or a failover."""
 
     def shard_lost(self, index: int) -> None:
-        """A shard is no longer ours."""
+        """This controller no longer leads a shard."""
 
     def record_changed(self, kind: str, name: str) -> None:
-        """One of its records changed in the view."""
+        """One of its records changed in the cache."""
 
     def tick(self) -> None:
         """About ten times a second."""
 
     def batch_ended(self) -> None:
-        """A batch of messages was taken and every shard has placed what it can."""
+        """A batch of messages was handled and every shard has placed what it can."""
 
     def never_runs_reason(self, spec: m.JobSpec) -> str | None:
-        """Why a job can never run, for its 422; None if it may."""
+        """Why a job can never run, as its user is told with the 422; None if it may run."""
         return None
 
     def answer(self, question: str, after: str) -> Any:
@@ -48,5 +48,5 @@
         return None
 
 
-#: makes a subsystem out of what a node shares with it: context, rights, and the shards that are its own
+#: makes a subsystem out of what a controller shares with it: the context, its leadership, and the shards that it leads
 SubsystemFactory = Callable[[Context, LeaderElection, "dict[int, Shard]"], Subsystem]
--- a/quinceslip/coordination/leadership/__init__.py
+++ b/quinceslip/coordination/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Who leads which shard, and whether the leader still reaches its workers."""
+"""Which controller leads which shard, and whether that leader still reaches its workers."""
