--- /dev/null
+++ b/quinceslip/coordination/reconciliation/attempt_outcomes.py
@@ -0,0 +1,95 @@
+"""What follows from the state of an attempt: it runs, is done, or failed and is retried after a pause."""
+
+import logging
+from collections.abc import Callable
+
+from quinceslip.coordination.actor.timing import SECOND
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.protocol import messages as m
+
+log = logging.getLogger(__name__)
+
+#: pause before a gang's task that ended because of the others is started again
+GANG_RETRY_US = SECOND
+#: pause before a failed task is started again: this, doubled with each failure up to so many times, up to the maximum
+RETRY_BASE_US = SECOND // 2
+MAX_RETRY_DOUBLINGS = 6
+MAX_RETRY_US = 30 * SECOND
+
+TaskStarted = Callable[[Worker, Attempt], None]
+TaskCompleted = Callable[[Worker, Attempt, JobPartition], None]
+
+
+class AttemptOutcomes:
+    """Applies reported states to attempts, and retries what failed."""
+
+    def __init__(self, state: ShardState, on_started: TaskStarted, on_completed: TaskCompleted) -> None:
+        self.state = state
+        self.ctx = state.ctx
+        self.on_started = on_started
+        self.on_completed = on_completed
+        self.retrying: set[str] = set()  # jobs with tasks that pause after a failure
+
+    def update(self, worker: Worker, attempt: Attempt, status: m.TaskStatus) -> None:
+        """Take the reported state of an attempt; nothing changes one that has ended."""
+        if attempt.end_cause:
+            return
+        if status.state != m.PULLING and status.state != m.EXITED:
+            if not attempt.running_us:
+                attempt.running_us = self.ctx.now_us
+            self.on_started(worker, attempt)
+            if attempt.spec.service:
+                self._clear_suspicion_of_service(attempt)
+        attempt.state = status.state
+        if status.state == m.EXITED:
+            self._exited(worker, attempt, status.why or m.CAUSE_ERROR)
+
+    def _clear_suspicion_of_service(self, attempt: Attempt) -> None:
+        """Take a replica that runs long enough as proof that its job is in no crash loop."""
+        partition = self.state.partitions.get(attempt.job_id)
+        ran_us = self.ctx.now_us - attempt.running_us
+        if partition is not None and partition.crash_loop.clears_by_running(ran_us):
+            self.state.release_from_hold(partition)
+
+    def _exited(self, worker: Worker, attempt: Attempt, cause: str) -> None:
+        self.state.end_attempt(worker, attempt, cause)
+        partition = self.state.partitions.get(attempt.job_id)
+        if partition is None or partition.attempts.get(attempt.index) is not attempt:
+            return
+        del partition.attempts[attempt.index]
+        if cause == m.CAUSE_DONE:
+            partition.unrecorded_done.add(attempt.index)
+            partition.unreconciled.discard(attempt.index)  # final, whatever the other workers report
+            self.on_completed(worker, attempt, partition)
+            return
+        if cause in m.CAUSES_GANG:
+            self._pause(partition, attempt.index, GANG_RETRY_US)
+        elif cause != m.CAUSE_HALTED:
+            self._failed(worker, attempt, partition)
+        self.state.add_pending(partition, [attempt.index])
+
+    def _failed(self, worker: Worker, attempt: Attempt, partition: JobPartition) -> None:
+        """Retry elsewhere, later each time: a job in a crash loop fails on every machine."""
+        failures = partition.failures.get(attempt.index, 0) + 1
+        partition.failures[attempt.index] = failures
+        doublings = min(failures, MAX_RETRY_DOUBLINGS)
+        self._pause(partition, attempt.index, min(MAX_RETRY_US, RETRY_BASE_US * 2**doublings))
+        log.info("task failed task=%s worker=%s cause=%s", attempt.name, worker.name, attempt.end_cause)
+        if attempt.end_cause == m.CAUSE_ERROR:
+            self._blame(worker, attempt, partition, failures)
+
+    def _blame(self, worker: Worker, attempt: Attempt, partition: JobPartition, failures: int) -> None:
+        """Count an error against the machine or the job; a job that is suspected of a crash loop is put on hold."""
+        crash_loop = partition.crash_loop
+        if crash_loop.sound and worker.name in crash_loop.blamed_machines:
+            worker.task_failures += 1
+        ran_us = self.ctx.now_us - attempt.running_us if attempt.running_us else 0
+        if crash_loop.task_failed(worker.name, failures, ran_us) and not partition.spec.gang:
+            log.info("crash loop suspected job=%s reason=%r", partition.job_id, crash_loop.reason())
+            self.state.put_on_hold(partition)
+
+    def _pause(self, partition: JobPartition, index: int, pause_us: int) -> None:
+        partition.not_before[index] = self.ctx.now_us + pause_us
+        self.retrying.add(partition.job_id)
--- /dev/null
+++ b/quinceslip/coordination/reconciliation/heartbeat_commands.py
@@ -0,0 +1,58 @@
+"""The commands in the answer to a heartbeat."""
+
+from quinceslip.coordination.jobs.persistence import JobPersistence
+from quinceslip.coordination.reconciliation.command_batch import CommandBatch
+from quinceslip.coordination.reconciliation.launch_safety import LaunchSafety
+from quinceslip.coordination.reconciliation.stop_commands import StopCommands
+from quinceslip.coordination.reconciliation.unknown_tasks import UnknownTasks
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.protocol import messages as m
+
+
+class HeartbeatCommands:
+    """Builds commands from the difference between what a worker reports and what is wanted of it."""
+
+    def __init__(self, state: ShardState, persistence: JobPersistence) -> None:
+        self.state = state
+        self.launch_safety = LaunchSafety(state, persistence)
+        self.stop_commands = StopCommands(state, self.launch_safety)
+        self.unknown_tasks = UnknownTasks(state)
+
+    def build(self, worker: Worker, may_launch: bool) -> list[m.Command]:
+        """What the answer to the last heartbeat of a worker says; repeated until a heartbeat shows that it happened.
+
+        Without `may_launch` it says only what needs no lead (`StopCommands.may_stop_without_lead`).
+        """
+        batch = CommandBatch()
+        for attempt in list(worker.attempts.values()):
+            if attempt.observed and not attempt.stopping and not attempt.end_cause:
+                continue  # runs as it should
+            if may_launch or self.stop_commands.may_stop_without_lead(attempt):
+                self._add_for_attempt(batch, worker, attempt, may_launch)
+        for name, status in worker.reported_tasks.items():
+            known = worker.attempts.get(name)
+            if known is None or known.number != status.attempt:
+                self.unknown_tasks.add(batch, worker, status, may_launch)
+        return batch.in_order()
+
+    def _add_for_attempt(self, batch: CommandBatch, worker: Worker, attempt: Attempt, may_launch: bool) -> None:
+        if attempt.observed:
+            if attempt.end_cause:
+                self._add_acknowledgement(batch, worker, attempt)
+            else:
+                self.stop_commands.add_observed(batch, attempt)
+        elif attempt.stopping:
+            self.stop_commands.add_unobserved(batch, worker, attempt, may_launch)
+        else:
+            batch.launches.append(m.launch(attempt.name, attempt.number))
+            attempt.sent = True
+
+    def _add_acknowledgement(self, batch: CommandBatch, worker: Worker, attempt: Attempt) -> None:
+        """Let the worker forget a recorded result; a higher term settles a launch that may still arrive."""
+        if not self.launch_safety.is_recorded(attempt):
+            return
+        if self.launch_safety.may_forget(worker, attempt):
+            batch.acknowledgements.append(m.acknowledge_result(attempt.name, attempt.number))
+        else:
+            self.state.raise_term()
--- /dev/null
+++ b/quinceslip/coordination/reconciliation/unknown_tasks.py
@@ -0,0 +1,46 @@
+"""What becomes of reported tasks that are no known attempt of their worker."""
+
+from quinceslip.coordination.reconciliation.command_batch import CommandBatch
+from quinceslip.coordination.reconciliation.local_tasks import find_local_task, job_id_of
+from quinceslip.coordination.reconciliation.stop_commands import is_job_final
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard.worker import Worker
+from quinceslip.protocol import messages as m
+
+
+class UnknownTasks:
+    """Adds what is to be said about tasks that a worker reports and that are not adopted (`adoption`)."""
+
+    def __init__(self, state: ShardState) -> None:
+        self.state = state
+        self.ctx = state.ctx
+
+    def add(self, batch: CommandBatch, worker: Worker, status: m.TaskStatus, may_launch: bool) -> None:
+        """Acknowledge what has exited and is needed no more; stop what runs for a final job or beside another."""
+        if status.state == m.EXITED:
+            if may_launch and worker.fenced and not self._is_unrecorded_result(status):
+                batch.acknowledgements.append(m.acknowledge_result(status.task, status.attempt))
+        elif is_job_final(self.ctx, job_id_of(status.task)) or (may_launch and self._is_superseded(worker, status)):
+            batch.stops.append(m.stop(status.task, status.attempt, 0.0))
+
+    def _is_unrecorded_result(self, status: m.TaskStatus) -> bool:
+        """Whether the worker is the only place of a result that is not recorded yet."""
+        task = find_local_task(self.state, status.task)
+        if task is None or status.why != m.CAUSE_DONE:
+            return False
+        return task.index in task.partition.assigned and task.index not in task.partition.done
+
+    def _is_superseded(self, worker: Worker, status: m.TaskStatus) -> bool:
+        """Whether the task is done, or a later attempt of it is on another worker.
+
+        Of two attempts the lower number is stopped: the task was launched again only after that was over.
+        """
+        task = find_local_task(self.state, status.task)
+        if task is None:
+            return False
+        if task.index in task.partition.done:
+            return True
+        other = task.partition.attempts.get(task.index)
+        if other is None or other.worker == worker.name:
+            return False
+        return other.number > status.attempt or "higher" not in self.state.guards
