--- a/quinceslip/coordination/reconciliation/worker_leases.py
+++ b/quinceslip/coordination/reconciliation/worker_leases.py
@@ -1,8 +1,10 @@
 """When the lease of a worker counts as expired, and which heartbeats may renew it.
 
 Every answer to a heartbeat renews the lease of its worker; once the lease has run out, the worker ends its
-tasks by itself. The leader therefore counts a lease from its last answer (`Worker.lease_renewed_us`), and a
-heartbeat that must not renew the lease gets no answer. No I/O, no clock but the actor's.
+tasks by itself. The leader counts a lease from its last answer (`Worker.lease_renewed_us`), or for an inherited worker
+from the last answer that an earlier leader can have given; it has expired `Timing.lease_expiry_us` later. The shard
+checks that periodically, and `expired_unheard` with it, and then calls `Reconciler.expire_lease`. A heartbeat that must
+not renew the lease gets no answer. No I/O, no clock but the actor's.
 """
 
 from quinceslip.coordination.shard.state import ShardState
