--- a/quinceslip/coordination/shard/worker.py
+++ b/quinceslip/coordination/shard/worker.py
@@ -5,79 +5,109 @@
 from quinceslip.coordination.reconciliation.delivery import DeliveryTracker
 from quinceslip.protocol import messages as m
 
+#: differences of resource amounts below this come from rounding
 EPSILON = 1e-6
 
+#: amounts of CPUs, GPUs and memory in GB
+Resources = tuple[float, float, float]
+
+NO_RESOURCES: Resources = (0.0, 0.0, 0.0)
+
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One launch of a task on one worker; compared by identity."""
+
     job_id: str
-    index: int
-    number: int
+    index: int  # of the task in its job
+    number: int  # rises with each attempt of a task, across terms too
     spec: m.JobSpec
-    worker: str
-    sent_us: int
-    observed: bool = False
-    state: str = ""
-    running_us: int = 0
+    worker: str  # name of the worker that its launch is pinned to
+    sent_us: int  # when it was decided, or first reported by its worker
+    observed: bool = False  # its worker has reported it
+    state: str = ""  # as last reported
+    running_us: int = 0  # when it was first reported as running; 0: not yet
     end_cause: str = ""  # cause, once it has exited
-    stopping: bool = False
-    grace_s: float = 0.0
-    direct_call_open: bool = False  # a /do with its launch is in flight
-    unanswered_term: int = 0  # a /do with its launch was never answered, sent under this term
-    sent: bool = False  # its launch or halt went out already
+    stopping: bool = False  # it is to be stopped
+    grace_s: float = 0.0  # what it gets to save its progress when it is stopped
+    direct_call_open: bool = False  # a direct command with its launch is in flight
+    unanswered_term: int = 0  # a direct command with its launch was never answered, sent under this term
+    sent: bool = False  # its launch or stop was sent already
     counted_usage: tuple[int, int, int, int] | None = None  # what quotas count of it
-    counted_as_stopping: bool = False  # quotas count it among what was told to stop
-    name: str = ""
-    priority: int = 0
+    counted_as_stopping: bool = False  # quotas count it among those that are stopping
+    name: str = ""  # JOB/INDEX, as on the wire
+    priority: int = 0  # priority class of its job when it was launched
 
     def __post_init__(self) -> None:
+        """Derive what is asked for often."""
         self.name = f"{self.job_id}/{self.index}"
         self.priority = self.spec.priority
 
 
 @dataclass(slots=True, eq=False)
 class Worker:
+    """One machine of a shard: what it reported, what it was sent, and what is on it; compared by identity.
+
+    Fields stand in groups by what writes them; a comment names the writer where it is another one. Times are those of
+    the actor's clock.
+    """
+
+    # From the machine registry and the worker's own heartbeats.
     name: str
-    type: m.MachineType | None
+    type: m.MachineType | None  # None: of a type that is not known (yet), so it gets no tasks
     zone: str
-    spot: bool
-    endpoint: str = ""
-    epoch: int = 0
-    seq: int = 0
-    last_own_heartbeat: tuple[int, int] = (0, 0)  # session and number of the last report of its own accord
-    fencing_token: int = 0
-    notice_us: int = 0
-    lease_renewed_us: int = 0
-    predecessor_renewed_us: int = 0  # the last answer of an earlier owner came by then
-    unanswered: bool = False  # its last report was not answered, since it hears nothing
-    last_contact_us: int = 0
-    last_heartbeat_us: int = 0  # last report of its own accord
-    registered_us: int = 0
-    fenced: bool = False
-    lease_expired: bool = False
-    draining: str = ""
-    deleting: bool = False
-    command_open: bool = False  # a /do is in flight
-    idle_us: int = 0
-    reported_tasks: dict[str, m.TaskStatus] = field(default_factory=dict)
-    attempts: dict[str, Attempt] = field(default_factory=dict)
-    images: dict[str, float] = field(default_factory=dict)
-    task_failures: int = 0
-    registered: bool = False  # its roster record says that it may hold tasks
-    registering: bool = False
-    delivery: DeliveryTracker = field(default_factory=DeliveryTracker)  # what it has proven to hear of us
-    probing: bool = False
-    next_probe_us: int = 0
-    # Sums over the attempts that have not ended.
-    running: int = 0
+    spot: bool  # may be reclaimed by the cloud at any time
+    endpoint: str = ""  # address for direct commands
+
+    # Reconciliation: the latest heartbeat that was applied.
+    epoch: int = 0  # agent epoch: rises when the agent starts anew or its lease expires
+    seq: int = 0  # number within the epoch
+    last_own_heartbeat: tuple[int, int] = (0, 0)  # epoch and number of the last one that was no direct reply
+    fencing_token: int = 0  # the highest term that it has seen
+    notice_us: int = 0  # when the cloud reclaims it, by its own notice; 0: no notice
+
+    # Reconciliation: its lease, and proof of contact.
+    lease_renewed_us: int = 0  # nothing renewed its lease later than this
+    predecessor_renewed_us: int = 0  # the last answer of an earlier leader was given by then
+    unanswered: bool = False  # its last heartbeat got no answer, since none reaches it
+    last_contact_us: int = 0  # last heartbeat or direct reply
+    last_heartbeat_us: int = 0  # last heartbeat that was no direct reply; written by the heartbeat receiver
+    registered_us: int = 0  # when it joined the shard; written by the registration
+    fenced: bool = False  # it has shown our term, so it drops what earlier leaders sent
+    lease_expired: bool = False  # nothing of ours can run on it until it starts a new epoch
+
+    # Autoscaling and consolidation.
+    draining: str = ""  # why it gets no new tasks (by a reclaim notice: the reconciler); empty: it is not drained
+    deleting: bool = False  # the cloud was asked to delete it
+    command_open: bool = False  # a direct command is in flight; written by the command sender
+    idle_us: int = 0  # it has had no attempts since then; written by the silence check
+
+    # Reconciliation: tasks and images on it.
+    reported_tasks: dict[str, m.TaskStatus] = field(default_factory=dict)  # by name, as last reported
+    attempts: dict[str, Attempt] = field(default_factory=dict)  # by name; written by the shard state
+    images: dict[str, float] = field(default_factory=dict)  # cached images, least recently used first, in GB
+    task_failures: int = 0  # failures here of tasks whose jobs are sound
+
+    # Registration.
+    registered: bool = False  # its registry record says that it may hold tasks
+    registering: bool = False  # the write of that record is in flight
+
+    # Delivery and probes, written by the command sender and the connectivity watch.
+    delivery: DeliveryTracker = field(default_factory=DeliveryTracker)  # which of our answers it has acknowledged
+    probing: bool = False  # a probe is in flight
+    next_probe_us: int = 0  # not before then
+
+    # Sums over the attempts that have not ended; written by `add_usage` alone.
+    running: int = 0  # number of attempts
     used_cpus: float = 0.0
     used_gpus: float = 0.0
     used_memory_gb: float = 0.0
-    production_cpus: float = 0.0  # of what a service may not preempt
+    production_cpus: float = 0.0  # of the highest priority class, which a service may not preempt
     service_cpus: float = 0.0
     service_tasks: int = 0
 
     def add_usage(self, spec: m.JobSpec, by: int) -> None:
+        """Count an attempt that begins to take room (`by` = 1), or one that ends (`by` = -1)."""
         self.running += by
         if not self.running:
             # Sums of decimal amounts drift; an empty machine is exactly empty.
@@ -95,15 +125,17 @@
             self.service_tasks += by
 
     def live_attempts(self) -> list[Attempt]:
-        return [a for a in self.attempts.values() if not a.end_cause]
+        """Attempts that have not ended."""
+        return [attempt for attempt in self.attempts.values() if not attempt.end_cause]
 
     def service_room(self) -> float:
-        """CPUs that are free or held by what a service may preempt."""
+        """CPUs that are free or used by what a service may preempt."""
         return self.type.cpus - self.production_cpus if self.type is not None else 0.0
 
-    def free(self) -> tuple[float, float, float]:
+    def free(self) -> Resources:
+        """What no attempt takes; nothing where the machine type is not known."""
         if self.type is None:
-            return (0.0, 0.0, 0.0)
+            return NO_RESOURCES
         return (
             self.type.cpus - self.used_cpus,
             self.type.gpus - self.used_gpus,
@@ -111,5 +143,6 @@
         )
 
 
-def fits(free: tuple[float, float, float], spec: m.JobSpec) -> bool:
+def fits(free: Resources, spec: m.JobSpec) -> bool:
+    """Whether one task of the job has room in `free`."""
     return free[0] >= spec.cpus - EPSILON and free[1] >= spec.gpus - EPSILON and free[2] >= spec.memory_gb - EPSILON
