--- a/quinceslip/coordination/shard/state.py
+++ b/quinceslip/coordination/shard/state.py
@@ -186,7 +186,7 @@
         """Its job is no longer suspected: the tasks that were on hold wait again."""
         released = partition.crash_loop.clear()
         if released:
-            log.info("job %s is cleared: %d tasks of it wait again", partition.job_id, len(released))
+            log.info("crash loop cleared job=%s tasks=%d", partition.job_id, len(released))
         self.add_pending(partition, released)
 
     def waiting_in_order(self) -> list[JobPartition]:
