--- a/quinceslip/coordination/shard/registration.py
+++ b/quinceslip/coordination/shard/registration.py
@@ -25,6 +25,7 @@
     def __init__(self, shard: "Shard") -> None:
         self.shard = shard
         self.to_register: set[str] = set()  # workers that have been heard of, and may hold no tasks yet
+        self._in_flight: set[Worker] = set()  # the write of their record has not been answered
 
     def inherit_workers(self) -> None:
         """Take over the workers of an earlier leader, with whatever they may hold."""
@@ -71,7 +72,7 @@
         shard = self.shard
         unregistered = self._unregistered_workers()
         self.to_register = {worker.name for worker in unregistered}
-        fresh = [worker for worker in unregistered if not worker.registering][: shard.ctx.limits.txn_ops]
+        fresh = [worker for worker in unregistered if worker not in self._in_flight][: shard.ctx.limits.txn_ops]
         if fresh and shard.election.may_launch(shard.index):
             self._write_records(fresh)
 
@@ -89,13 +90,11 @@
         """Write their records in one compare-and-swap; the watch then marks them as registered."""
         ctx = self.shard.ctx
         machine_records = ctx.cache.by_kind[MACHINE_KIND]
-        for worker in workers:
-            worker.registering = True
+        self._in_flight.update(workers)
 
         def on_written(status: int, failed: list[str]) -> None:
             # Written or not: the watch shows it, and a worker that is not registered is tried again.
-            for worker in workers:
-                worker.registering = False
+            self._in_flight.difference_update(workers)
 
         entries = {
             records.machine_key(worker.name): msgspec.structs.replace(
--- a/quinceslip/coordination/shard/worker.py
+++ b/quinceslip/coordination/shard/worker.py
@@ -90,7 +90,6 @@
 
     # Registration.
     registered: bool = False  # its registry record says that it may hold tasks
-    registering: bool = False  # the write of that record is in flight
 
     # Delivery and probes, written by the command sender and the connectivity watch.
     delivery: DeliveryTracker = field(default_factory=DeliveryTracker)  # which of our answers it has acknowledged
