--- a/quinceslip/coordination/shard/log_summary.py
+++ b/quinceslip/coordination/shard/log_summary.py
@@ -1,18 +1,119 @@
-"""The periodic line of a shard for the log."""
+"""A shard in the log: one line of counts, and its machines one by one at `debug`."""
 
+import logging
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import TYPE_CHECKING
 
+from quinceslip.coordination.shard.worker import Worker
+
 if TYPE_CHECKING:
     from quinceslip.coordination.shard.shard import Shard
 
+log = logging.getLogger(__name__)
+
+#: so many machines of a shard are logged one by one at `debug`, those that are not usable first
+MAX_LOGGED_MACHINES = 100
+
+
+class MachineState(StrEnum):
+    """Whether a machine may get tasks, and why not."""
+
+    USABLE = "usable"
+    DRAINING = "draining"  # drained, about to be reclaimed by the cloud, or being deleted
+    BOOTING = "booting"  # it has sent no heartbeat yet
+    OUT = "out"  # silent, unreachable, not fenced, or not registered
+
+
+@dataclass(frozen=True, slots=True)
+class MachineStatus:
+    """One machine with its state, as of one moment."""
+
+    worker: Worker
+    state: MachineState
+
+
+@dataclass(slots=True)
+class ShardSummary:
+    """Counts over the machines of a shard, as of one moment."""
+
+    shard: int
+    waiting_tasks: int
+    machines: dict[MachineState, int] = field(default_factory=lambda: dict.fromkeys(MachineState, 0))
+    spot: int = 0  # number of spot machines, in whatever state
+    service_cpus: float = 0.0  # in use by services
+    other_cpus: float = 0.0  # in use by other tasks
+    total_cpus: float = 0.0  # of all machines whose type is known
+
+    def add(self, status: MachineStatus) -> None:
+        """Count one machine."""
+        worker = status.worker
+        self.machines[status.state] += 1
+        self.spot += worker.spot
+        self.service_cpus += worker.service_cpus
+        self.other_cpus += _other_cpus(worker)
+        self.total_cpus += _total_cpus(worker)
+
+    def __str__(self) -> str:
+        states = " ".join(f"{state}={count}" for state, count in self.machines.items())
+        return (
+            f"shard summary shard={self.shard} machines={sum(self.machines.values())} {states} spot={self.spot}"
+            f" service_cpus={self.service_cpus:.1f} other_cpus={self.other_cpus:.1f} total_cpus={self.total_cpus:.1f}"
+            f" waiting_tasks={self.waiting_tasks}"
+        )
+
+
+def machine_state(worker: Worker, usable: bool) -> MachineState:
+    """The state of a machine; `usable`: placement may use it."""
+    if usable:
+        return MachineState.USABLE
+    if worker.draining or worker.deleting or worker.notice_us:
+        return MachineState.DRAINING
+    return MachineState.OUT if worker.last_contact_us else MachineState.BOOTING
+
+
+def machine_statuses(shard: "Shard") -> list[MachineStatus]:
+    """Each machine of the shard with its state."""
+    usable = shard.placement.usable
+    return [MachineStatus(worker, machine_state(worker, usable(worker))) for worker in shard.workers.values()]
+
+
+def summarize(shard: int, waiting_tasks: int, statuses: Sequence[MachineStatus]) -> ShardSummary:
+    """The counts over these machines."""
+    summary = ShardSummary(shard, waiting_tasks)
+    for status in statuses:
+        summary.add(status)
+    return summary
+
+
+def log_machines(shard: int, statuses: Sequence[MachineStatus]) -> None:
+    """Log machines one by one at `debug`: at most `MAX_LOGGED_MACHINES`, those that are not usable first."""
+    if not log.isEnabledFor(logging.DEBUG):
+        return
+    ordered = sorted(statuses, key=lambda status: (status.state is MachineState.USABLE, status.worker.name))
+    for status in ordered[:MAX_LOGGED_MACHINES]:
+        worker = status.worker
+        log.debug(
+            "machine shard=%d worker=%s state=%s spot=%s service_cpus=%.1f other_cpus=%.1f total_cpus=%.1f",
+            shard,
+            worker.name,
+            status.state,
+            worker.spot,
+            worker.service_cpus,
+            _other_cpus(worker),
+            _total_cpus(worker),
+        )
+    omitted = len(ordered) - MAX_LOGGED_MACHINES
+    if omitted > 0:
+        log.debug("machines not logged shard=%d count=%d", shard, omitted)
+
+
+def _other_cpus(worker: Worker) -> float:
+    """CPUs in use by other tasks than services; sums of decimal amounts may differ by less than nothing."""
+    return max(0.0, worker.used_cpus - worker.service_cpus)
+
 
-def log_summary(shard: "Shard") -> str:
-    """One line for the log: each machine with what services and other tasks take of it."""
-    machines = []
-    for worker in sorted(shard.workers.values(), key=lambda worker: (worker.spot, worker.name)):
-        services = worker.service_cpus
-        others = worker.used_cpus - services
-        state = "" if shard.placement.usable(worker) else " out" if worker.last_contact_us else " booting"
-        size = worker.type.cpus if worker.type else 0.0
-        machines.append(f"{worker.name}{' spot' if worker.spot else ''} {services:g}+{others:g}/{size:g}{state}")
-    return f"shard {shard.index}: {shard.waiting_tasks()} waiting; " + ", ".join(machines)
+def _total_cpus(worker: Worker) -> float:
+    """CPUs of the machine, 0 where its type is not known."""
+    return worker.type.cpus if worker.type is not None else 0.0
--- a/quinceslip/coordination/shard/shard.py
+++ b/quinceslip/coordination/shard/shard.py
@@ -12,7 +12,7 @@
 from quinceslip.coordination.scheduling.placement import Placement
 from quinceslip.coordination.shard.capacity import CapacityFigures, CapacitySummary, MeanTask, QueueingStation
 from quinceslip.coordination.shard.heartbeats import HeartbeatReceiver
-from quinceslip.coordination.shard.log_summary import log_summary
+from quinceslip.coordination.shard.log_summary import log_machines, machine_statuses, summarize
 from quinceslip.coordination.shard.partition import JobPartition
 from quinceslip.coordination.shard.registration import MachineRegistration
 from quinceslip.coordination.shard.silence import SilenceCheck
@@ -176,5 +176,7 @@
         return self.capacity.quick_room()
 
     def summary(self) -> str:
-        """One line for the log."""
-        return log_summary(self)
+        """One short line for the log, with counts; logs the machines one by one itself, at `debug`."""
+        statuses = machine_statuses(self)
+        log_machines(self.index, statuses)
+        return str(summarize(self.index, self.waiting_tasks(), statuses))
--- /dev/null
+++ b/tests/test_shard_summary.py
@@ -0,0 +1,99 @@
+"""The periodic log line of a shard: counts by state, short however many machines there are; machines at `debug`."""
+
+import logging
+
+import msgspec
+import pytest
+
+from quinceslip.coordination.shard import log_summary
+from quinceslip.coordination.shard.log_summary import (
+    MAX_LOGGED_MACHINES,
+    MachineState,
+    MachineStatus,
+    log_machines,
+    machine_state,
+    summarize,
+)
+from quinceslip.coordination.shard.worker import Worker
+from quinceslip.protocol import messages as m
+from tests.test_scenarios import Runner
+
+TYPE = m.MachineType("t", 8.0, 0.0, 32.0, 1.0, 10.0, ["z"])
+BATCH = m.JobSpec(
+    job_id="job",
+    job_class="lane",
+    team="team",
+    kind="array",
+    priority_class="normal",
+    tasks=1,
+    cpus=1.5,
+    gpus=0.0,
+    memory_gb=1.0,
+    image="image",
+    image_gb=1.0,
+    one_zone=False,
+    spread=False,
+    spot=True,
+    estimate_s=60.0,
+    checkpoint_s=0.0,
+    save_s=0.0,
+)
+SERVICE = msgspec.structs.replace(BATCH, kind="standing", cpus=2.0)
+#: a line of the log stays readable up to this length
+MAX_LINE_CHARACTERS = 250
+
+
+def worker(name: str, spot: bool = False) -> Worker:
+    return Worker(name, TYPE, "z", spot, last_contact_us=1)
+
+
+def test_the_state_of_a_machine_names_why_it_gets_no_tasks() -> None:
+    usable, booting, out = worker("a"), Worker("b", TYPE, "z", False), worker("c")
+    drained, deleted, noticed = worker("d"), Worker("e", TYPE, "z", False, deleting=True), worker("f")
+    drained.draining, noticed.notice_us = "return", 5
+    assert machine_state(usable, True) == MachineState.USABLE
+    assert machine_state(booting, False) == MachineState.BOOTING
+    assert machine_state(out, False) == MachineState.OUT
+    assert {machine_state(w, False) for w in (drained, deleted, noticed)} == {MachineState.DRAINING}
+
+
+def test_the_line_counts_machines_by_state_and_their_cpus() -> None:
+    busy, spot, booting = worker("a"), worker("b", spot=True), Worker("c", None, "z", False)
+    busy.add_usage(SERVICE, 1)
+    busy.add_usage(BATCH, 1)
+    spot.add_usage(BATCH, 1)
+    statuses = [
+        MachineStatus(busy, MachineState.USABLE),
+        MachineStatus(spot, MachineState.OUT),
+        MachineStatus(booting, MachineState.BOOTING),
+    ]
+    assert str(summarize(2, 7, statuses)) == (
+        "shard summary shard=2 machines=3 usable=1 draining=0 booting=1 out=1 spot=1"
+        " service_cpus=2.0 other_cpus=3.0 total_cpus=16.0 waiting_tasks=7"
+    )
+
+
+def test_lines_are_bounded_however_many_machines_there_are(caplog: pytest.LogCaptureFixture) -> None:
+    statuses = [MachineStatus(worker(f"n-{n:06d}"), MachineState.USABLE) for n in range(3000)]
+    statuses.append(MachineStatus(worker("z"), MachineState.OUT))
+    assert len(str(summarize(100, 1_000_000, statuses))) <= MAX_LINE_CHARACTERS
+    with caplog.at_level(logging.INFO, log_summary.__name__):
+        log_machines(0, statuses)
+    assert not caplog.records
+    with caplog.at_level(logging.DEBUG, log_summary.__name__):
+        log_machines(0, statuses)
+    lines = [record.getMessage() for record in caplog.records]
+    assert len(lines) == MAX_LOGGED_MACHINES + 1
+    assert lines[0].startswith("machine shard=0 worker=z state=out ")
+    assert lines[-1] == f"machines not logged shard=0 count={len(statuses) - MAX_LOGGED_MACHINES}"
+
+
+def test_the_line_of_a_running_shard() -> None:
+    runner = Runner()
+    for line in ("site size=1", "machines 2 m a", "at 2 submit req-000001 tasks=2 run=30", "run 8"):
+        runner.line(line)
+    actor = runner.w().machines["berth-0"].actor
+    assert actor is not None
+    line = actor.shards[0].summary()
+    assert line.startswith("shard summary shard=0 machines=2 usable=2 draining=0 booting=0 out=0 spot=0 "), line
+    assert line.endswith(" waiting_tasks=0") and "other_cpus=0.0" not in line, line
