--- a/quinceslip/coordination/shard/capacity.py
+++ b/quinceslip/coordination/shard/capacity.py
@@ -51,6 +51,7 @@
     """Figures of one shard's capacity, cached for a moment each. Owned by its shard."""
 
     def __init__(self, shard: "Shard") -> None:
+        """Of this shard; nothing is computed before it is asked for."""
         self.shard = shard
         self.ctx = shard.ctx
         self._run_times_s: list[float] = []  # of finished tasks, newest last
--- a/quinceslip/coordination/shard/heartbeats.py
+++ b/quinceslip/coordination/shard/heartbeats.py
@@ -19,6 +19,7 @@
     """Applies the heartbeats of one shard's workers and answers them. Owned by its shard."""
 
     def __init__(self, shard: "Shard") -> None:
+        """Of this shard."""
         self.shard = shard
 
     def receive(self, heartbeat: m.WorkerHeartbeat, direct: bool = False) -> m.CommandReply | None:
@@ -51,11 +52,14 @@
             shard.raise_term(heartbeat.fencing_token)
             return False
         if shard.is_from_expired_epoch(worker, heartbeat):
-            log.info("heartbeat of an expired epoch worker=%s epoch=%d", worker.name, heartbeat.epoch)
+            log.info("heartbeat ignored worker=%s cause=expired_epoch epoch=%d", worker.name, heartbeat.epoch)
             return False
         if not direct and shard.is_duplicate(worker, heartbeat):
             log.info(
-                "heartbeat is duplicate or late worker=%s epoch=%d seq=%d", worker.name, heartbeat.epoch, heartbeat.seq
+                "heartbeat ignored worker=%s cause=duplicate epoch=%d seq=%d",
+                worker.name,
+                heartbeat.epoch,
+                heartbeat.seq,
             )
             return False
         return True
--- a/quinceslip/coordination/shard/log_summary.py
+++ b/quinceslip/coordination/shard/log_summary.py
@@ -56,6 +56,7 @@
         self.total_cpus += _total_cpus(worker)
 
     def __str__(self) -> str:
+        """The line for the log: `key=value`, of a length that hardly depends on the number of machines."""
         states = " ".join(f"{state}={count}" for state, count in self.machines.items())
         return (
             f"shard summary shard={self.shard} machines={sum(self.machines.values())} {states} spot={self.spot}"
--- a/quinceslip/coordination/shard/registration.py
+++ b/quinceslip/coordination/shard/registration.py
@@ -23,6 +23,7 @@
     """
 
     def __init__(self, shard: "Shard") -> None:
+        """Of this shard; its workers are taken over by `inherit_workers`."""
         self.shard = shard
         self.to_register: set[str] = set()  # workers that have been heard of, and may hold no tasks yet
         self._in_flight: set[Worker] = set()  # the write of their record has not been answered
--- a/quinceslip/coordination/shard/silence.py
+++ b/quinceslip/coordination/shard/silence.py
@@ -21,6 +21,7 @@
     """Expires the leases of silent workers and probes them. Owned by its shard."""
 
     def __init__(self, shard: "Shard") -> None:
+        """Of this shard; the first tick checks."""
         self.shard = shard
         self.next_check_us = 0
 
@@ -43,10 +44,10 @@
         unrenewed_us = shard.ctx.now_us - worker.lease_renewed_us
         if not worker.lease_expired and unrenewed_us > shard.ctx.timing.lease_expiry_us:
             if worker.attempts or worker.name in shard.unreconciled:
-                log.info("lease expired worker=%s unrenewed_s=%.1f", worker.name, unrenewed_us / SECOND)
+                log.info("lease expired worker=%s cause=silence unrenewed_s=%.1f", worker.name, unrenewed_us / SECOND)
             shard.expire_lease(worker)
         elif shard.lease_expired_unheard(worker):
-            log.info("lease expired, no answer reaches the worker worker=%s", worker.name)
+            log.info("lease expired worker=%s cause=unanswered_heartbeats", worker.name)
             shard.expire_lease(worker)
 
     def _needs_probe(self, worker: Worker) -> bool:
--- a/quinceslip/coordination/shard/task_queue.py
+++ b/quinceslip/coordination/shard/task_queue.py
@@ -11,6 +11,7 @@
     """Indices of waiting tasks, lowest first; any of them can be taken out at once."""
 
     def __init__(self) -> None:
+        """No task waits."""
         self._heap: list[int] = []
         self.members: set[int] = set()  # those that wait; public so that the hot path reads it without a call
 
