--- a/quinceslip/coordination/scheduling/ageing.py
+++ b/quinceslip/coordination/scheduling/ageing.py
@@ -1,90 +1,65 @@
-"""Nobody waits for ever: what has been passed over for too long goes first, and room is kept for it.
+"""The starvation bound: what has been passed over for too long goes first.
 
-Order by deadline puts the largest job back, and what comes free piece by piece is always too small for a large task, or
+Order by deadline defers the largest job, and what comes free piece by piece is always too small for a large task, or
 for a gang that needs many pieces at once. So a job that has not begun goes before all others of its priority once its
-patience is over; an array with one task, which is its beginning. So does any job once it has waited for BEGIN_US.
-The oldest for which no machine has room has machines kept for it: those that will have the room soonest take nothing of
-its priority or a lower one until it has its place. Backfilling by estimates is left out: they are wrong by half
-(docs/end-of-day.md). A beginning is owed whatever a job's team has, the largest first and within a part of what starts;
-else teams divide what is free as before.
+starvation bound is over; an array with one task, which is its start. So does any job once it has waited for
+START_BOUND_US. For the oldest for which no machine has room, machines are reserved (`reservation`). A start is granted
+whatever the job's team has, the largest job first and within a fraction of what starts; else teams divide what is free
+as before.
 
 A plain class: no I/O, no clock but the actor's.
 """
 
-import logging
-from collections.abc import Iterable
-
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.timing import SECOND, micros
 from quinceslip.coordination.shard.partition import NOT, OLD, ONE, WHOLE, JobPartition
-from quinceslip.coordination.shard.worker import Worker, fits
-
-log = logging.getLogger(__name__)
 
 #: users: the largest jobs of a class too begin within this long of their submission
 START_BOUND_US = 240 * SECOND
-#: beginnings that are owed whatever a team has take this part of what a shard starts
-GRANTED_PART = 0.1
+#: starts that are granted whatever a team has take this fraction of what a shard starts
+GRANTED_START_FRACTION = 0.1
+#: run times below this would make the rate of starts unbounded
+MIN_RUN_S = 0.1
 
 
 def starvation_bound_us(boot_us: int, run_us: int) -> int:
     """How long a job that has not begun may be passed over.
 
-    What is left of BEGIN_US is for room to come free once it goes first: a boot or the work in its way, and as
-    much again. At least a quarter of BEGIN_US, so that deadlines keep their order in an ordinary queue.
+    What is left of START_BOUND_US is for room to come free once it goes first: a boot or the work in its way, and as
+    much again. At least a quarter of START_BOUND_US, so that deadlines keep their order in an ordinary queue.
     """
     return min(max(START_BOUND_US - 2 * (boot_us + run_us), START_BOUND_US // 4), START_BOUND_US // 2)
 
 
 class Ageing:
-    """What has waited too long in a shard, and the machines kept for the first of it. Owned by its placement."""
+    """Which waiting jobs of a shard have waited too long, and which of them may begin whatever their team has."""
 
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
-        self.reserved_for: JobPartition | None = None  # room is kept for this one
-        self.reserved_machines: frozenset[str] = frozenset()  # on these machines
         self.typical_run_us = 0  # of a usual task
-        self.grants_available, self.grants_updated_us = (
-            1.0,
-            ctx.now_us,
-        )  # beginnings that may be called now, and as of when
+        self._grants_available = 1.0  # starts that may be granted now; a fraction is carried over to the next update
+        self._grants_updated_us = ctx.now_us
 
     def update(self, queue: list[JobPartition], run_s: float, slots: int) -> None:
-        """Set `first` of every waiting chunk. Asked for with each new foresight."""
-        boots_us = [micros(t.boot_s) for t in self.ctx.types.values()]
-        patient_us = starvation_bound_us(max(boots_us, default=0), micros(run_s))
+        """Set the precedence of every waiting partition; to be done whenever the order by deadline is found anew.
+
+        `run_s` is the run time of a usual task, `slots` how many such tasks the shard runs at a time.
+        """
+        boot_times_us = [micros(machine_type.boot_s) for machine_type in self.ctx.types.values()]
+        bound_us = starvation_bound_us(max(boot_times_us, default=0), micros(run_s))
         for partition in queue:
-            first = self._precedence(partition, patient_us) if self.ctx.tuning.bound_waits else NOT
+            precedence = self._precedence(partition, bound_us) if self.ctx.tuning.bound_waits else NOT
             if not partition.precedence:
                 partition.precedence_since_us = self.ctx.now_us
-            partition.precedence = first
+            partition.precedence = precedence
         self.typical_run_us = micros(run_s)
-        self._grant_starts(queue, slots / max(run_s, 0.1))
-
-    def _grant_starts(self, queue: list[JobPartition], starts_per_s: float) -> None:
-        """Whose turn it is to begin whatever their teams have: the largest first.
+        self._grant_starts(queue, slots / max(run_s, MIN_RUN_S))
 
-        Guard: a flood of single tasks is as many beginnings as jobs. Were all owed before the teams' parts, they would
-        go before all that others have; so beginnings get a part of what the shard starts.
-        """
-        passed_us, self.grants_updated_us = self.ctx.now_us - self.grants_updated_us, self.ctx.now_us
-        self.grants_available = min(
-            self.grants_available + GRANTED_PART * starts_per_s * passed_us / SECOND, max(1.0, starts_per_s)
-        )
-        waiting = []
-        for partition in queue:
-            partition.start_granted = partition.start_granted and partition.awaits_start
-            if partition.awaits_start and not partition.start_granted:
-                waiting.append(partition)
-        waiting.sort(key=lambda c: (c.priority, -c.spec.tasks * c.spec.cpus, c.submitted_us, c.job_id))
-        for partition in waiting[: int(self.grants_available)]:
-            partition.start_granted = True
-            self.grants_available -= 1.0
-
-    def _precedence(self, partition: JobPartition, patient_us: int) -> int:
+    def _precedence(self, partition: JobPartition, bound_us: int) -> int:
+        """Whether and how the partition goes before others of its priority."""
         waited_us = self.ctx.wall_us - partition.submitted_us
         # What failed has begun, and a suspected job is tried one task at a time: neither is passed over.
-        if waited_us < patient_us or not partition.startable() or partition.crash_loop.suspected:
+        if waited_us < bound_us or not partition.startable() or partition.crash_loop.suspected:
             return NOT
         if partition.spec.service or partition.spec.gang:
             return WHOLE
@@ -92,103 +67,32 @@
             return ONE
         return OLD if waited_us >= START_BOUND_US else NOT
 
-    # Room that is kept.
-
-    def is_reserved_from(self, worker: Worker, partition: JobPartition) -> bool:
-        """Whether that machine is kept from this chunk."""
-        return (
-            worker.name in self.reserved_machines
-            and self.reserved_for is not None
-            and partition is not self.reserved_for
-            and bool(self.reserved_for.pending)
-            and partition.priority >= self.reserved_for.priority
-        )
-
-    def release_stale(self, partitions: dict[str, JobPartition]) -> None:
-        """Let go of what is kept for a chunk that waits no more, or not first."""
-        known = self.reserved_for
-        if known is not None and (
-            not known.precedence or not known.startable() or known.on_hold or partitions.get(known.job_id) is not known
-        ):
-            self.reserved_for, self.reserved_machines = None, frozenset()
-
-    def reserve(self, partition: JobPartition, machines: Iterable[Worker]) -> None:
-        """No machine has room for it; `machines` are those that it may use.
-
-        Room is kept for one chunk at a time, so what it costs is bounded: the first of the highest priority.
+    def _grant_starts(self, queue: list[JobPartition], starts_per_s: float) -> None:
+        """Grant starts that do not depend on what the teams have: to the largest jobs first.
+
+        Guard: a flood of single tasks is as many starts as jobs. Were all granted before the teams get their shares,
+        they would go before all that others have; so granted starts get a fraction of what the shard starts.
         """
-        known = self.reserved_for
-        # Guard: kept only for what is called or old, or a flood of single tasks would keep machines from other teams.
-        if not partition.start_due and partition.precedence != OLD:
-            return
-        # What goes first takes the next place that is large enough; within a usual run each place comes free once.
-        if self.ctx.now_us < partition.precedence_since_us + self.typical_run_us or (
-            known is not None and known is not partition and known.sort_key() <= partition.sort_key()
-        ):
-            return
-        found = self._soonest_machines(partition, list(machines))
-        if self.reserved_for is not partition and found:
-            log.info(
-                "%s has waited for %.0f s: %s kept for it",
-                partition.job_id,
-                (self.ctx.wall_us - partition.submitted_us) / SECOND,
-                ", ".join(sorted(found)),
-            )
-        self.reserved_for, self.reserved_machines = (partition, found) if found else (None, frozenset())
-
-    def _soonest_machines(self, partition: JobPartition, machines: list[Worker]) -> frozenset[str]:
-        """The machines that will have the room soonest; none where all of them together never have it."""
-        spec = partition.spec
-        need = partition.startable() if spec.gang or spec.service else 1
-        ways = (
-            [[w for w in machines if w.zone == zone] for zone in sorted({w.zone for w in machines})]
-            if spec.one_zone
-            else [machines]
-        )
-        best: tuple[int, frozenset[str]] | None = None
-        for way in ways:
-            # What is kept already stays so while it serves: work there was let run out for it.
-            ranked = sorted(
-                (
-                    not (self.reserved_for is partition and w.name in self.reserved_machines),
-                    free_us,
-                    w.name,
-                    places,
-                    w.zone,
-                )
-                for w in way
-                for free_us, places in [_free_in(w, partition, self.ctx.now_us)]
-                if places
-            )
-            names, left, last_us = set(), need, 0
-            most = (spec.tasks + 1) // 2 if spec.spread else need
-            zones: dict[str, int] = {}
-            for _, free_us, name, places, zone in ranked:
-                places = min(places, most - zones.get(zone, 0))
-                if left <= 0 or places <= 0:
-                    continue
-                names.add(name)
-                zones[zone] = zones.get(zone, 0) + places
-                left, last_us = left - places, max(last_us, free_us)
-            if left <= 0 and (best is None or last_us < best[0]):
-                best = (last_us, frozenset(names))
-        return best[1] if best is not None else frozenset()
-
-
-def _free_in(worker: Worker, partition: JobPartition, now_us: int) -> tuple[int, int]:
-    """In how many microseconds a task of it may fit there, and how many will once all that ends has ended."""
-    room, soonest_us = worker.free(), 0 if fits(worker.free(), partition.spec) else -1
-    ends = sorted(
-        (max(0, (a.running_us or now_us) + micros(a.spec.estimate_s) - now_us), a.name, a.spec)
-        for a in worker.live_attempts()
-        if not a.spec.service
-    )
-    for ends_us, _, spec in ends:
-        room = (room[0] + spec.cpus, room[1] + spec.gpus, room[2] + spec.memory_gb)
-        if soonest_us < 0 and fits(room, partition.spec):
-            soonest_us = ends_us
-    if soonest_us < 0:
-        return 0, 0
-    needs = (partition.spec.cpus, partition.spec.gpus, partition.spec.memory_gb)
-    parts = [have / need for have, need in zip(room, needs, strict=True) if need > 0]
-    return soonest_us, int(min(parts, default=1.0) + 1e-6)
+        self._replenish_grants(starts_per_s)
+        ungranted = []
+        for partition in queue:
+            partition.start_granted = partition.start_granted and partition.awaits_start
+            if partition.awaits_start and not partition.start_granted:
+                ungranted.append(partition)
+        ungranted.sort(key=_largest_first)
+        for partition in ungranted[: int(self._grants_available)]:
+            partition.start_granted = True
+            self._grants_available -= 1.0
+
+    def _replenish_grants(self, starts_per_s: float) -> None:
+        """Add the grants of the time since the last update; at most one second's starts are saved up."""
+        passed_us = self.ctx.now_us - self._grants_updated_us
+        self._grants_updated_us = self.ctx.now_us
+        replenished = self._grants_available + GRANTED_START_FRACTION * starts_per_s * passed_us / SECOND
+        self._grants_available = min(replenished, max(1.0, starts_per_s))
+
+
+def _largest_first(partition: JobPartition) -> tuple[int, float, int, str]:
+    """Sort key: priority, then CPUs of the whole job, largest first, then first come, first served."""
+    spec = partition.spec
+    return (partition.priority, -spec.tasks * spec.cpus, partition.submitted_us, partition.job_id)
--- a/quinceslip/coordination/scheduling/deadline_order.py
+++ b/quinceslip/coordination/scheduling/deadline_order.py
@@ -1,8 +1,8 @@
-"""Which waiting jobs can still be on time, and which should wait for the sake of the others.
+"""Deadline scheduling: which waiting jobs can still be on time, and which are deferred for the sake of the others.
 
 First come, first served stays the order among jobs that can be on time. When a shard has more
 waiting than it can finish in time, the fewest jobs are late if, walking through the queue, each time
-a job would be late the largest one so far is put back (Moore and Hodgson's rule). The wait ahead of
+a job would be late the largest one so far is deferred (Moore and Hodgson's rule). The wait ahead of
 a job is that of the model: waiting tasks over m u.
 """
 
@@ -11,53 +11,86 @@
 from quinceslip.coordination.actor.timing import SECOND, micros
 from quinceslip.coordination.shard.partition import JobPartition
 
-#: estimates are often wrong by half: a job is only given up on when this part of its run time is too long
-LATE_PART = 0.5
+#: estimates are often wrong by half: a job is late only when this fraction of its run time takes too long
+CERTAIN_RUN_FRACTION = 0.5
+#: a job of which no task can start now still has a size
+MIN_JOB_CPUS = 0.01
 
 
 def order_by_deadline(partitions: list[JobPartition], cpus_per_s: float, wall_us: int) -> None:
-    """Set `late` of every waiting chunk, given the CPUs that tasks set free in a second."""
-    ahead = 0.0  # CPUs that waiting tasks of higher priority will take first
-    for priority in sorted({c.priority for c in partitions}):
-        rest = [c for c in partitions if c.priority == priority]
+    """Set `missed_due_times` of every waiting partition, given the CPUs that ending tasks set free in a second."""
+    cpus_ahead = 0.0  # CPUs that waiting tasks of higher priority will take first
+    for priority in sorted({partition.priority for partition in partitions}):
+        deferred = [partition for partition in partitions if partition.priority == priority]
         level = 0
-        # Bound: the most due times of a job; beyond the last of them nothing is put back any more.
-        while rest:
-            kept, rest, ahead = _on_time(rest, level, cpus_per_s, wall_us, ahead)
-            for partition in kept:
+        # Bound: the most due times of a job; beyond the last of them nothing is deferred any more.
+        while deferred:
+            selection = _OnTimeSelection(level, cpus_per_s, wall_us, cpus_ahead)
+            selection.add_all(deferred)
+            for partition in selection.on_time():
                 partition.missed_due_times = level
+            deferred, cpus_ahead = selection.deferred, selection.cpus_ahead
             level += 1
 
 
-def _due(partition: JobPartition, level: int) -> int | None:
+def _due_us(partition: JobPartition, level: int) -> int | None:
+    """The due time of that level, as wall clock; None: the job has fewer."""
     return partition.due_us[level] if level < len(partition.due_us) else None
 
 
-def _on_time(
-    partitions: list[JobPartition], level: int, cpus_per_s: float, wall_us: int, ahead: float
-) -> tuple[list[JobPartition], list[JobPartition], float]:
-    """Those that can make their due time of this level, those put back, and the CPUs ahead after."""
-    last = all(level >= len(c.due_us) for c in partitions)
-    partitions = sorted(partitions, key=lambda c: (_due(c, level) is None, _due(c, level) or c.submitted_us, c.job_id))
-    kept: list[tuple[float, str, JobPartition]] = []
-    back: list[JobPartition] = []
-    for partition in partitions:
-        size = max(partition.startable() * partition.spec.cpus, 0.01)
-        heapq.heappush(kept, (-size, partition.job_id, partition))
-        ahead += size
-        due_us = _due(partition, level)
-        if due_us is None or last:
-            continue
-        run_us = micros(LATE_PART * partition.spec.estimate_s)
-        if wall_us + run_us > due_us:
+class _OnTimeSelection:
+    """Divides partitions of one priority into those that can make their due time of one level, and those deferred."""
+
+    def __init__(self, level: int, cpus_per_s: float, wall_us: int, cpus_ahead: float) -> None:
+        self.level = level
+        self.cpus_per_s = cpus_per_s
+        self.wall_us = wall_us
+        self.cpus_ahead = cpus_ahead  # CPUs that waiting tasks take first, those selected so far included
+        self.deferred: list[JobPartition] = []
+        self._selected: list[tuple[float, str, JobPartition]] = []  # a heap by size in CPUs, the largest on top
+
+    def add_all(self, partitions: list[JobPartition]) -> None:
+        """Add the partitions by due time."""
+        past_last_level = all(self.level >= len(partition.due_us) for partition in partitions)
+        for partition in sorted(partitions, key=self._sort_key):
+            self._select(partition)
+            due_us = _due_us(partition, self.level)
+            if due_us is not None and not past_last_level:
+                self._defer_if_late(partition, due_us)
+
+    def on_time(self) -> list[JobPartition]:
+        """The partitions that are not deferred."""
+        return [partition for _, _, partition in self._selected]
+
+    def _sort_key(self, partition: JobPartition) -> tuple[bool, int, str]:
+        """By due time; what has none comes last, in order of submission."""
+        due_us = _due_us(partition, self.level)
+        return (due_us is None, due_us or partition.submitted_us, partition.job_id)
+
+    def _select(self, partition: JobPartition) -> None:
+        """Count the partition among those that are on time."""
+        size = _size_cpus(partition)
+        heapq.heappush(self._selected, (-size, partition.job_id, partition))
+        self.cpus_ahead += size
+
+    def _defer_if_late(self, partition: JobPartition, due_us: int) -> None:
+        """If the partition would be late, defer it, or the largest so far if that lets it be on time."""
+        run_us = micros(CERTAIN_RUN_FRACTION * partition.spec.estimate_s)
+        wait_us = int(self.cpus_ahead / self.cpus_per_s * SECOND)
+        if self.wall_us + run_us > due_us:
             # Late whatever goes before it.
-            kept.remove((-size, partition.job_id, partition))
-            heapq.heapify(kept)
-        elif wall_us + int(ahead / cpus_per_s * SECOND) + run_us > due_us:
-            negative, _, partition = heapq.heappop(kept)
-            size = -negative
+            entry = (-_size_cpus(partition), partition.job_id, partition)
+            self._selected.remove(entry)
+            heapq.heapify(self._selected)
+        elif self.wall_us + wait_us + run_us > due_us:
+            entry = heapq.heappop(self._selected)
         else:
-            continue
-        ahead -= size
-        back.append(partition)
-    return [c for _, _, c in kept], back, ahead
+            return
+        negative_size, _, late = entry
+        self.cpus_ahead += negative_size
+        self.deferred.append(late)
+
+
+def _size_cpus(partition: JobPartition) -> float:
+    """CPUs of the tasks of a partition that could start now."""
+    return max(partition.startable() * partition.spec.cpus, MIN_JOB_CPUS)
--- /dev/null
+++ b/quinceslip/coordination/scheduling/independent_tasks.py
@@ -0,0 +1,95 @@
+"""Placement of tasks that nothing binds together: the machines in order of preference, each filled in turn."""
+
+from dataclasses import dataclass
+
+from quinceslip.coordination.scheduling.machine_preference import MachinePreference, has_remains_of
+from quinceslip.coordination.scheduling.pass_context import PassContext, delayed_retries_withheld
+from quinceslip.coordination.scheduling.preemption import Preemption
+from quinceslip.coordination.scheduling.quota_gate import QuotaGate
+from quinceslip.coordination.scheduling.task_launcher import TaskLauncher
+from quinceslip.coordination.shard.partition import ONE, JobPartition
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard.worker import Worker, fits
+
+
+@dataclass(slots=True)
+class _Turn:
+    """One partition's turn in a pass."""
+
+    context: PassContext
+    partition: JobPartition
+    withheld: list[int]  # tasks that do not start in this turn; returned to the queue after it
+    launched_before: int  # count of the launcher when the turn began
+
+
+@dataclass(slots=True)
+class IndependentTaskPlacer:
+    """Places the tasks of job arrays and of services without zone constraints.
+
+    Of two machines best fit takes the fuller one, and it stays the best as it fills up.
+    """
+
+    state: ShardState
+    preference: MachinePreference
+    preemption: Preemption
+    quota_gate: QuotaGate
+    launcher: TaskLauncher
+
+    def place(self, context: PassContext, partition: JobPartition, offered: list[Worker]) -> None:
+        """Place as many waiting tasks as quotas and machines allow, on the offered machines first."""
+        if context.failed_searches.covers(partition, None):
+            return
+        if not self.quota_gate.admits_one(context, partition, context.machines, machines_full=not offered):
+            return
+        with delayed_retries_withheld(partition, self.state.ctx.now_us) as withheld:
+            turn = _Turn(context, partition, withheld, self.launcher.launched)
+            out_of_room = self._fill_machines(turn, offered)
+            if out_of_room and context.whole_shard:
+                out_of_room = self._preempt_for_rest(turn)
+        if out_of_room:
+            context.failed_searches.record(partition, None)
+
+    def _fill_machines(self, turn: _Turn, offered: list[Worker]) -> bool:
+        """Fill the machines in order of preference; whether all were tried, and tasks may still want more."""
+        for worker in self.preference.ordered(turn.partition, offered):
+            if not self._fill_machine(turn, worker):
+                return False
+            if not turn.partition.pending:
+                return False
+        return True
+
+    def _fill_machine(self, turn: _Turn, worker: Worker) -> bool:
+        """Launch on that machine what has room there; whether more of the partition may start in this pass."""
+        partition = turn.partition
+        # Bound: the tasks that wait; each turn takes one out of them, and those withheld come back after the loop.
+        while partition.pending and fits(worker.free(), partition.spec):
+            if not self.quota_gate.admits_one(turn.context, partition) or self._single_start_made(turn):
+                return False
+            index = partition.pending.peek()
+            partition.pending.discard(index)
+            if has_remains_of(worker, f"{partition.job_id}/{index}"):
+                turn.withheld.append(index)
+                continue
+            self.launcher.launch(partition, index, worker)
+        return True
+
+    def _preempt_for_rest(self, turn: _Turn) -> bool:
+        """Stop other work for the tasks that still wait; whether there is none left to stop."""
+        context, partition = turn.context, turn.partition
+        # Bound: the tasks that wait; each turn launches one.
+        while (
+            partition.pending
+            and self.quota_gate.admits_one(context, partition, context.machines, machines_full=True)
+            and not self._single_start_made(turn)
+        ):
+            worker = self.preemption.make_room(partition, context.machines, None, quick_only=False)
+            if worker is None:
+                return True
+            index = partition.pending.peek()
+            partition.pending.discard(index)
+            self.launcher.launch(partition, index, worker)
+        return False
+
+    def _single_start_made(self, turn: _Turn) -> bool:
+        """Whether the partition goes before others with one task only, and that one has started."""
+        return turn.partition.precedence == ONE and self.launcher.launched > turn.launched_before
--- /dev/null
+++ b/quinceslip/coordination/scheduling/placement_pass.py
@@ -0,0 +1,117 @@
+"""One pass over the queue: each partition in turn is offered the machines that have room.
+
+No task is looked for again that is as large as one that found no place in the same pass.
+"""
+
+from quinceslip.coordination.scheduling.candidates import CandidateMachines, having_free_cpus
+from quinceslip.coordination.scheduling.failed_searches import FailedSearches
+from quinceslip.coordination.scheduling.gangs import GangPlacer
+from quinceslip.coordination.scheduling.independent_tasks import IndependentTaskPlacer
+from quinceslip.coordination.scheduling.machine_eligibility import MachineEligibility, satisfies_constraints
+from quinceslip.coordination.scheduling.machine_preference import MachinePreference
+from quinceslip.coordination.scheduling.pass_context import PassContext
+from quinceslip.coordination.scheduling.preemption import Preemption
+from quinceslip.coordination.scheduling.quota_gate import QuotaGate
+from quinceslip.coordination.scheduling.reservation import MachineReservation
+from quinceslip.coordination.scheduling.task_launcher import TaskLauncher
+from quinceslip.coordination.scheduling.zone_bound_tasks import ZoneBoundTaskPlacer
+from quinceslip.coordination.scheduling.zone_constraints import eligible_zones
+from quinceslip.coordination.shard.partition import NOT, ONE, JobPartition
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard.worker import EPSILON, Worker
+
+
+class PlacementPass:
+    """Runs passes over queues of a shard, and places each partition the way its job needs."""
+
+    def __init__(
+        self,
+        state: ShardState,
+        eligibility: MachineEligibility,
+        preference: MachinePreference,
+        reservation: MachineReservation,
+    ) -> None:
+        self.state = state
+        self.preference = preference
+        self.reservation = reservation
+        self.quota_gate = QuotaGate(state)
+        self.launcher = TaskLauncher(state)
+        preemption = Preemption(state, eligibility, preference)
+        self.gangs = GangPlacer(state, preference, self.launcher)
+        self.zone_bound = ZoneBoundTaskPlacer(state, preference, preemption, self.quota_gate, self.launcher)
+        self.independent = IndependentTaskPlacer(state, preference, preemption, self.quota_gate, self.launcher)
+        self.all_zones = set(state.ctx.settings.facts.zones)
+
+    def run(self, queue: list[JobPartition], machines: CandidateMachines, whole_shard: bool) -> None:
+        """Place what the queue holds, in its order."""
+        if not queue:
+            return
+        self.preference.start_pass()
+        context = PassContext(machines, whole_shard, FailedSearches(self.all_zones))
+        smallest_cpus = min(partition.spec.cpus for partition in queue) - EPSILON
+        with_room = machines.with_free_cpus(smallest_cpus)
+        launched = self.launcher.launched
+        unplaceable_shapes: set[tuple[object, ...]] = set()
+        for partition in queue:
+            if partition.shape in unplaceable_shapes and self.state.quota is None:
+                continue
+            if not whole_shard and not with_room:
+                return
+            if not self.quota_gate.admits_whole(context, partition):
+                continue
+            self._place(context, partition, with_room)
+            if self._found_no_place(context, partition):
+                unplaceable_shapes.add(partition.shape)
+            if partition.priority > 0 and with_room and self.launcher.launched != launched:
+                launched = self.launcher.launched
+                with_room = having_free_cpus(with_room, smallest_cpus)
+
+    def _place(self, context: PassContext, partition: JobPartition, with_room: list[Worker]) -> None:
+        """Offer the machines to one partition, and note what became of it."""
+        launched_before = self.launcher.launched
+        offered = with_room
+        if self.reservation.machines:
+            offered = [worker for worker in with_room if not self.reservation.is_reserved_from(worker, partition)]
+        self._place_by_kind(context, partition, offered)
+        if not context.whole_shard:
+            return
+        if partition.pending and self.state.quota is not None:
+            self.state.quota.not_placed(partition)
+        if partition.precedence:
+            self._after_precedence(context, partition, started=self.launcher.launched != launched_before)
+
+    def _place_by_kind(self, context: PassContext, partition: JobPartition, offered: list[Worker]) -> None:
+        """Place the partition in the way its tasks need; gangs in passes over the whole shard only."""
+        if partition.spec.gang:
+            if context.whole_shard:
+                self.gangs.place(partition, offered)
+        elif partition.spec.one_zone or partition.spec.spread:
+            self.zone_bound.place(context, partition, offered)
+        else:
+            self.independent.place(context, partition, offered)
+
+    def _found_no_place(self, context: PassContext, partition: JobPartition) -> bool:
+        """Whether tasks still wait for which no zone has a machine."""
+        return (
+            bool(partition.pending) and not partition.spec.gang and context.failed_searches.covers_all_zones(partition)
+        )
+
+    def _after_precedence(self, context: PassContext, partition: JobPartition, started: bool) -> None:
+        """What went first has begun, or machines are reserved for it."""
+        if partition.precedence == ONE and started:
+            # The others of its tasks wait their turn again, in the next pass.
+            partition.precedence = NOT
+            self.state.reorder()
+            self.state.needs_placement = True
+        elif not started and partition.startable() and not partition.on_hold and self.quota_gate.allows_one(partition):
+            self._reserve_machines(context, partition)
+
+    def _reserve_machines(self, context: PassContext, partition: JobPartition) -> None:
+        """Reserve machines in the zones that it may use, if any."""
+        zones = eligible_zones(self.state, partition)
+        if zones is not None and not zones:
+            return
+        usable = context.machines.all()
+        self.reservation.reserve(
+            partition, (worker for worker in usable if satisfies_constraints(worker, partition.spec, zones))
+        )
--- /dev/null
+++ b/quinceslip/coordination/scheduling/task_launcher.py
@@ -0,0 +1,31 @@
+"""Launches tasks on the machines that were chosen, and counts them."""
+
+import logging
+
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard.worker import Attempt, Worker
+
+log = logging.getLogger(__name__)
+
+
+class TaskLauncher:
+    """Launches tasks; `launched` rises by one with each, so that callers can tell whether anything started."""
+
+    def __init__(self, state: ShardState) -> None:
+        self.state = state
+        self.launched = 0
+
+    def launch(self, partition: JobPartition, index: int, worker: Worker, number: int = 0) -> Attempt:
+        """Launch a task, under a new attempt number unless one is given."""
+        self.launched += 1
+        attempt = self.state.launch(partition, index, worker, number)
+        log.debug("task launched task=%s worker=%s", attempt.name, worker.name)
+        return attempt
+
+    def undo(self, partition: JobPartition, attempts: list[Attempt]) -> None:
+        """Take back launches of this batch, of which nothing has been sent yet."""
+        for attempt in attempts:
+            self.state.detach(self.state.workers[attempt.worker], attempt.name)
+            del partition.attempts[attempt.index]
+        self.launched -= len(attempts)
--- /dev/null
+++ b/quinceslip/coordination/scheduling/zone_bound_tasks.py
@@ -0,0 +1,67 @@
+"""Placement of tasks that are bound by zones: to one zone together, or spread over several."""
+
+from dataclasses import dataclass
+
+from quinceslip.coordination.scheduling.machine_preference import MachinePreference
+from quinceslip.coordination.scheduling.pass_context import PassContext, delayed_retries_withheld
+from quinceslip.coordination.scheduling.preemption import Preemption
+from quinceslip.coordination.scheduling.quota_gate import QuotaGate
+from quinceslip.coordination.scheduling.task_launcher import TaskLauncher
+from quinceslip.coordination.scheduling.zone_constraints import eligible_zones
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard.worker import Worker
+
+
+@dataclass(slots=True)
+class ZoneBoundTaskPlacer:
+    """Places such tasks one by one, each in the zones that those before it leave."""
+
+    state: ShardState
+    preference: MachinePreference
+    preemption: Preemption
+    quota_gate: QuotaGate
+    launcher: TaskLauncher
+
+    def place(self, context: PassContext, partition: JobPartition, offered: list[Worker]) -> None:
+        """Place as many waiting tasks as quotas, zones and machines allow."""
+        if context.failed_searches.covers_all_zones(partition):
+            return  # nowhere at all, so it need not be known which zones are left
+        with delayed_retries_withheld(partition, self.state.ctx.now_us):
+            # Bound: the tasks that wait; each turn launches one.
+            while partition.pending and self.quota_gate.admits_one(context, partition):
+                if not self._place_next(context, partition, offered):
+                    return
+
+    def _place_next(self, context: PassContext, partition: JobPartition, offered: list[Worker]) -> bool:
+        """Launch the first task that waits; False: no machine for it."""
+        zones = eligible_zones(self.state, partition)
+        no_zone_left = zones is not None and not zones
+        if no_zone_left or context.failed_searches.covers(partition, zones):
+            return False
+        index = partition.pending.peek()
+        worker = self._find_machine(context, partition, offered, zones, index)
+        if worker is None:
+            context.failed_searches.record(partition, zones)
+            return False
+        partition.pending.discard(index)
+        self.launcher.launch(partition, index, worker)
+        return True
+
+    def _find_machine(
+        self,
+        context: PassContext,
+        partition: JobPartition,
+        offered: list[Worker],
+        zones: set[str] | None,
+        index: int,
+    ) -> Worker | None:
+        """A machine with room, or one where room is made; None: there is neither."""
+        spec = partition.spec
+        free = self.preference.best(partition, offered, zones, index)
+        if not context.whole_shard:
+            return free
+        if free is not None and not (spec.service and self.preference.slow_fetch(free, spec)):
+            return free
+        # Room that is free but slow to fetch is only second to room that can be made.
+        return self.preemption.make_room(partition, context.machines, zones, quick_only=free is not None) or free
--- /dev/null
+++ b/quinceslip/coordination/scheduling/zone_constraints.py
@@ -0,0 +1,65 @@
+"""In which zones the next task of a job may run, where its tasks are bound together by zones."""
+
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.protocol import messages as m
+from quinceslip.storage import task_sets
+from quinceslip.storage.records import PartitionRecord
+
+
+def max_tasks_per_zone(spec: m.JobSpec) -> int:
+    """How many tasks of a spread job one zone may run: half of them, rounded up."""
+    return (spec.tasks + 1) // 2
+
+
+def eligible_zones(state: ShardState, partition: JobPartition) -> set[str] | None:
+    """Zones that `together` and `spread` leave for one more task; None: any.
+
+    Every task that may still be somewhere counts, whichever shard has its partition.
+    """
+    spec = partition.spec
+    if not (spec.one_zone or spec.spread):
+        return None
+    others = _unfinished_partitions_elsewhere(state, partition)
+    if partition.unreconciled or partition.indeterminate or (others and not _zones_disjoint(partition, others)):
+        return set()  # some of its tasks may be anywhere: wait until it is known
+    running = _possibly_running_by_zone(state, partition)
+    zones = set(partition.zones or state.ctx.settings.facts.zones)
+    if spec.one_zone:
+        zones &= set(running) or zones
+        if len(running) > 1:
+            return set()
+    if spec.spread:
+        most = max_tasks_per_zone(spec)
+        zones = {zone for zone in zones if running.get(zone, 0) < most}
+    return zones
+
+
+def _unfinished_partitions_elsewhere(state: ShardState, partition: JobPartition) -> list[PartitionRecord]:
+    """The partitions of the job in other shards that still have tasks to do."""
+    cache = state.ctx.cache
+    job = cache.job(partition.job_id)
+    if job is None or (not job.parts and job.shard == state.index):
+        return []
+    return [
+        record
+        for shard, record in cache.partitions(partition.job_id).items()
+        if shard != state.index and task_sets.decode(record.assigned) - task_sets.decode(record.done)
+    ]
+
+
+def _zones_disjoint(partition: JobPartition, others: list[PartitionRecord]) -> bool:
+    """Whether the zones of the partition and those of the others can never overlap."""
+    return (
+        not partition.spec.one_zone
+        and bool(partition.zones)
+        and all(other.zones and not partition.zones & set(other.zones) for other in others)
+    )
+
+
+def _possibly_running_by_zone(state: ShardState, partition: JobPartition) -> dict[str, int]:
+    """How many tasks of the job may still be on machines of this shard, by zone."""
+    counts: dict[str, int] = {}
+    for worker, _ in state.possibly_running(partition.job_id):
+        counts[worker.zone] = counts.get(worker.zone, 0) + 1
+    return counts
