--- a/quinceslip/storage/__init__.py
+++ b/quinceslip/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable records in the state service and this node's view of them."""
+"""Durable records in the key-value store (`records`), and this controller's copy of them, kept by the watch."""
--- a/quinceslip/storage/task_sets.py
+++ b/quinceslip/storage/task_sets.py
@@ -1,40 +1,67 @@
-"""Compact text for sets of task numbers, as they stand in job records."""
+"""Compact text for sets of task numbers, as stored in job records."""
 
 import base64
 
+#: longest ranges, in characters, that are kept without looking whether a bitmap is shorter
+MAX_PLAIN_RANGES_LENGTH = 64
+#: first character of a bitmap; ranges begin with a digit
+BITMAP_MARK = "~"
+
 
 def encode(numbers: set[int]) -> str:
-    """Write a set as ranges ("0-4,7"), or as a bitmap where that is shorter."""
+    """Write a set as ranges ("0-4,7"), or as a bitmap in base 85 where that is shorter."""
     if not numbers:
         return ""
-    parts: list[str] = []
     ordered = sorted(numbers)
-    first = last = ordered[0]
-    for number in [*ordered[1:], -1]:
-        if number == last + 1:
-            last = number
-            continue
-        parts.append(str(first) if first == last else f"{first}-{last}")
-        first = last = number
-    ranges = ",".join(parts)
-    if len(ranges) <= 64:
+    ranges = _encode_ranges(ordered)
+    if len(ranges) <= MAX_PLAIN_RANGES_LENGTH:
         return ranges
-    bitmap = bytearray(ordered[-1] // 8 + 1)
-    for number in ordered:
-        bitmap[number // 8] |= 1 << (number % 8)
-    packed = "~" + base64.b85encode(bytes(bitmap)).decode("ascii")
-    return packed if len(packed) < len(ranges) else ranges
+    bitmap = _encode_bitmap(ordered)
+    return bitmap if len(bitmap) < len(ranges) else ranges
 
 
 def decode(text: str) -> set[int]:
-    """Read what `encode` wrote."""
+    """Read what `encode` wrote; raises ValueError for anything else."""
     if not text:
         return set()
-    if text.startswith("~"):
-        bitmap = base64.b85decode(text[1:])
-        return {8 * i + bit for i, byte in enumerate(bitmap) if byte for bit in range(8) if byte >> bit & 1}
+    if text.startswith(BITMAP_MARK):
+        return _decode_bitmap(text.removeprefix(BITMAP_MARK))
+    return _decode_ranges(text)
+
+
+def _encode_ranges(ordered: list[int]) -> str:
+    """Ranges of ascending numbers, of which there is at least one."""
+    parts: list[str] = []
+    first = last = ordered[0]
+    for number in ordered[1:]:
+        if number != last + 1:
+            parts.append(_encode_range(first, last))
+            first = number
+        last = number
+    parts.append(_encode_range(first, last))
+    return ",".join(parts)
+
+
+def _encode_range(first: int, last: int) -> str:
+    return str(first) if first == last else f"{first}-{last}"
+
+
+def _decode_ranges(text: str) -> set[int]:
     numbers: set[int] = set()
     for part in text.split(","):
         first, _, last = part.partition("-")
         numbers.update(range(int(first), int(last or first) + 1))
     return numbers
+
+
+def _encode_bitmap(ordered: list[int]) -> str:
+    """One bit a number, from the lowest bit of the first byte on."""
+    bitmap = bytearray(ordered[-1] // 8 + 1)
+    for number in ordered:
+        bitmap[number // 8] |= 1 << (number % 8)
+    return BITMAP_MARK + base64.b85encode(bytes(bitmap)).decode("ascii")
+
+
+def _decode_bitmap(text: str) -> set[int]:
+    bitmap = base64.b85decode(text)
+    return {8 * place + bit for place, byte in enumerate(bitmap) if byte for bit in range(8) if byte >> bit & 1}
