--- /dev/null
+++ b/quinceslip/coordination/jobs/completion.py
@@ -0,0 +1,49 @@
+"""The end of a job: its record becomes final once all its tasks are recorded as done."""
+
+from quinceslip.coordination.actor.effects import Urgency
+from quinceslip.coordination.jobs.fenced_write import FencedWriter
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.protocol import messages as m
+from quinceslip.storage import records
+from quinceslip.storage.records import JobRecord
+
+
+class JobCompletion:
+    """Finishes jobs whose home shard this is."""
+
+    def __init__(self, state: ShardState, writer: FencedWriter) -> None:
+        self.state = state
+        self.ctx = state.ctx
+        self.writer = writer
+
+    def finish_if_complete(self, job_id: str) -> None:
+        """Finish a job with several partitions when all of them are done; its home shard does so."""
+        job, partition = self.ctx.cache.job(job_id), self.state.partitions.get(job_id)
+        if job is None or partition is None or not job.parts or job.shard != self.state.index or partition.writing:
+            return
+        if len(partition.done) < len(partition.assigned):
+            return
+        done_count = self.ctx.cache.done_count(job_id)
+        if done_count == job.tasks:
+            self.finish(partition, job, done_count)
+
+    def finish(self, partition: JobPartition, job: JobRecord, done_count: int) -> None:
+        """Write the final record of a job, under the condition that no record of its partitions has changed."""
+        cache, job_id = self.ctx.cache, partition.job_id
+        job_key = records.job_key(job_id)
+        partition_keys = [records.partition_key(shard, job_id) for shard in job.parts]
+        mod_revisions = {key: cache.mod_revision(key) for key in [job_key, *partition_keys]}
+        existing = [key for key in partition_keys if cache.mod_revision(key)]
+        final = records.final_record(job, m.DONE, done_count, self.ctx.wall_us)
+        # Nobody reads the partitions of a finished job: what the transaction has no room for is deleted later.
+        max_deletions = self.ctx.limits.txn_ops - 1
+        self.writer.write(
+            partition,
+            job_key,
+            final,
+            Urgency.USER,
+            mod_revisions,
+            existing[:max_deletions],
+            existing[max_deletions:],
+        )
--- /dev/null
+++ b/quinceslip/coordination/jobs/fenced_write.py
@@ -0,0 +1,55 @@
+"""Conditional writes of partitions' records, fenced by the leadership of their shard."""
+
+import logging
+from collections.abc import Sequence
+from http import HTTPStatus
+
+from quinceslip.coordination.actor.effects import Urgency
+from quinceslip.coordination.actor.timing import SECOND
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.protocol import messages as m
+from quinceslip.storage.records import JobRecord, PartitionRecord
+
+log = logging.getLogger(__name__)
+
+#: pause before a partition whose write was answered, applied or not, is written again
+RETRY_US = 250_000
+#: the same where the write failed in another way
+ERROR_RETRY_US = SECOND
+
+
+class FencedWriter:
+    """Writes a partition's records while this controller leads the shard, one write at a time."""
+
+    def __init__(self, state: ShardState) -> None:
+        self.state = state
+        self.ctx = state.ctx
+
+    def write(
+        self,
+        partition: JobPartition,
+        key: str,
+        value: JobRecord | PartitionRecord,
+        urgency: Urgency,
+        mod_revisions: dict[str, int],
+        delete: Sequence[str] = (),
+        delete_later: Sequence[str] = (),
+    ) -> None:
+        """Write `value` and delete the keys `delete` if the shard's record and `mod_revisions` still hold.
+
+        `delete_later` names records that nobody needs once the job is done.
+        """
+        partition.writing = True
+
+        def on_written(status: int, failed: list[str]) -> None:
+            answered = status in (HTTPStatus.OK, HTTPStatus.CONFLICT)
+            partition.writing = False
+            partition.next_write_us = self.ctx.now_us + (RETRY_US if answered else ERROR_RETRY_US)
+            job = self.ctx.cache.job(partition.job_id)
+            if status == HTTPStatus.OK and job is not None and job.state == m.DONE:
+                log.info("job done job=%s", partition.job_id)
+                self.ctx.delete_unneeded(list(delete_later))
+
+        conditions = {**self.state.election.fencing_condition(self.state.index), **mod_revisions}
+        self.ctx.compare_and_swap(conditions, {key: (value, None)}, list(delete), on_written, urgency)
--- /dev/null
+++ b/quinceslip/coordination/jobs/partition_mover.py
@@ -0,0 +1,195 @@
+"""Moves waiting tasks of a job from one shard's partition to another's, in one transaction."""
+
+import logging
+from collections.abc import Iterator
+from dataclasses import dataclass
+from http import HTTPStatus
+from typing import Any, NamedTuple
+
+import msgspec
+
+from quinceslip.coordination.actor.effects import NOT_SENT, Urgency
+from quinceslip.coordination.jobs.result_writer import ResultWriter
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.protocol import messages as m
+from quinceslip.storage import records, task_sets
+from quinceslip.storage.records import JobRecord, PartitionRecord
+
+log = logging.getLogger(__name__)
+
+#: a transaction takes so many conditions for each of its operations (PROTOCOL)
+CONDITIONS_PER_TXN_OP = 4
+#: conditions of a job's end besides those on its moved partitions: the records of the shard and of the job
+OTHER_CONDITIONS_OF_AN_END = 2
+#: outcomes of a write that surely was not applied
+NOT_APPLIED = frozenset(
+    {
+        NOT_SENT,
+        HTTPStatus.BAD_REQUEST,
+        HTTPStatus.CONFLICT,
+        HTTPStatus.TOO_MANY_REQUESTS,
+        HTTPStatus.SERVICE_UNAVAILABLE,
+    }
+)
+
+
+class ZoneSplit(NamedTuple):
+    """Zones for the tasks that stay in a partition, and for those that move; empty sets: any."""
+
+    staying: set[str]
+    moving: set[str]
+
+
+@dataclass(frozen=True, slots=True)
+class MovePlan:
+    """The records as a move leaves them: the job's, and the partitions of both shards, the source first."""
+
+    job: JobRecord
+    partitions: dict[int, PartitionRecord]
+
+    def values(self) -> Iterator[JobRecord | PartitionRecord]:
+        """Every record that this move or a later result writes: as it is now, and with all tasks done."""
+        done = {
+            shard: msgspec.structs.replace(partition, done=partition.assigned)
+            for shard, partition in self.partitions.items()
+        }
+        yield self.job
+        yield msgspec.structs.replace(self.job, partition=done.get(self.job.shard, self.job.partition))
+        yield from self.partitions.values()
+        yield from done.values()
+
+    def puts(self, job_id: str) -> dict[str, tuple[Any, int | None]]:
+        """What is written, by key; the home partition is part of the job's record."""
+        puts: dict[str, tuple[Any, int | None]] = {
+            records.partition_key(shard, job_id): (partition, None)
+            for shard, partition in self.partitions.items()
+            if shard != self.job.shard
+        }
+        puts[records.job_key(job_id)] = (self.job, None)
+        return puts
+
+
+class PartitionMover:
+    """Hands waiting tasks to other shards."""
+
+    def __init__(self, state: ShardState, results: ResultWriter) -> None:
+        self.state = state
+        self.ctx = state.ctx
+        self.results = results
+
+    # What may move.
+
+    def movable(self, partition: JobPartition) -> list[int]:
+        """Tasks certain not to be running; all or nothing where zones bind the tasks together."""
+        # A job that is suspected of a crash loop stays where that is known.
+        if _is_unsettled(partition) or partition.crash_loop.suspected:
+            return []
+        if partition.spec.whole and not _is_untouched(partition):
+            return []
+        return list(partition.pending)
+
+    def split_zones(self, partition: JobPartition) -> ZoneSplit | None:
+        """How a spread service may be split between this shard and another; None: not at all.
+
+        The zones of both never meet, so each shard can keep to the spread by counting its own tasks.
+        """
+        spec = partition.spec
+        may_split = spec.service and spec.spread and not spec.one_zone and not spec.zone
+        if not may_split or _is_unsettled(partition) or not partition.pending:
+            return None
+        allowed = partition.zones or set(self.ctx.settings.facts.zones)
+        used = self._used_zones(partition.job_id)
+        split = ZoneSplit(used & allowed, allowed - used)
+        return split if split.staying and split.moving else None
+
+    def _used_zones(self, job_id: str) -> set[str]:
+        """Zones of the workers that may have tasks of a job."""
+        attempts = self.state.attempts_by_job.get(job_id, ())
+        workers = (self.state.workers.get(attempt.worker) for attempt in attempts)
+        return {worker.zone for worker in workers if worker is not None}
+
+    # The move.
+
+    def move(self, partition: JobPartition, indices: list[int], target: int, split: ZoneSplit | None = None) -> None:
+        """Move waiting tasks to the shard `target`; not where records would become too large.
+
+        The tasks are indeterminate until the outcome is known: they wait in neither shard meanwhile.
+        """
+        job = self.ctx.cache.job(partition.job_id)
+        if job is None or job.state != m.QUEUED or not indices:
+            return
+        moved = set(indices)
+        plan = self._plan(partition, job, moved, target, split or ZoneSplit(partition.zones, partition.zones))
+        if self._is_recordable(plan):
+            self._mark_moving(partition, moved)
+            self._write(partition, plan, target, len(moved))
+
+    def _plan(
+        self, partition: JobPartition, job: JobRecord, moved: set[int], target: int, split: ZoneSplit
+    ) -> MovePlan:
+        there = self.ctx.cache.partition(target, partition.job_id) or PartitionRecord("")
+        zones_there = split.moving
+        if there.assigned and there.zones and split.moving:
+            zones_there = split.moving | set(there.zones)
+        partitions = {
+            self.state.index: PartitionRecord(
+                task_sets.encode(partition.assigned - moved),
+                task_sets.encode(partition.done | partition.unrecorded_done),
+                sorted(split.staying),
+            ),
+            target: PartitionRecord(
+                task_sets.encode(task_sets.decode(there.assigned) | moved), there.done, sorted(zones_there)
+            ),
+        }
+        away = {*job.parts, *(shard for shard in partitions if shard != job.shard)}
+        home_partition = partitions.get(job.shard, job.partition)
+        return MovePlan(msgspec.structs.replace(job, parts=sorted(away), partition=home_partition), partitions)
+
+    def _is_recordable(self, plan: MovePlan) -> bool:
+        """Whether the store takes this move and all that follows from it.
+
+        Guard: what moves must be recordable, now and to the last result; a job's end has a condition on each partition.
+        """
+        conditions = len(plan.job.parts) + OTHER_CONDITIONS_OF_AN_END
+        if conditions > CONDITIONS_PER_TXN_OP * self.ctx.limits.txn_ops:
+            return False
+        return all(map(self.ctx.fits_record, plan.values()))
+
+    def _mark_moving(self, partition: JobPartition, moved: set[int]) -> None:
+        for index in moved:
+            partition.pending.discard(index)
+        key = self.ctx.cache.partition_record_key(self.state.index, partition.job_id)
+        partition.indeterminate = moved
+        partition.indeterminate_revision = self.ctx.cache.mod_revision(key)
+        partition.moving = True
+        self.results.mark_dirty(partition.job_id)
+
+    def _write(self, partition: JobPartition, plan: MovePlan, target: int, moved_count: int) -> None:
+        job_id = partition.job_id
+
+        def on_written(status: int, failed: list[str]) -> None:
+            partition.moving = False
+            if status == HTTPStatus.OK:
+                log.info("tasks moved job=%s tasks=%d shard=%d", job_id, moved_count, target)
+            elif status in NOT_APPLIED:
+                indeterminate, partition.indeterminate = partition.indeterminate, set()
+                self.state.add_pending(partition, indeterminate)
+            # Otherwise the outcome is open: the tasks stay indeterminate until the record changes.
+
+        puts = plan.puts(job_id)
+        conditions = dict(self.state.election.fencing_condition(self.state.index))
+        conditions.update((key, self.ctx.cache.mod_revision(key)) for key in puts)
+        urgency = Urgency.USER if partition.spec.service else Urgency.REST
+        self.ctx.compare_and_swap(conditions, puts, [], on_written, urgency)
+
+
+def _is_unsettled(partition: JobPartition) -> bool:
+    """Whether a write of the partition is open, or tasks of it are not yet known to be anywhere."""
+    return bool(partition.writing or partition.moving or partition.indeterminate or partition.unreconciled)
+
+
+def _is_untouched(partition: JobPartition) -> bool:
+    """Whether all tasks that are not recorded as done wait."""
+    waiting = len(partition.pending) == len(partition.assigned) - len(partition.done)
+    return waiting and not partition.unrecorded_done
--- /dev/null
+++ b/quinceslip/coordination/jobs/result_writer.py
@@ -0,0 +1,122 @@
+"""Records which tasks of a shard's partitions are done, within the write budget."""
+
+import msgspec
+
+from quinceslip.coordination.actor.effects import Urgency
+from quinceslip.coordination.actor.timing import SECOND
+from quinceslip.coordination.jobs.completion import JobCompletion
+from quinceslip.coordination.jobs.fenced_write import RETRY_US, FencedWriter
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.state import ShardState
+from quinceslip.protocol import messages as m
+from quinceslip.storage import task_sets
+from quinceslip.storage.records import JobRecord, PartitionRecord
+
+#: a result that completes nothing may wait this long at least, so that others join it
+MIN_RESULT_PAUSE_US = SECOND
+#: pause before a complete partition looks again whether its whole job is done
+COMPLETION_CHECK_US = SECOND
+#: what may go into such results, as a part of the write budget of this controller
+RESULT_WRITE_PART = 0.25
+
+
+class ResultWriter:
+    """Writes the results of finished tasks, one write for each partition at a time.
+
+    What completes a partition is written at once, since a user waits for it. Other results wait on their workers and
+    are lost only together with these, so they are written as seldom as the write budget asks.
+    """
+
+    def __init__(self, state: ShardState, writer: FencedWriter, completion: JobCompletion) -> None:
+        self.state = state
+        self.ctx = state.ctx
+        self.writer = writer
+        self.completion = completion
+        #: jobs whose partitions may have something to record
+        self.dirty_jobs: set[str] = set()
+        self.writes_per_s = RESULT_WRITE_PART * self.ctx.limits.write_rps / self.ctx.settings.facts.size
+
+    def mark_dirty(self, job_id: str) -> None:
+        """Look at a job's partition at the next `write_due`."""
+        self.dirty_jobs.add(job_id)
+
+    def clear_dirty(self, job_id: str) -> None:
+        """The partition has nothing to record."""
+        self.dirty_jobs.discard(job_id)
+
+    def write_due(self) -> None:
+        """Record what is due of the dirty partitions."""
+        partitions = self._dirty_partitions()
+        pause_us = self._result_pause_us(partitions)
+        for partition in partitions:
+            if not partition.writing and self.ctx.now_us >= partition.next_write_us:
+                self._write_if_due(partition, pause_us)
+
+    def _dirty_partitions(self) -> list[JobPartition]:
+        found = (self.state.partitions.get(job_id) for job_id in sorted(self.dirty_jobs))
+        return [partition for partition in found if partition is not None]
+
+    def _result_pause_us(self, partitions: list[JobPartition]) -> int:
+        """Pause between two writes of one partition, so that all of them keep to the write budget."""
+        with_results = sum(1 for partition in partitions if partition.unrecorded_done)
+        return max(MIN_RESULT_PAUSE_US, int(with_results / self.writes_per_s * SECOND))
+
+    def _write_if_due(self, partition: JobPartition, pause_us: int) -> None:
+        now_us = self.ctx.now_us
+        complete = len(partition.done) + len(partition.unrecorded_done) >= len(partition.assigned)
+        if partition.unrecorded_done and (complete or now_us >= partition.next_result_us):
+            self._write(partition, pause_us, complete)
+        elif partition.indeterminate and not partition.moving:
+            # The same record under a new revision settles a move with indeterminate outcome.
+            self._write(partition, pause_us, False)
+        elif complete and not partition.unrecorded_done:
+            partition.next_write_us = now_us + COMPLETION_CHECK_US
+            self.completion.finish_if_complete(partition.job_id)
+        elif not partition.unrecorded_done and not partition.indeterminate:
+            self.clear_dirty(partition.job_id)
+
+    def _write(self, partition: JobPartition, pause_us: int, complete: bool) -> None:
+        """Write the partition's record, or the final record of the job where that was the last of it."""
+        cache, job_id = self.ctx.cache, partition.job_id
+        job = cache.job(job_id)
+        if job is None or job.state != m.QUEUED:
+            return
+        done_count = len(partition.done | partition.unrecorded_done)
+        partition.next_write_us = self.ctx.now_us + RETRY_US
+        partition.next_result_us = self.ctx.now_us + pause_us
+        if not job.parts and done_count == job.tasks:
+            self.completion.finish(partition, job, done_count)
+            return
+        value = self._largest_fitting_record(partition, job)
+        if value is None:
+            partition.next_write_us = partition.next_result_us
+            return
+        key = cache.partition_record_key(self.state.index, job_id)
+        urgency = Urgency.USER if complete else Urgency.RESULT
+        self.writer.write(partition, key, value, urgency, {key: cache.mod_revision(key)})
+
+    def _record(self, partition: JobPartition, job: JobRecord, done: set[int]) -> JobRecord | PartitionRecord:
+        """The record that contains the partition, with these tasks done: at the home shard that of the job."""
+        record = PartitionRecord(task_sets.encode(partition.assigned), task_sets.encode(done), sorted(partition.zones))
+        return msgspec.structs.replace(job, partition=record) if job.shard == self.state.index else record
+
+    def _largest_fitting_record(self, partition: JobPartition, job: JobRecord) -> JobRecord | PartitionRecord | None:
+        """The partition's record with its results, or with as many as fit; the others wait on their workers.
+
+        None where none fits and nothing else is to be settled: the last result may make the set short again.
+        """
+        record = self._record(partition, job, partition.done | partition.unrecorded_done)
+        if self.ctx.fits_record(record):
+            return record
+        results = sorted(partition.unrecorded_done)
+        fitting, too_many = 0, len(results)
+        # Bound: the logarithm of the results; each turn halves what is between.
+        while fitting + 1 < too_many:
+            middle = (fitting + too_many) // 2
+            if self.ctx.fits_record(self._record(partition, job, partition.done | set(results[:middle]))):
+                fitting = middle
+            else:
+                too_many = middle
+        if not fitting and not partition.indeterminate:
+            return None
+        return self._record(partition, job, partition.done | set(results[:fitting]))
