--- a/quinceslip/dependencies/__init__.py
+++ b/quinceslip/dependencies/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs that wait for others: who may start, who is withdrawn, and how urgent what comes before is."""
+"""Jobs that depend on others: who may start, who is cancelled, and how urgent what comes before is."""
--- a/quinceslip/dependencies/graph.py
+++ b/quinceslip/dependencies/graph.py
@@ -1,62 +1,39 @@
 """Which open jobs wait for which, derived from the job records alone.
 
-A job is *ready* once the record of every job that it depends on was seen as done, which is final, so any sighting is
-enough. It is *withdrawn* once one of them is withdrawn, directly or through others: that is final too, so every node
-that has seen the records says so, and no message carries it. A job that is ready can never become withdrawn by another,
-since what is done is never withdrawn (docs/pipelines.md).
+A job is *ready* once the record of every job that it depends on was seen as done, which is final, so any read of it is
+enough. It is *cancelled* once one of them is cancelled, directly or through others: that is final too, so every
+controller that has seen the records says so, and no message carries it. A job that is ready can never be cancelled
+through another, since what is done is never cancelled (docs/pipelines.md).
 
-Urgency flows backward: a job is as urgent as the most urgent open job that needs it, and due so early that the longest
-estimated way behind it is left. What a job that joins or leaves changes is looked at anew for those before it only.
-
-A plain class: no I/O, no clock, no thread; owned by the view's owner, the actor. Times are wall clock, in microseconds.
+A plain class: no I/O, no clock, no thread; used by the actor alone. Times are wall clock, in microseconds.
 """
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
+from quinceslip.dependencies.urgency import JobNode, UrgencyPropagation
+from quinceslip.dependencies.urgency import Urgency as Urgency
 from quinceslip.protocol.messages import CANCELLED, DONE, QUEUED, JobSpec
 from quinceslip.storage.records import JobRecord
 
 
-@dataclass(frozen=True, slots=True)
-class Urgency:
-    """How a job is to be treated; `dues_us` are the moments by which it should be done, earliest first."""
-
-    priority: int
-    dues_us: tuple[int, ...] = ()
-
-    def before(self, run_us: int) -> "Urgency":
-        """What a job of that urgency and run time asks of those that it needs."""
-        return Urgency(self.priority, tuple(due - run_us for due in self.dues_us))
-
-    def merged(self, other: "Urgency") -> "Urgency":
-        """The more urgent of both, due time by due time."""
-        longer, shorter = sorted((self.dues_us, other.dues_us), key=len, reverse=True)
-        dues = tuple(min(due, shorter[place]) if place < len(shorter) else due for place, due in enumerate(longer))
-        return Urgency(min(self.priority, other.priority), dues)
-
-
-@dataclass(slots=True)
-class Entry:
-    """An open job that depends on others, or that others depend on."""
-
-    own: Urgency
-    run_us: int
-    needs: frozenset[str] = frozenset()
-    unfinished: set[str] = field(default_factory=set)  # of these, not yet seen as done
-    urgency: Urgency = Urgency(9)
-    ready_us: int = 0  # when the last of them ended, by their records
-
-
 @dataclass(slots=True)
 class Changes:
     """What a batch of records has brought about."""
 
-    ready: list[str] = field(default_factory=list)  # jobs that wait no longer
-    urgency_changed: list[str] = field(default_factory=list)  # open jobs whose urgency is another one
+    #: jobs that wait no longer
+    ready: list[str] = field(default_factory=list)
+    #: open jobs whose urgency is another one
+    urgency_changed: list[str] = field(default_factory=list)
 
 
 class Graph:
+    """The dependencies of open jobs.
+
+    `job` returns the newest known record of a job, `urgency` the urgency that a job has by itself from its
+    specification and the time of its acceptance, `run_us` how long it is expected to take once it may start.
+    """
+
     def __init__(
         self,
         job: Callable[[str], JobRecord | None],
@@ -64,37 +41,38 @@
         run_us: Callable[[JobSpec], int],
     ) -> None:
         self._job = job
-        self._urgency = urgency
+        self._own_urgency = urgency
         self._run_us = run_us
-        self.entries: dict[str, Entry] = {}
-        self.dependents: dict[str, set[str]] = {}  # open jobs, by what they need; of open jobs and unknown ones only
-        self.cancelled: dict[str, None] = {}  # open by their own records, and withdrawn by another's; oldest first
-        self._stale: set[str] = set()  # jobs whose urgency is to be looked at anew
-        self._grown: list[tuple[str, str]] = []  # jobs that another one needs as well since the last look, and that one
+        self.nodes: dict[str, JobNode] = {}
+        #: open jobs by what they need; keys are open jobs and unknown ones only
+        self.dependents: dict[str, set[str]] = {}
+        #: open by their own records, and cancelled through another's; oldest first
+        self.cancelled: dict[str, None] = {}
+        self._propagation = UrgencyPropagation(self.nodes, self.dependents, self.cancelled)
         self._ready: list[str] = []
 
-    # What is asked.
+    # Queries.
 
     def is_waiting(self, job_id: str) -> bool:
         """Whether a job may not start yet, or never will: some job before it was not seen as done."""
-        entry = self.entries.get(job_id)
-        return entry is not None and bool(entry.unfinished)
+        node = self.nodes.get(job_id)
+        return node is not None and bool(node.unfinished)
 
     def is_cancelled(self, job_id: str) -> bool:
-        """Whether an open job is withdrawn since one that it needs is; for ever."""
+        """Whether an open job is cancelled since one that it needs is; for ever."""
         return job_id in self.cancelled
 
     def urgency(self, job_id: str) -> Urgency | None:
-        """Of an open job that others need; None: its own alone."""
-        entry = self.entries.get(job_id)
-        return entry.urgency if entry is not None and self.dependents.get(job_id) else None
+        """The urgency of an open job that others need; None: its own alone."""
+        node = self.nodes.get(job_id)
+        return node.urgency if node is not None and self.dependents.get(job_id) else None
 
     def ready_us(self, job_id: str) -> int:
         """When the last job that it needed ended, by the records; 0 where it needed none or they do not say."""
-        entry = self.entries.get(job_id)
-        return entry.ready_us if entry is not None else 0
+        node = self.nodes.get(job_id)
+        return node.ready_us if node is not None else 0
 
-    # What the records say.
+    # Changes.
 
     def records_changed(self, job_ids: Sequence[str]) -> Changes:
         """Take news of these jobs' records; a listing as well as a change, in any order."""
@@ -103,126 +81,102 @@
             if record is None:
                 continue
             if record.state == QUEUED:
-                entry = self.entries.get(job_id)
-                # Guard: it may be known already, as what another one needs. A listing brings them in any order.
-                if record.spec is not None and record.spec.waits_on and (entry is None or not entry.needs):
-                    self._add_waiting_job(job_id, record)
-                elif entry is None and job_id in self.dependents:
-                    self._entry_for(job_id, record)
+                self._open_job_changed(job_id, record)
             else:
                 self._job_finished(job_id, record)
-        ready, self._ready = self._ready, []
-        # Two of a batch may be a job and what it needed last: it may be over by now, or withdrawn by another's record.
-        return Changes(
-            [u for u in dict.fromkeys(ready) if u in self.entries and not self.entries[u].unfinished],
-            self._propagate_urgency(),
-        )
-
-    def _entry_for(self, job_id: str, record: JobRecord) -> Entry:
-        """An open job that others need, or that needs others."""
+        return Changes(self._take_ready(), self._propagation.propagate())
+
+    def _take_ready(self) -> list[str]:
+        """Jobs that became ready in this batch and still are open.
+
+        Two of a batch may be a job and what it needed last: it may have ended by now, or be cancelled through another.
+        """
+        candidates, self._ready = dict.fromkeys(self._ready), []
+        return [job_id for job_id in candidates if job_id in self.nodes and not self.is_waiting(job_id)]
+
+    def _open_job_changed(self, job_id: str, record: JobRecord) -> None:
+        node = self.nodes.get(job_id)
+        # Guard: it may be known already, as what another one needs. A listing brings them in any order.
+        if record.spec is not None and record.spec.waits_on and (node is None or not node.needs):
+            self._add_waiting_job(job_id, record)
+        elif node is None and job_id in self.dependents:
+            self._node_for(job_id, record)
+
+    def _node_for(self, job_id: str, record: JobRecord) -> JobNode:
+        """The node of an open job that others need, or that needs others; made where there is none."""
         assert record.spec is not None
-        if job_id not in self.entries:
-            own = self._urgency(record.spec, record.at_us)
-            self.entries[job_id] = Entry(own, self._run_us(record.spec), urgency=own)
-            # Where others named it before this node knew of it.
-            self._grown += [(job_id, behind) for behind in self.dependents.get(job_id, ())]
-        return self.entries[job_id]
+        if job_id not in self.nodes:
+            own = self._own_urgency(record.spec, record.at_us)
+            self.nodes[job_id] = JobNode(own, self._run_us(record.spec), urgency=own)
+            # Others may have named it before this controller knew of it.
+            for dependent in self.dependents.get(job_id, ()):
+                self._propagation.dependent_added(job_id, dependent)
+        return self.nodes[job_id]
 
     def _add_waiting_job(self, job_id: str, record: JobRecord) -> None:
         assert record.spec is not None
-        entry = self._entry_for(job_id, record)
-        entry.needs = frozenset(record.spec.waits_on)
-        for other in entry.needs:
-            before = self._job(other)
-            if before is not None and before.state == DONE:
-                entry.ready_us = max(entry.ready_us, before.at_us)
-                continue
-            entry.unfinished.add(other)
-            if before is not None and before.state == CANCELLED:
-                self._cancel([job_id])
-                continue
-            self.dependents.setdefault(other, set()).add(job_id)
-            if before is not None:
-                self._entry_for(other, before)
-            if other in self.cancelled:
-                self._cancel([job_id])
-            self._grown.append((other, job_id))
+        node = self._node_for(job_id, record)
+        node.needs = frozenset(record.spec.waits_on)
+        for needed_id in node.needs:
+            self._add_dependency(job_id, node, needed_id)
+
+    def _add_dependency(self, job_id: str, node: JobNode, needed_id: str) -> None:
+        """`job_id` needs `needed_id`, which may be open, done, cancelled or not yet known."""
+        needed = self._job(needed_id)
+        if needed is not None and needed.state == DONE:
+            node.ready_us = max(node.ready_us, needed.at_us)
+            return
+        node.unfinished.add(needed_id)
+        if needed is not None and needed.state == CANCELLED:
+            self._cancel([job_id])
+            return
+        self.dependents.setdefault(needed_id, set()).add(job_id)
+        if needed is not None:
+            self._node_for(needed_id, needed)
+        if needed_id in self.cancelled:
+            self._cancel([job_id])
+        self._propagation.dependent_added(needed_id, job_id)
 
     def _job_finished(self, job_id: str, record: JobRecord) -> None:
-        """A job is done or withdrawn by its own record."""
-        entry = self.entries.pop(job_id, None)
+        """A job is done or cancelled by its own record."""
+        node = self.nodes.pop(job_id, None)
         self.cancelled.pop(job_id, None)
-        for other in entry.needs if entry is not None else ():
-            behind = self.dependents.get(other)
-            if behind is not None:
-                behind.discard(job_id)
-                self._urgency_source_lost(other, job_id, entry)
-                if not behind:
-                    del self.dependents[other]
-        waiting = self.dependents.pop(job_id, set())
+        if node is not None:
+            self._remove_dependencies(job_id, node)
+        dependents = sorted(self.dependents.pop(job_id, ()))
         if record.state == CANCELLED:
-            self._cancel(sorted(waiting))
-            return
-        for behind_uid in sorted(waiting):
-            after = self.entries[behind_uid]
-            after.unfinished.discard(job_id)
-            after.ready_us = max(after.ready_us, record.at_us)
-            if not after.unfinished:
-                self._ready.append(behind_uid)
+            self._cancel(dependents)
+        else:
+            self._release(dependents, job_id, record.at_us)
+
+    def _remove_dependencies(self, job_id: str, node: JobNode) -> None:
+        for needed_id in node.needs:
+            dependents = self.dependents.get(needed_id)
+            if dependents is None:
+                continue
+            dependents.discard(job_id)
+            self._propagation.dependent_lost(needed_id, node)
+            if not dependents:
+                del self.dependents[needed_id]
+
+    def _release(self, dependents: list[str], job_id: str, ended_us: int) -> None:
+        """`job_id` is done: those that need it wait for it no more."""
+        for dependent_id in dependents:
+            dependent = self.nodes[dependent_id]
+            dependent.unfinished.discard(job_id)
+            dependent.ready_us = max(dependent.ready_us, ended_us)
+            if not dependent.unfinished:
+                self._ready.append(dependent_id)
 
     def _cancel(self, job_ids: list[str]) -> None:
-        """These and all behind them, without recursion."""
-        # Bound: each job is taken once, when it is not withdrawn yet.
+        """Cancel these and all behind them, without recursion."""
+        # Bound: each job is taken once, when it is not cancelled yet.
         while job_ids:
             job_id = job_ids.pop()
-            if job_id not in self.cancelled and job_id in self.entries:
-                self.cancelled[job_id] = None
-                for other in self.entries[job_id].needs:
-                    self._urgency_source_lost(other, job_id, self.entries[job_id])
-                job_ids += sorted(self.dependents.get(job_id, ()))
-
-    # Urgency.
-
-    def _urgency_source_lost(self, job_id: str, behind: str, after: Entry | None) -> None:
-        """What `behind` asked of a job counts no more; it is looked at anew where that was part of its urgency."""
-        entry = self.entries.get(job_id)
-        if entry is None or after is None:
-            return
-        asked = after.urgency.before(after.run_us)
-        if asked.priority <= entry.urgency.priority or any(
-            mine == due for mine, due in zip(entry.urgency.dues_us, asked.dues_us, strict=False)
-        ):
-            self._stale.add(job_id)
-
-    def _propagate_urgency(self) -> list[str]:
-        """Urgency of what has changed, and of those before it where that changes."""
-        urged: dict[str, None] = {}
-        grown, self._grown = self._grown, []
-        # Bound: jobs name accepted ones alone, so there is no circle; each turn that goes on makes a job more urgent.
-        while grown:
-            job_id, behind = grown.pop()
-            entry, after = self.entries.get(job_id), self.entries.get(behind)
-            if entry is None or after is None or behind in self.cancelled:
-                continue
-            found = entry.urgency.merged(after.urgency.before(after.run_us))
-            if found != entry.urgency:
-                entry.urgency = found
-                urged[job_id] = None
-                grown += [(other, job_id) for other in entry.needs]
-        stale, self._stale = self._stale, set()
-        # Bound: jobs name accepted ones alone, so there is no circle; each turn that goes on changes an urgency.
-        while stale:
-            job_id = stale.pop()
-            entry = self.entries.get(job_id)
-            if entry is None:
+            if job_id in self.cancelled or job_id not in self.nodes:
                 continue
-            found = entry.own
-            for behind in self.dependents.get(job_id, ()):
-                after = self.entries.get(behind)
-                if after is not None and behind not in self.cancelled:
-                    found = found.merged(after.urgency.before(after.run_us))
-            if found != entry.urgency:
-                entry.urgency = found
-                urged[job_id] = None
-                stale |= entry.needs
-        return list(urged)
+            self.cancelled[job_id] = None
+            node = self.nodes[job_id]
+            for needed_id in node.needs:
+                self._propagation.dependent_lost(needed_id, node)
+            job_ids += sorted(self.dependents.get(job_id, ()))
--- a/quinceslip/storage/cache.py
+++ b/quinceslip/storage/cache.py
@@ -15,6 +15,9 @@
 #: deletions that are remembered, so that older changes that come late don't bring the keys back
 MAX_REMEMBERED_DELETIONS = 4000
 
+# Plain strings: what is done for each record costs less with them than with members of an enumeration.
+_JOB, _SHARD, _PARTITION = RecordKind.JOB.value, RecordKind.SHARD.value, RecordKind.PARTITION.value
+
 
 class StoreCache:
     """All records as this controller knows them, with the `mod_revision` of each.
@@ -27,7 +30,7 @@
     split = staticmethod(records.split_key)
 
     def __init__(self) -> None:
-        self.kinds: dict[str, Any] = dict(KINDS)
+        self.kinds: dict[str, Any] = {kind.value: record_type for kind, record_type in KINDS.items()}
         #: store revision at the last page of the last listing; None before the first
         self.listing_revision: int | None = None
         #: store revision up to which all changes are known
@@ -36,7 +39,7 @@
         self.records_taken = 0
         self.mod_revisions: dict[str, int] = {}
         #: the records of each kind by name
-        self.by_kind: dict[str, dict[str, Any]] = {kind: {} for kind in KINDS}
+        self.by_kind: dict[str, dict[str, Any]] = {kind: {} for kind in self.kinds}
         #: store revision of each remembered deletion
         self.deleted: dict[str, int] = {}
         #: jobs that are neither done nor cancelled by their own records
@@ -117,7 +120,7 @@
         kind, name = records.split_key(key)
         if kind in self.by_kind:
             self.by_kind[kind][name] = value
-        if kind == RecordKind.JOB:
+        if kind == _JOB:
             self._index_job(name, value)
         return True
 
@@ -136,7 +139,7 @@
         kind, name = records.split_key(key)
         if kind in self.by_kind:
             self.by_kind[kind].pop(name, None)
-        if kind == RecordKind.JOB:
+        if kind == _JOB:
             self._unindex_job(name)
         return known
 
@@ -160,11 +163,11 @@
 
     def job(self, job_id: str) -> JobRecord | None:
         """The record of a job."""
-        return self.by_kind[RecordKind.JOB].get(job_id)
+        return self.by_kind[_JOB].get(job_id)
 
     def shard(self, shard: int) -> ShardRecord | None:
         """The record of a shard; None while nobody leads it."""
-        return self.by_kind[RecordKind.SHARD].get(str(shard))
+        return self.by_kind[_SHARD].get(str(shard))
 
     def partition(self, shard: int, job_id: str) -> PartitionRecord | None:
         """The partition of an open job that a shard has, whichever record contains it."""
@@ -173,7 +176,7 @@
             return None
         if job.shard == shard:
             return job.partition
-        return self.by_kind[RecordKind.PARTITION].get(f"{shard}/{job_id}")
+        return self.by_kind[_PARTITION].get(f"{shard}/{job_id}")
 
     def partition_record_key(self, shard: int, job_id: str) -> str:
         """Key of the record that contains a shard's partition of a job: at the home shard that of the job itself."""
--- a/quinceslip/storage/records.py
+++ b/quinceslip/storage/records.py
@@ -215,7 +215,7 @@
 
 
 #: the type of the record of each kind
-KINDS: dict[str, Any] = {
+KINDS: dict[RecordKind, Any] = {
     RecordKind.TERM: TermRecord,
     RecordKind.SHARD: ShardRecord,
     RecordKind.JOB: JobRecord,
--- a/quinceslip/storage/watch.py
+++ b/quinceslip/storage/watch.py
@@ -53,9 +53,9 @@
         try:
             return self._list() if revision is None else self._poll(revision)
         except msgspec.DecodeError as error:
-            log.error("state service answered nonsense: %s", error)
+            log.error("undecodable answer of the key-value store error=%s", error)
         except Exception:
-            log.exception("watch")
+            log.exception("watch failed")
         return None
 
     def _get(self, path: str, timeout_s: float) -> tuple[int, bytes]:
@@ -83,7 +83,7 @@
                 break
             last_key = page.items[-1].key
             if last_key <= after:
-                log.error("state service lists %s after %s", last_key, after)
+                log.error("listing out of order key=%s after=%s", last_key, after)
                 return None
             after = last_key
         # Guard: the cache counts as synced once it has come up to the last page.
