--- a/quinceslip/coordination/controller/controller.py
+++ b/quinceslip/coordination/controller/controller.py
@@ -102,7 +102,7 @@
             if isinstance(message.said, frames.PeerObservations):
                 self.autoscaler.capacity.observations_received(message.said.label, message.said.observations, now_us)
             else:
-                self.load_balancer.heartbeat_received(message.said)
+                self.load_balancer.peers.heartbeat_received(message.said)
         elif isinstance(message, BatchEnd):
             for shard in self.shards.values():
                 shard.end_batch()
@@ -246,11 +246,11 @@
             return False
         if self.ctx.store_available():
             return True
-        if len(self.labels) > 1 and not any(map(self.load_balancer.is_alive, self.load_balancer.peers)):
+        if len(self.labels) > 1 and not any(map(self.load_balancer.peers.is_alive, self.load_balancer.peers.by_label)):
             return False
         return not any(
-            self.load_balancer.is_alive(label) and peer.heartbeat.state_ok
-            for label, peer in self.load_balancer.peers.items()
+            self.load_balancer.peers.is_alive(label) and peer.heartbeat.state_ok
+            for label, peer in self.load_balancer.peers.by_label.items()
         )
 
     def _hand_shards_home(self) -> None:
@@ -259,10 +259,10 @@
             return
         for shard in list(self.shards.values()):
             label = self.labels[shard.index]
-            if label == self.ctx.settings.label or not self.load_balancer.is_alive(label):
+            if label == self.ctx.settings.label or not self.load_balancer.peers.is_alive(label):
                 continue
-            peer = self.load_balancer.peers[label]
-            steady_us = self.ctx.now_us - max(peer.since_us, shard.led_since_us)
+            peer = self.load_balancer.peers.by_label[label]
+            steady_us = self.ctx.now_us - max(peer.alive_since_us, shard.led_since_us)
             calm = not shard.unreconciled and all(
                 w.fenced or w.lease_expired or not w.last_contact_us or w.delivery.unreachable
                 for w in shard.workers.values()
@@ -283,8 +283,8 @@
         for index, shard in self.shards.items():
             misrouted = sum(
                 count
-                for label, peer in self.load_balancer.peers.items()
-                if self.load_balancer.is_alive(label)
+                for label, peer in self.load_balancer.peers.by_label.items()
+                if self.load_balancer.peers.is_alive(label)
                 for s, count in peer.heartbeat.misrouted
                 if s == index
             ) + self.connectivity.recorded_misrouted(index)
--- /dev/null
+++ b/quinceslip/coordination/load_balancing/peers.py
@@ -0,0 +1,57 @@
+"""What every peer told last in its heartbeats, and which peers are alive."""
+
+from collections.abc import Iterator
+from dataclasses import dataclass
+
+from quinceslip.coordination.actor.context import Context
+from quinceslip.coordination.actor.timing import SECOND
+from quinceslip.protocol import frames
+
+#: a peer whose last heartbeat is older than this is not counted on
+PEER_TIMEOUT_US = 4 * SECOND
+
+
+@dataclass(slots=True)
+class PeerStatus:
+    """The latest heartbeat of a peer."""
+
+    last_heartbeat_us: int
+    alive_since_us: int  # no two heartbeats since then were further apart than PEER_TIMEOUT_US
+    heartbeat: frames.PeerHeartbeat
+
+
+class Peers:
+    """The status of every peer that has sent a heartbeat, by its label."""
+
+    def __init__(self, ctx: Context) -> None:
+        self.ctx = ctx
+        self.by_label: dict[str, PeerStatus] = {}
+
+    def heartbeat_received(self, heartbeat: frames.PeerHeartbeat) -> None:
+        """Take a heartbeat, which replaces the one before."""
+        now_us = self.ctx.now_us
+        alive_since_us = now_us
+        previous = self.by_label.get(heartbeat.label)
+        if previous is not None and now_us - previous.last_heartbeat_us <= PEER_TIMEOUT_US:
+            alive_since_us = previous.alive_since_us
+        self.by_label[heartbeat.label] = PeerStatus(now_us, alive_since_us, heartbeat)
+
+    def is_alive(self, label: str) -> bool:
+        """Whether the peer's last heartbeat is recent."""
+        status = self.by_label.get(label)
+        return status is not None and self.ctx.now_us - status.last_heartbeat_us < PEER_TIMEOUT_US
+
+    def alive(self) -> Iterator[PeerStatus]:
+        """The status of each peer that is alive, in the order in which they were first heard."""
+        return (status for label, status in self.by_label.items() if self.is_alive(label))
+
+    def loads(self) -> list[frames.ShardLoad]:
+        """The shard loads that peers which are alive reported."""
+        return [load for status in self.alive() for load in status.heartbeat.loads]
+
+    def take_free_slots(self, shard: int, tasks: int) -> None:
+        """Count slots that tasks were just moved to as taken, until the next heartbeat tells."""
+        for status in self.by_label.values():
+            for load in status.heartbeat.loads:
+                if load.shard == shard:
+                    load.room = max(0, load.room - tasks)
--- a/quinceslip/coordination/load_balancing/queueing_model.py
+++ b/quinceslip/coordination/load_balancing/queueing_model.py
@@ -46,7 +46,7 @@
 
 
 #: a shard without machines
-NOTHING = Station(0, 0.0)
+EMPTY_STATION = Station(0, 0.0)
 
 
 def credible_rate(arrivals: float) -> bool:
--- /dev/null
+++ b/quinceslip/coordination/load_balancing/service_moves.py
@@ -0,0 +1,89 @@
+"""Moves of services that find no place in their shard to where lower priorities can make room for them."""
+
+import math
+
+from quinceslip.coordination.actor.context import Context
+from quinceslip.coordination.actor.timing import SECOND
+from quinceslip.coordination.leadership.election import LeaderElection
+from quinceslip.coordination.load_balancing.peers import Peers
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.shard import Shard
+from quinceslip.protocol import frames
+from quinceslip.protocol import messages as m
+
+#: a service that was moved and still finds no place is moved no more than this often
+MIN_MOVE_INTERVAL_US = 10 * SECOND
+#: CPUs that a task is counted with at least, so that a part of a machine holds a finite number of them
+MIN_TASK_CPUS = 0.01
+
+
+class ServiceMover:
+    """Moves services out of the shards that this controller leads."""
+
+    def __init__(self, ctx: Context, election: LeaderElection, shards: dict[int, Shard], peers: Peers) -> None:
+        self.ctx = ctx
+        self.election = election
+        self.shards = shards
+        self.peers = peers
+
+    def move_from(self, shard: Shard) -> None:
+        """Move the services of one shard that wait for a place."""
+        loads = self._other_loads(shard.index)
+        for partition in shard.waiting_in_order():
+            if self._is_due(shard, partition):
+                self._move(shard, partition, loads)
+
+    def _other_loads(self, source: int) -> list[frames.ShardLoad]:
+        """The loads of all other shards; of those that this controller leads only the room for services."""
+        loads = {load.shard: load for load in self.peers.loads()}
+        for shard in self.shards.values():
+            loads[shard.index] = frames.ShardLoad(shard.index, 0, 0, 0, 0.0, shard.service_room())
+        loads.pop(source, None)
+        return list(loads.values())
+
+    def _is_due(self, shard: Shard, partition: JobPartition) -> bool:
+        """Whether this is a service that waits for a place and was not moved lately."""
+        if not partition.spec.service or not partition.pending or partition.on_hold:
+            return False
+        return self.ctx.now_us >= shard.moved_us.get(partition.job_id, 0) + MIN_MOVE_INTERVAL_US
+
+    def _move(self, shard: Shard, partition: JobPartition, loads: list[frames.ShardLoad]) -> None:
+        """Move what waits of a service to the shard with the most room for it, if one has enough."""
+        allowed_zones = partition.zones or set(self.ctx.settings.facts.zones)
+        split = None
+        if not shard.persistence.movable(partition):
+            split = shard.persistence.split_zones(partition)
+            if split is None:
+                return
+            _, allowed_zones = split
+        target = self._best_target(partition, allowed_zones, loads)
+        if target is None:
+            return
+        # The room that the target reported is counted as taken until its next heartbeat.
+        needed_cpus = math.ceil(partition.spec.cpus * len(partition.pending))
+        target.service_room = [max(0, room - needed_cpus) for room in target.service_room]
+        shard.moved_us[partition.job_id] = self.ctx.now_us
+        shard.persistence.move(partition, sorted(partition.pending), target.shard, split)
+
+    def _best_target(
+        self, partition: JobPartition, allowed_zones: set[str], loads: list[frames.ShardLoad]
+    ) -> frames.ShardLoad | None:
+        """The led shard with the most room in the allowed zones among those that hold all waiting tasks."""
+        spec = partition.spec
+        waiting = len(partition.pending)
+        max_per_zone = (spec.tasks + 1) // 2 if spec.spread else waiting
+        best: frames.ShardLoad | None = None
+        best_room = 0
+        for load in loads:
+            rooms = self._allowed_rooms(spec, allowed_zones, load)
+            fitting = sum(min(max_per_zone, int(room // max(spec.cpus, MIN_TASK_CPUS))) for room in rooms)
+            if fitting < waiting or not self.election.leader(load.shard):
+                continue
+            if best is None or sum(rooms) > best_room:
+                best, best_room = load, sum(rooms)
+        return best
+
+    def _allowed_rooms(self, spec: m.JobSpec, allowed_zones: set[str], load: frames.ShardLoad) -> list[int]:
+        """CPUs that services could have in each zone where this one may run."""
+        rooms_by_zone = zip(self.ctx.settings.facts.zones, load.service_room, strict=False)
+        return [room for zone, room in rooms_by_zone if zone in allowed_zones and spec.zone in (None, zone)]
--- /dev/null
+++ b/quinceslip/coordination/load_balancing/shard_loads.py
@@ -0,0 +1,76 @@
+"""The load of every shard, from the sources there are: own state, peers' heartbeats, load records."""
+
+from dataclasses import dataclass, field
+
+from quinceslip.coordination.actor.context import Context
+from quinceslip.coordination.leadership.election import LeaderElection
+from quinceslip.coordination.load_balancing import queueing_model
+from quinceslip.coordination.load_balancing.peers import Peers
+from quinceslip.coordination.shard.shard import Shard
+from quinceslip.protocol import frames
+from quinceslip.storage import records
+
+
+@dataclass(slots=True)
+class ShardLoads:
+    """Loads by shard. Free slots are known only from a shard's leader, not from its load record."""
+
+    stations: dict[int, queueing_model.Station] = field(default_factory=dict)
+    waiting_tasks: dict[int, int] = field(default_factory=dict)
+    free_slots: dict[int, int] = field(default_factory=dict)
+
+
+class ShardLoadCollector:
+    """Collects the loads of all shards."""
+
+    def __init__(self, ctx: Context, election: LeaderElection, shards: dict[int, Shard], peers: Peers) -> None:
+        self.ctx = ctx
+        self.election = election
+        self.shards = shards
+        self.peers = peers
+
+    def own_loads(self) -> list[frames.ShardLoad]:
+        """The loads of the shards that this controller leads, for its heartbeat."""
+        return [_own_load(shard) for shard in self.shards.values()]
+
+    def collect(self) -> ShardLoads:
+        """The loads of all shards; of two sources the fresher one counts: own state, heartbeats, records."""
+        loads = ShardLoads()
+        for name, record in self.ctx.cache.by_kind["load"].items():
+            if name.isdecimal():
+                self._add_reported(loads, int(name), record)
+        for load in self.peers.loads():
+            if self._add_reported(loads, load.shard, load):
+                loads.free_slots[load.shard] = load.room
+        for shard in self.shards.values():
+            slots, rate = shard.queueing_station()
+            loads.stations[shard.index] = queueing_model.Station(slots, rate)
+            loads.waiting_tasks[shard.index] = shard.waiting_tasks()
+            loads.free_slots[shard.index] = shard.free_slots()
+        return loads
+
+    def _add_reported(self, loads: ShardLoads, shard: int, reported: records.LoadRecord | frames.ShardLoad) -> bool:
+        """Add what was reported of a shard, and return whether it can have been measured.
+
+        What nobody can have measured counts as a shard without machines.
+        """
+        if not 0 <= shard < self.election.size:
+            return False
+        station = queueing_model.Station(reported.slots, reported.rate)
+        credible = reported.slots == 0 or queueing_model.credible(station)
+        loads.stations[shard] = station if credible else queueing_model.EMPTY_STATION
+        loads.waiting_tasks[shard] = max(0, reported.waiting) if credible else 0
+        return credible
+
+
+def _own_load(shard: Shard) -> frames.ShardLoad:
+    slots, rate = shard.queueing_station()
+    return frames.ShardLoad(
+        shard.index,
+        shard.waiting_tasks(),
+        slots,
+        shard.free_slots(),
+        rate,
+        shard.service_room(),
+        shard.quick_room(),
+    )
