--- /dev/null
+++ b/quinceslip/coordination/controller/peer_heartbeats.py
@@ -0,0 +1,53 @@
+"""Heartbeats of this controller to its peers, with its observations of the cloud's capacity behind them."""
+
+from quinceslip.coordination.actor.context import Context
+from quinceslip.coordination.actor.effects import ToPeers
+from quinceslip.coordination.actor.timing import SECOND
+from quinceslip.coordination.autoscaling.capacity import CapacityObservations
+from quinceslip.coordination.leadership.connectivity import WorkerConnectivity
+from quinceslip.coordination.load_balancing.load_balancer import LoadBalancer
+from quinceslip.protocol import frames
+
+HEARTBEAT_PERIOD_US = SECOND
+#: with new observations of the cloud's capacity, a heartbeat may be sent this much before it is due
+MAX_EARLY_US = 3 * SECOND // 4
+
+
+class PeerHeartbeats:
+    """Sends a heartbeat to every peer, once a period."""
+
+    def __init__(
+        self,
+        ctx: Context,
+        load_balancer: LoadBalancer,
+        connectivity: WorkerConnectivity,
+        capacity: CapacityObservations,
+    ) -> None:
+        self.ctx = ctx
+        self.load_balancer = load_balancer
+        self.connectivity = connectivity
+        self.capacity = capacity
+        self.next_heartbeat_us = 0
+
+    def tick(self) -> None:
+        """Send a heartbeat when it is due, or early where peers are about to ask the cloud for the same."""
+        early_us = MAX_EARLY_US if self.capacity.has_news else 0
+        if self.ctx.now_us >= self.next_heartbeat_us - early_us:
+            self.next_heartbeat_us = self.ctx.now_us + HEARTBEAT_PERIOD_US
+            self._send()
+
+    def _send(self) -> None:
+        label = self.ctx.settings.label
+        heartbeat = frames.PeerHeartbeat(
+            label,
+            self.ctx.store_available(),
+            self.ctx.cache.revision,
+            self.load_balancer.loads(),
+            self.connectivity.yielding,
+            self.connectivity.misrouted_counts(),
+        )
+        packed = frames.pack_heartbeat(heartbeat)
+        observations = self.capacity.own_observations(self.ctx.now_us)
+        if observations:
+            packed += frames.pack_observations(frames.PeerObservations(label, observations))
+        self.ctx.effects.append(ToPeers(packed))
--- /dev/null
+++ b/quinceslip/coordination/controller/record_changes.py
@@ -0,0 +1,95 @@
+"""Changes of records in the store cache: each kind goes to the part that acts on it."""
+
+from collections.abc import Callable, Iterable, Sequence
+from functools import partial
+
+from quinceslip.coordination.actor.context import Context
+from quinceslip.coordination.actor.subsystem import Subsystem
+from quinceslip.coordination.autoscaling.autoscaler import Autoscaler
+from quinceslip.coordination.leadership.connectivity import WorkerConnectivity
+from quinceslip.coordination.leadership.election import LeaderElection
+from quinceslip.coordination.load_balancing.load_balancer import LoadBalancer
+from quinceslip.coordination.shard.shard import Shard
+from quinceslip.storage.cache import StoreCache
+
+#: the kind of job records, as stored
+JOB_KIND = "job"
+
+
+class RecordChanges:
+    """Passes changes on, one record after the other; handlers get the name of the record within its kind."""
+
+    def __init__(
+        self,
+        ctx: Context,
+        shards: dict[int, Shard],
+        election: LeaderElection,
+        load_balancer: LoadBalancer,
+        autoscaler: Autoscaler,
+        connectivity: WorkerConnectivity,
+        subsystems: Sequence[Subsystem],
+    ) -> None:
+        self.ctx = ctx
+        self.shards = shards
+        self.election = election
+        self.load_balancer = load_balancer
+        self.autoscaler = autoscaler
+        self._handlers: dict[str, Callable[[str], None]] = {}
+        for subsystem in subsystems:
+            for kind in subsystem.kinds:
+                self._handlers[kind] = partial(subsystem.record_changed, kind)
+        self._handlers |= {
+            JOB_KIND: self._load_job,
+            "part": self._partition_changed,
+            "roster": self._machine_changed,
+            "shard": self._shard_changed,
+            "stray": connectivity.peer_record_changed,
+            "types": self._types_changed,
+        }
+
+    def apply(self, changed_keys: Iterable[str]) -> None:
+        """Act on records that changed in the cache.
+
+        Dependencies come first: whether a job may start rests on the records of others in the same batch. Jobs that
+        became ready or more urgent by it come last.
+        """
+        keys = [StoreCache.split(key) for key in changed_keys]
+        pipelines = self.ctx.graph.records_changed([name for kind, name in keys if kind == JOB_KIND])
+        for kind, name in keys:
+            self.ctx.records_applied += 1
+            handler = self._handlers.get(kind)
+            if handler is not None:
+                handler(name)
+        for job_id in pipelines.ready:
+            self._job_ready(job_id)
+        for job_id in pipelines.urgency_changed:
+            for shard in self.shards.values():
+                shard.persistence.urgency_changed(job_id)
+
+    def _load_job(self, job_id: str) -> None:
+        for shard in self.shards.values():
+            shard.persistence.load(job_id)
+
+    def _partition_changed(self, name: str) -> None:
+        """A partition record is named by its shard and its job."""
+        _, _, job_id = name.partition("/")
+        self._load_job(job_id)
+
+    def _machine_changed(self, name: str) -> None:
+        self.autoscaler.inventory.machine_record_changed(name)
+        for shard in self.shards.values():
+            shard.machine_record_changed(name)
+
+    def _shard_changed(self, name: str) -> None:
+        self.election.shard_record_changed(int(name))
+
+    def _types_changed(self, _name: str) -> None:
+        self.autoscaler.types_changed()
+
+    def _job_ready(self, job_id: str) -> None:
+        """A job waits for no other any more: now it arrives, as by the paper's model."""
+        for shard in self.shards.values():
+            shard.persistence.load(job_id)
+            partition = shard.partitions.get(job_id)
+            if partition is not None:
+                self.load_balancer.job_ready(shard, partition)
--- /dev/null
+++ b/quinceslip/coordination/controller/submission_checks.py
@@ -0,0 +1,74 @@
+"""Why a job can never run, or never start, for the error that its submission is answered with."""
+
+from collections.abc import Sequence
+
+from quinceslip.coordination.actor.context import Context
+from quinceslip.coordination.actor.subsystem import Subsystem
+from quinceslip.coordination.controller.job_status import JobStatusReader
+from quinceslip.protocol import messages as m
+from quinceslip.storage import records
+
+
+class SubmissionChecks:
+    """Checks of a submitted job against the settings, the machine types and the jobs that it depends on."""
+
+    def __init__(self, ctx: Context, status: JobStatusReader, subsystems: Sequence[Subsystem]) -> None:
+        self.ctx = ctx
+        self.status = status
+        self.subsystems = subsystems
+
+    def never_runs_reason(self, job: records.JobRecord, spec: m.JobSpec) -> str | None:
+        """Why a job can never run, shown to its user; None if it can."""
+        if not self.ctx.fits_record(job):
+            return "its description is larger than a record may be"
+        if self.ctx.team(spec.team) is None:
+            return f"unknown team {spec.team}"
+        reason = self._fits_nowhere_reason(spec)
+        if reason is not None:
+            return reason
+        for subsystem in self.subsystems:
+            reason = subsystem.never_runs_reason(spec)
+            if reason is not None:
+                return reason
+        return None
+
+    def dependency_error(self, spec: m.JobSpec) -> str | None:
+        """Why a job can never start for what it depends on; None if it can, as far as this controller knows."""
+        if spec.job_id in spec.waits_on:
+            return f"{spec.job_id} waits on itself"
+        for job_id in spec.waits_on:
+            job = self.ctx.cache.job(job_id)
+            if job is None:
+                return f"waits on {job_id}, which was never accepted"
+            if job.spec is not None and job.spec.service:
+                return f"waits on {job_id}, which is a service and never done"
+        return None
+
+    def depends_on_cancelled(self, spec: m.JobSpec) -> bool:
+        """Whether a job that it depends on is cancelled already."""
+        for job_id in spec.waits_on:
+            job = self.ctx.cache.job(job_id)
+            if job is not None and job.state != m.DONE and self.status.is_final(job_id, job):
+                return True
+        return False
+
+    def _fits_nowhere_reason(self, spec: m.JobSpec) -> str | None:
+        """Why no allowed machine type holds one task; None if one does."""
+        allowed = [t for t in self.ctx.types.values() if spec.types is None or t.label in spec.types]
+        if any(_holds_task(machine_type, spec) for machine_type in allowed):
+            return None
+        where = "" if spec.zone is None else f" in {spec.zone}"
+        labels = ", ".join(sorted(t.label for t in allowed)) or "there is none"
+        return (
+            f"a task of {spec.cpus:g} CPUs, {spec.gpus:g} GPUs and {spec.memory_gb:g} GB fits no allowed "
+            f"machine type{where}: {labels}"
+        )
+
+
+def _holds_task(machine_type: m.MachineType, spec: m.JobSpec) -> bool:
+    return (
+        machine_type.cpus >= spec.cpus
+        and machine_type.gpus >= spec.gpus
+        and machine_type.memory_gb >= spec.memory_gb
+        and (spec.zone is None or spec.zone in machine_type.zones)
+    )
