--- a/quinceslip/coordination/load_balancing/peers.py
+++ b/quinceslip/coordination/load_balancing/peers.py
@@ -1,4 +1,4 @@
-"""What every peer told last in its heartbeats, and which peers are alive."""
+"""The last heartbeat of every peer, and which peers are alive."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -50,7 +50,7 @@
         return [load for status in self.alive() for load in status.heartbeat.loads]
 
     def take_free_slots(self, shard: int, tasks: int) -> None:
-        """Count slots that tasks were just moved to as taken, until the next heartbeat tells."""
+        """Count slots that tasks were just moved to as taken, until the next heartbeat."""
         for status in self.by_label.values():
             for load in status.heartbeat.loads:
                 if load.shard == shard:
--- a/quinceslip/coordination/load_balancing/task_moves.py
+++ b/quinceslip/coordination/load_balancing/task_moves.py
@@ -5,7 +5,7 @@
 from quinceslip.coordination.shard.partition import JobPartition
 from quinceslip.coordination.shard.shard import Shard
 
-#: moves out of one shard at a time; more follow once the target's heartbeat tells what it still has free
+#: moves out of one shard at a time; more follow once the target's heartbeat reports what is still free
 MAX_MOVES_PER_SHARD = 2
 
 
