--- a/quinceslip/coordination/controller/periodic_work.py
+++ b/quinceslip/coordination/controller/periodic_work.py
@@ -30,5 +30,5 @@
             try:
                 part.tick()
             except Exception:
-                log.exception("tick of a part failed part=%s", part.name)
+                log.exception("a part of the tick failed part=%s", part.name)
         self.ctx.active_part = ""
--- a/quinceslip/coordination/load_balancing/workload_levels.py
+++ b/quinceslip/coordination/load_balancing/workload_levels.py
@@ -38,9 +38,9 @@
     def _update_suspended(self) -> None:
         suspended = self.ctx.is_suspended(PART_NAME)
         if suspended and not self.suspended:
-            log.info("fair workload levels suspended after a stall: each is m for a while")
+            log.info("stall in the fair workload levels: the levels rest for a while, each is m")
         elif self.suspended and not suspended:
-            log.info("fair workload levels resumed")
+            log.info("end of the pause after a stall: the levels are solved again")
         self.suspended = suspended
 
     def _total_arrival_rate(self) -> float:
