--- /dev/null
+++ b/quinceslip/coordination/autoscaling/machine_choice.py
@@ -0,0 +1,132 @@
+"""Which machine type, in which zone, serves a demand at the lowest price."""
+
+import math
+from collections import defaultdict
+from collections.abc import Iterator
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from quinceslip.coordination.actor.context import Context
+from quinceslip.coordination.autoscaling.absorption import MAX_ABSORBED_PART, absorbed_cpus
+from quinceslip.coordination.autoscaling.capacity import CapacityObservations
+from quinceslip.coordination.autoscaling.resources import Resources
+from quinceslip.coordination.autoscaling.unmet_demand import MIN_TASK_CPUS
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.shard import Shard
+from quinceslip.coordination.shard.worker import fits
+from quinceslip.protocol import messages as m
+
+#: headroom on quick machines may cost so many times as much as on the cheapest ones
+MAX_HEADROOM_PRICE_FACTOR = 4.0
+MIN_TASK_MEMORY_GB = 0.001
+#: parts of a machine that may be lacking for work before one more machine is bought for it: of the cheapest kind ...
+ROUNDING = 0.2
+#: ... and of ordinary machines where spot machines would do
+ON_DEMAND_ROUNDING = 0.5
+
+
+@dataclass(frozen=True, slots=True)
+class MachineDemand:
+    """What machines are to be bought for: tasks like those of `partition`."""
+
+    partition: JobPartition
+    cpus: float
+    tasks: int
+    spot: bool
+    is_headroom: bool = False  # for services to come: any zone will do, and only types that start quickly
+
+
+class PurchaseOption(NamedTuple):
+    """One way to serve a demand. Options are compared by their fields in this order: the least is chosen."""
+
+    price_per_cpu: float
+    machines_in_zone: int  # of ours, already
+    type_label: str
+    zone: str
+    spot: bool
+    machines: int
+
+
+class MachineCounts(NamedTuple):
+    """How many machines of a type a demand takes; 0 or less: too little waits to be worth one."""
+
+    tasks_per_machine: int
+    spot: int
+    on_demand: int
+
+
+class MachineChooser:
+    """Compares what the cloud offers, without the pools that were short of capacity when last asked for."""
+
+    def __init__(self, ctx: Context, capacity: CapacityObservations) -> None:
+        self.ctx = ctx
+        self.capacity = capacity
+
+    def choose(self, shard: Shard, demand: MachineDemand) -> PurchaseOption | None:
+        """The cheapest for what it can serve; between zones, the one with fewest of our machines."""
+        options = list(self._options(shard, demand))
+        if demand.is_headroom and options:
+            options = self._affordable_headroom(demand, options)
+        return min(options, default=None)
+
+    def _options(self, shard: Shard, demand: MachineDemand) -> Iterator[PurchaseOption]:
+        spec = demand.partition.spec
+        eligible_zones = None if demand.is_headroom else shard.placement.eligible_zones(demand.partition)
+        machines_in_zone: dict[str, int] = defaultdict(int)
+        for worker in shard.workers.values():
+            machines_in_zone[worker.zone] += 1
+        for machine_type in self.ctx.types.values():
+            if not self._suits(machine_type, demand):
+                continue
+            counts = self._machine_counts(shard, demand, machine_type)
+            for zone in machine_type.zones:
+                if spec.zone not in (None, zone) or (eligible_zones is not None and zone not in eligible_zones):
+                    continue
+                yield from self._options_in_zone(demand, machine_type, counts, zone, machines_in_zone[zone])
+
+    def _options_in_zone(
+        self, demand: MachineDemand, machine_type: m.MachineType, counts: MachineCounts, zone: str, present: int
+    ) -> Iterator[PurchaseOption]:
+        served_cpus = counts.tasks_per_machine * max(demand.partition.spec.cpus, MIN_TASK_CPUS)
+        for spot in [True, False] if demand.spot else [False]:
+            if not spot and counts.on_demand <= 0:
+                continue
+            if self.capacity.backs_off((machine_type.label, zone, spot), self.ctx.now_us):
+                continue
+            price = machine_type.spot_price if spot else machine_type.price
+            machines = counts.spot if spot else counts.on_demand
+            yield PurchaseOption(price / served_cpus, present, machine_type.label, zone, spot, machines)
+
+    def _suits(self, machine_type: m.MachineType, demand: MachineDemand) -> bool:
+        spec = demand.partition.spec
+        return (
+            fits(Resources.of_type(machine_type), spec)
+            and (spec.types is None or machine_type.label in spec.types)
+            and (not demand.is_headroom or self.ctx.starts_quickly(machine_type))
+        )
+
+    def _machine_counts(self, shard: Shard, demand: MachineDemand, machine_type: m.MachineType) -> MachineCounts:
+        spec = demand.partition.spec
+        tasks_by_cpus = machine_type.cpus / max(spec.cpus, MIN_TASK_CPUS)
+        tasks_by_memory = machine_type.memory_gb / max(spec.memory_gb, MIN_TASK_MEMORY_GB)
+        tasks_per_machine = max(1, int(min(tasks_by_cpus, tasks_by_memory, demand.tasks)))
+        cpus_per_machine = max(tasks_per_machine * spec.cpus, MIN_TASK_CPUS)
+        machines = max(1, math.ceil(demand.cpus / cpus_per_machine - ROUNDING))
+        if not demand.spot or machine_type.spot_price <= 0 or spec.whole:
+            return MachineCounts(tasks_per_machine, machines, machines)
+        # A dearer machine must have as much more waiting for it.
+        surcharge = machine_type.price / machine_type.spot_price - 1.0
+        remaining_cpus = demand.cpus - surcharge * absorbed_cpus(self.ctx, shard, MAX_ABSORBED_PART)
+        on_demand = math.ceil(remaining_cpus / cpus_per_machine - ON_DEMAND_ROUNDING)
+        return MachineCounts(tasks_per_machine, machines, on_demand)
+
+    def _affordable_headroom(self, demand: MachineDemand, options: list[PurchaseOption]) -> list[PurchaseOption]:
+        """Headroom is for a few tasks: a large machine for one of them costs more than it can save."""
+        types = self.ctx.types
+        fitting = [t for t in types.values() if fits(Resources.of_type(t), demand.partition.spec)]
+        cheapest = min(t.price * max(1, math.ceil(demand.cpus / t.cpus)) for t in fitting)
+        return [
+            option
+            for option in options
+            if types[option.type_label].price * option.machines <= MAX_HEADROOM_PRICE_FACTOR * cheapest
+        ]
--- /dev/null
+++ b/quinceslip/coordination/autoscaling/machine_types.py
@@ -0,0 +1,91 @@
+"""The cloud's machine types: asked for, kept in the key-value store, and which of them start services quickly."""
+
+import logging
+
+import msgspec
+
+from quinceslip.coordination.actor.context import Context
+from quinceslip.coordination.actor.effects import Urgency
+from quinceslip.coordination.actor.timing import SECOND
+from quinceslip.coordination.shard.shard import Shard
+from quinceslip.protocol import messages as m
+from quinceslip.storage import records
+
+log = logging.getLogger(__name__)
+
+#: between two requests for the types, after an answer and without one
+REFRESH_PERIOD_US = 60 * SECOND
+RETRY_PERIOD_US = 3 * SECOND
+REQUEST_TIMEOUT_US = 3 * SECOND
+
+
+class MachineTypeCatalog:
+    """Keeps `Context.types` and `Context.quick_types` up to date."""
+
+    def __init__(self, ctx: Context, shards: dict[int, Shard]) -> None:
+        self.ctx = ctx
+        self.shards = shards
+        self.next_request_us = 0
+
+    def record_changed(self) -> None:
+        """The record of the types changed in the store."""
+        types = self.ctx.cache.by_kind["types"].get("")
+        if types:
+            self._replace_types(types)
+
+    def request_if_due(self) -> None:
+        """Ask the cloud for its machine types when it is time again."""
+        if self.ctx.now_us < self.next_request_us:
+            return
+        self.next_request_us = self.ctx.now_us + RETRY_PERIOD_US
+        self.ctx.call(
+            "cloud",
+            "GET",
+            m.PATH_MACHINE_TYPES,
+            None,
+            self._on_types_answered,
+            timeout_us=REQUEST_TIMEOUT_US,
+            urgency=Urgency.REST,
+        )
+
+    def update_quick_types(self) -> None:
+        """Which types fetch the image of most of the present services within the wait that users accept."""
+        placement = next(iter(self.shards.values())).placement
+        specs = [job.spec for job in self.ctx.cache.open_services.values() if job.spec is not None]
+        self.ctx.quick_types = {
+            machine_type.label
+            for machine_type in self.ctx.types.values()
+            if 2 * sum(placement.quick_type(machine_type, spec) for spec in specs) > len(specs)
+        }
+
+    def _on_types_answered(self, status: int, body: bytes) -> None:
+        if status != 200:
+            return
+        try:
+            types = msgspec.json.decode(body, type=m.MachineTypes).types
+        except msgspec.DecodeError as error:
+            log.error("cloud answered nonsense: %s", error)
+            return
+        first_answer = not self.ctx.types
+        self._replace_types(types)
+        self.next_request_us = self.ctx.now_us + REFRESH_PERIOD_US
+        mod_revision = self.ctx.cache.mod_revision(records.TYPES)
+        # More types than fit a record are not kept, for a part of them would tell users that jobs never run.
+        if (first_answer or mod_revision == 0) and self.ctx.fits_record(types):
+            self.ctx.compare_and_swap(
+                {records.TYPES: mod_revision},
+                {records.TYPES: (types, None)},
+                [],
+                lambda status, failed_conditions: None,  # asked for again in any case
+            )
+
+    def _replace_types(self, types: list[m.MachineType]) -> None:
+        self.ctx.types.clear()
+        self.ctx.types.update({machine_type.label: machine_type for machine_type in types})
+        machine_records = self.ctx.cache.by_kind["roster"]
+        for shard in self.shards.values():
+            for worker in shard.workers.values():
+                record = machine_records.get(worker.name)
+                if record is not None:
+                    worker.type = self.ctx.types.get(record.type, worker.type)
+            shard.needs_placement = True
--- /dev/null
+++ b/quinceslip/coordination/autoscaling/scale_out_requests.py
@@ -0,0 +1,179 @@
+"""Scale-out requests: recorded before they are sent, repeated under one name, registered when they are answered."""
+
+import logging
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from functools import partial
+from typing import Any
+
+import msgspec
+
+from quinceslip.coordination.actor.context import Context
+from quinceslip.coordination.actor.effects import Urgency
+from quinceslip.coordination.actor.timing import SECOND
+from quinceslip.coordination.autoscaling.capacity import CapacityObservations
+from quinceslip.coordination.leadership.election import LeaderElection
+from quinceslip.coordination.shard.shard import Shard
+from quinceslip.protocol import messages as m
+from quinceslip.storage import records
+
+log = logging.getLogger(__name__)
+
+#: bounds one record, one call to the cloud and the registration that follows, and with them what one indeterminate
+#: request may cost. It does not bound the fleet: what is still lacking is planned again each second and after each
+#: answer, so that a shard asks for this many machines a second at the least for each kind of demand, from a cloud
+#: that has them
+MAX_MACHINES_PER_REQUEST = 50
+REQUEST_TIMEOUT_US = 4 * SECOND
+#: between two attempts at one request
+RETRY_PERIOD_US = 2 * SECOND
+
+
+@dataclass(slots=True)
+class ScaleOutRequest:
+    """A scale-out request on its way."""
+
+    name: str
+    shard: int
+    record: records.ScaleOutRecord
+    recorded: bool = False  # durable: it may be sent
+    call_open: bool = False  # a call to the cloud or a write is in flight
+    next_attempt_us: int = 0
+    machines: list[str] | None = None  # what was rented, once the cloud has answered
+    registered: set[str] = field(default_factory=set)
+
+    def expected_machines(self) -> int:
+        """Machines that may come of it and are not in the registry yet."""
+        return self.record.count if self.machines is None else len(self.machines) - len(self.registered)
+
+
+class ScaleOutRequests:
+    """Owns the open requests; `on_answer` is called at each, so that what is still lacking is planned at once."""
+
+    def __init__(
+        self, ctx: Context, election: LeaderElection, shards: dict[int, Shard], on_answer: Callable[[], None]
+    ) -> None:
+        self.ctx = ctx
+        self.election = election
+        self.shards = shards
+        self.on_answer = on_answer
+        self.open_requests: dict[str, ScaleOutRequest] = {}
+        self.started = 0  # requests of this process, never reset
+        settings = ctx.settings
+        self.capacity = CapacityObservations(
+            settings.label,
+            [settings.label, *(peer.label for peer in settings.known)],
+            settings.facts.cloud.rps,
+            ctx.wall_us // 1000,
+            ctx.tuning.tell_supply,
+        )
+
+    def has_unrecorded(self, shard: int) -> bool:
+        """Whether a request of this shard is not durable yet."""
+        return any(not request.recorded for request in self.open_requests.values() if request.shard == shard)
+
+    def start(self, shard: Shard, machine_type: str, zone: str, spot: bool, count: int) -> None:
+        """Record a request durably; `carry_through` sends it afterwards."""
+        self.started += 1
+        # The term is this leader's alone and the counter is never reset, so no name comes twice.
+        name = f"{self.ctx.settings.label}-{shard.term}-{self.started}"
+        record = records.ScaleOutRecord(shard.index, machine_type, zone, spot, min(count, MAX_MACHINES_PER_REQUEST))
+        request = self.open_requests[name] = ScaleOutRequest(name, shard.index, record)
+        self.ctx.compare_and_swap(
+            {**self.election.fencing_condition(shard.index), records.scale_out_key(name): 0},
+            {records.scale_out_key(name): (record, None)},
+            [],
+            partial(self._on_recorded, request),
+            Urgency.LAUNCH,
+        )
+
+    def carry_through(self) -> None:
+        """Send and register what is recorded, also what an earlier leader recorded."""
+        recorded = self.ctx.cache.by_kind["hire"]
+        for name, record in recorded.items():
+            if name not in self.open_requests and record.shard in self.shards:
+                self.open_requests[name] = ScaleOutRequest(name, record.shard, record, recorded=True)
+        for request in list(self.open_requests.values()):
+            if request.shard not in self.shards or (request.recorded and request.name not in recorded):
+                del self.open_requests[request.name]
+            elif request.recorded and not request.call_open and self.ctx.now_us >= request.next_attempt_us:
+                if request.machines is None:
+                    self._send(request)
+                else:
+                    self._register(request)
+
+    def _on_recorded(self, request: ScaleOutRequest, status: int, failed_conditions: list[str]) -> None:
+        if status == 200:
+            request.recorded = True
+        else:
+            self.open_requests.pop(request.name, None)
+
+    def _send(self, request: ScaleOutRequest) -> None:
+        request.call_open = True
+        record = request.record
+        body = m.scale_out_request(request.name, record.type, record.zone, record.spot, record.count)
+        on_answered = partial(self._on_answered, request)
+        self.ctx.call("cloud", "POST", m.PATH_HOSTS, body, on_answered, timeout_us=REQUEST_TIMEOUT_US)
+
+    def _on_answered(self, request: ScaleOutRequest, status: int, body: bytes) -> None:
+        request.call_open = False
+        request.next_attempt_us = self.ctx.now_us + RETRY_PERIOD_US
+        names: list[str] = []
+        if status == 200:
+            try:
+                names = msgspec.json.decode(body, type=m.ScaleOutAnswer).machines
+            except msgspec.DecodeError as error:
+                log.error("cloud answered nonsense: %s", error)
+                return
+        elif not _is_refusal(status, body):
+            return  # 429, trouble or no answer: the same name again later
+        record = request.record
+        pool = (record.type, record.zone, record.spot)
+        self.capacity.request_answered(pool, record.count, len(names), self.ctx.now_us)
+        log.info(
+            "scale-out answered request=%s granted=%d asked=%d type=%s zone=%s spot=%s",
+            request.name,
+            len(names),
+            record.count,
+            record.type,
+            record.zone,
+            record.spot,
+        )
+        request.machines = names
+        self.on_answer()
+        self._register(request)
+
+    def _register(self, request: ScaleOutRequest) -> None:
+        """Put rented machines into the registry; the record of the request goes with the last of them."""
+        if not self.election.leads(request.shard) or request.machines is None:
+            return
+        record = request.record
+        machine_records = self.ctx.cache.by_kind["roster"]
+        request.registered |= {name for name in request.machines if name in machine_records}
+        missing = [name for name in request.machines if name not in request.registered]
+        batch = missing[: self.ctx.limits.txn_ops - 1]
+        is_last = len(missing) <= len(batch)
+        # Guard: each of these writes renews the request's `mod_revision`, or deletes the request. One that is carried
+        # out late, after another, does not bring machines back that have left the registry since.
+        key = records.scale_out_key(request.name)
+        conditions = self.election.fencing_condition(request.shard)
+        conditions |= {key: self.ctx.cache.mod_revision(key), **{records.machine_key(name): 0 for name in batch}}
+        machine_record = records.MachineRecord(request.shard, record.type, record.zone, record.spot)
+        puts: dict[str, tuple[Any, int | None]] = {records.machine_key(name): (machine_record, None) for name in batch}
+        if not is_last:
+            puts[key] = (record, None)
+        request.call_open = True
+
+        def on_registered(status: int, failed_conditions: list[str]) -> None:
+            request.call_open = False
+            if status == 200:
+                request.registered.update(batch)
+                if not is_last:
+                    request.next_attempt_us = self.ctx.now_us
+
+        self.ctx.compare_and_swap(conditions, puts, [key] if is_last else [], on_registered, Urgency.LAUNCH)
+
+
+def _is_refusal(status: int, body: bytes) -> bool:
+    """Whether the cloud has said for good that no machine comes of the request."""
+    return (status == 503 and b"capacity" in body) or status == 400
