--- a/quinceslip/coordination/autoscaling/consolidation.py
+++ b/quinceslip/coordination/autoscaling/consolidation.py
@@ -6,29 +6,48 @@
 """
 
 import logging
+from dataclasses import dataclass
 
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.timing import SECOND, micros
+from quinceslip.coordination.autoscaling.resources import Resources
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.shard.shard import Shard
 from quinceslip.coordination.shard.worker import Attempt, Worker, fits
+from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
 
+#: why a worker is drained whose services are moved elsewhere
 PACKING = "packing"
-#: part of a shard's replicas that may be moved in one second
-MOVED_PER_S = 0.002
+#: part of a shard's replicas that may be moved in one second, but so many at the least, and so many at once
+MOVED_PART_PER_S = 0.002
+MIN_MOVED_PER_S = 0.25
+MAX_MOVES = 3.0
 #: a start does not count if the task is stopped within 30 s of it (PROTOCOL)
 SETTLED_US = 35 * SECOND
 #: room must have been spare for this part of a boot time before a machine is emptied for it
 SPARE_BOOTS = 0.6
+#: free CPUs near a machine, in its zone, for each CPU of services that would be moved
+NEARBY_ROOM_FACTOR = 1.5
 #: a machine that wastes so many times the worth of what it holds may be emptied at the price of fetches
-DEAR = 3.0
+EXPENSIVE_FACTOR = 3.0
 #: part of the machines that may be emptied at the same time
-AT_ONCE = 0.1
+MAX_EMPTYING_PART = 0.1
+
+
+@dataclass(frozen=True, slots=True)
+class MoveTargets:
+    """Where the replicas of one machine may go: usable workers, and what is still free on those in its zone."""
+
+    workers: list[Worker]
+    free: dict[str, Resources]
+    may_fetch: bool  # whether a machine without the image will do
 
 
 class Consolidator:
+    """Owns, by shard, since when there is room for services elsewhere, and how many replicas may be moved now."""
+
     def __init__(self, ctx: Context, election: LeaderElection) -> None:
         self.ctx = ctx
         self.election = election
@@ -37,90 +56,103 @@
 
     def consolidate(self, shard: Shard, reserve_cpus: float) -> None:
         """Called each second; `reserve_cpus` must stay free for services that are expected."""
-        emptying = [w for w in shard.workers.values() if w.draining == PACKING]
+        emptying = [worker for worker in shard.workers.values() if worker.draining == PACKING]
         if shard.unreconciled or shard.waiting_tasks() or not self.election.may_launch(shard.index):
-            for worker in emptying:
-                worker.draining = ""
-                shard.needs_placement = True
-            self.spare_since_us.pop(shard.index, None)
+            self._abandon(shard, emptying)
             return
-        workers = [w for w in shard.workers.values() if shard.placement.usable(w) and not w.spot]
-        replicas = sum(w.service_tasks for w in workers) + sum(w.service_tasks for w in emptying)
-        allowance = min(3.0, self.allowance.get(shard.index, 0.0) + max(0.25, MOVED_PER_S * replicas))
-        for worker in sorted(emptying, key=lambda w: w.service_cpus):
+        workers = [worker for worker in shard.workers.values() if shard.placement.usable(worker) and not worker.spot]
+        replicas = sum(worker.service_tasks for worker in workers) + sum(worker.service_tasks for worker in emptying)
+        earned = max(MIN_MOVED_PER_S, MOVED_PART_PER_S * replicas)
+        allowance = min(MAX_MOVES, self.allowance.get(shard.index, 0.0) + earned)
+        for worker in sorted(emptying, key=lambda worker: worker.service_cpus):
             allowance -= self._move_replicas(shard, worker, workers, int(allowance))
         self.allowance[shard.index] = allowance
-        if len(emptying) < max(1, int(AT_ONCE * len(workers))):
+        if len(emptying) < max(1, int(MAX_EMPTYING_PART * len(workers))):
             self._choose_machine(shard, workers, reserve_cpus)
 
+    def _abandon(self, shard: Shard, emptying: list[Worker]) -> None:
+        """Room is needed, or may be: machines that are being emptied are used again."""
+        for worker in emptying:
+            worker.draining = ""
+            shard.needs_placement = True
+        self.spare_since_us.pop(shard.index, None)
+
     def _choose_machine(self, shard: Shard, workers: list[Worker], reserve_cpus: float) -> None:
-        now_us = self.ctx.now_us
-        holding = [w for w in workers if w.service_tasks and w.type is not None]
-        victim = max(holding, key=lambda w: (self._wasted_price(w), w.name), default=None)
-        if victim is None or victim.type is None:
+        """Begin to empty the most wasteful machine, once there has been room for its services for long enough."""
+        candidates = [worker for worker in workers if worker.service_tasks and worker.type is not None]
+        chosen = max(candidates, key=lambda worker: (self._wasted_price(worker), worker.name), default=None)
+        if chosen is None or chosen.type is None:
             return
-        others = [w for w in workers if w is not victim]
-        spare = sum(w.free()[0] for w in others)
-        near = sum(w.free()[0] for w in others if w.zone == victim.zone and w.running)
-        if near < 1.5 * victim.service_cpus or spare < victim.used_cpus + reserve_cpus:
+        if not _has_room_elsewhere(chosen, workers, reserve_cpus):
             self.spare_since_us.pop(shard.index, None)
             return
-        since_us = self.spare_since_us.setdefault(shard.index, now_us)
-        if now_us - since_us > SPARE_BOOTS * micros(victim.type.boot_s):
-            log.info("machine %s is emptied: %g CPUs of services fit elsewhere", victim.name, victim.service_cpus)
-            victim.draining = PACKING
+        since_us = self.spare_since_us.setdefault(shard.index, self.ctx.now_us)
+        if self.ctx.now_us - since_us > SPARE_BOOTS * micros(chosen.type.boot_s):
+            log.info("machine is emptied worker=%s service_cpus=%g", chosen.name, chosen.service_cpus)
+            chosen.draining = PACKING
 
     def _unit_price(self) -> float:
         """The lowest price of a CPU for an hour on ordinary machines."""
-        return min((t.price / t.cpus for t in self.ctx.types.values() if t.cpus > 0), default=0.0)
+        prices = (
+            machine_type.price / machine_type.cpus for machine_type in self.ctx.types.values() if machine_type.cpus > 0
+        )
+        return min(prices, default=0.0)
 
     def _wasted_price(self, worker: Worker) -> float:
         """What a machine costs in an hour beyond what runs on it is worth."""
         return worker.type.price - self._unit_price() * worker.used_cpus if worker.type is not None else 0.0
 
-    def _move_replicas(self, shard: Shard, worker: Worker, workers: list[Worker], most: int) -> int:
-        moved = 0
-        room = {w.name: w.free() for w in workers if w.zone == worker.zone}
+    def _move_replicas(self, shard: Shard, worker: Worker, workers: list[Worker], max_moves: int) -> int:
+        """Stop replicas that find a place elsewhere; returns how many."""
         # Where a large machine is kept by little, a fetch is worth it, if it is no slower than a start may be.
-        patient = self._wasted_price(worker) > DEAR * self._unit_price() * worker.service_cpus
+        may_fetch = self._wasted_price(worker) > EXPENSIVE_FACTOR * self._unit_price() * worker.service_cpus
+        free = {other.name: Resources(*other.free()) for other in workers if other.zone == worker.zone}
+        targets = MoveTargets(workers, free, may_fetch)
+        moved = 0
         for attempt in worker.live_attempts():
-            if moved >= most:
+            if moved >= max_moves:
                 break
-            if (
-                not attempt.spec.service
-                or attempt.stopping
-                or not attempt.observed
-                or self.ctx.now_us - attempt.running_us < SETTLED_US
-            ):
+            if not self._may_be_moved(attempt):
                 continue
-            target = self._target(shard, attempt, workers, room, patient)
+            target = _find_target(shard, attempt.spec, targets)
             if target is not None:
-                free, spec = room[target.name], attempt.spec
-                room[target.name] = (free[0] - spec.cpus, free[1] - spec.gpus, free[2] - spec.memory_gb)
+                free[target.name] = free[target.name].without(attempt.spec)
                 shard.stop(attempt, 0.0)
                 moved += 1
         return moved
 
-    def _target(
-        self,
-        shard: Shard,
-        attempt: Attempt,
-        workers: list[Worker],
-        room: dict[str, tuple[float, float, float]],
-        patient: bool,
-    ) -> Worker | None:
-        """A machine of the same zone that has room and the image: `spread` stays as it is."""
-        spec = attempt.spec
-        fetching: Worker | None = None
-        for worker in workers:
-            if (
-                worker.name in room
-                and worker.running
-                and fits(room[worker.name], spec)
-                and shard.placement.satisfies_constraints(worker, spec, None)
-            ):
-                if spec.image in worker.images:
-                    return worker
-                if patient and fetching is None and not shard.placement.slow_fetch(worker, spec):
-                    fetching = worker
-        return fetching
+    def _may_be_moved(self, attempt: Attempt) -> bool:
+        return (
+            attempt.spec.service
+            and not attempt.stopping
+            and attempt.observed
+            and self.ctx.now_us - attempt.running_us >= SETTLED_US
+        )
+
+
+def _has_room_elsewhere(chosen: Worker, workers: list[Worker], reserve_cpus: float) -> bool:
+    """Whether the other machines have room for what runs on one: enough for its services near by, for all anywhere."""
+    others = [worker for worker in workers if worker is not chosen]
+    spare_cpus = sum(worker.free()[0] for worker in others)
+    nearby_cpus = sum(worker.free()[0] for worker in others if worker.zone == chosen.zone and worker.running)
+    has_nearby_room = nearby_cpus >= NEARBY_ROOM_FACTOR * chosen.service_cpus
+    return has_nearby_room and spare_cpus >= chosen.used_cpus + reserve_cpus
+
+
+def _find_target(shard: Shard, spec: m.JobSpec, targets: MoveTargets) -> Worker | None:
+    """A machine of the same zone that has room and the image: `spread` stays as it is."""
+    fetching: Worker | None = None
+    for worker in targets.workers:
+        free = targets.free.get(worker.name)
+        if (
+            free is None
+            or not worker.running
+            or not fits(free, spec)
+            or not shard.placement.satisfies_constraints(worker, spec, None)
+        ):
+            continue
+        if spec.image in worker.images:
+            return worker
+        if targets.may_fetch and fetching is None and not shard.placement.slow_fetch(worker, spec):
+            fetching = worker
+    return fetching
