--- a/quinceslip/liveness/__init__.py
+++ b/quinceslip/liveness/__init__.py
@@ -1,1 +1,1 @@
-"""An actor that does not turn any more: how it is told from one that only waits, and what follows from it."""
+"""An actor that makes no progress: how a stall is told from a wait, and what follows from it."""
