--- a/quinceslip/coordination/autoscaling/machine_deletion.py
+++ b/quinceslip/coordination/autoscaling/machine_deletion.py
@@ -12,7 +12,9 @@
 log = logging.getLogger(__name__)
 
 #: bounds one call to the cloud, and how many machines stay unusable while one call is indeterminate. It does not bound
-#: the fleet: each pass, once a second for each shard, asks for the next ones, without waiting for earlier answers
+#: the fleet: each pass, once a second for each shard, asks for the next ones without waiting for earlier answers. Those
+#: that idle for longest come first, so that where thousands of one shard are returned at once the last, a machine that
+#: failed with tasks on it among them, waits for as many passes as there are batches before it
 MAX_MACHINES_PER_DELETION = 100
 REQUEST_TIMEOUT_US = 4 * SECOND
 #: after a call that failed, for all shards
--- a/quinceslip/coordination/autoscaling/scale_out_requests.py
+++ b/quinceslip/coordination/autoscaling/scale_out_requests.py
@@ -19,10 +19,9 @@
 
 log = logging.getLogger(__name__)
 
-#: bounds one record, one call to the cloud and the registration that follows, and with them what one indeterminate
-#: request may cost. It does not bound the fleet: what is still lacking is planned again each second and after each
-#: answer, so that a shard asks for this many machines a second at the least for each kind of demand, from a cloud
-#: that has them
+#: bounds one record, one call to the cloud and the writes that register its machines, and so what one indeterminate
+#: request may cost. It does not bound the fleet: what is still lacking is planned again at each answer, and each second
+#: in any case, so that a shard asks for several times as many a second, and thousands within the time of a boot
 MAX_MACHINES_PER_REQUEST = 50
 REQUEST_TIMEOUT_US = 4 * SECOND
 #: between two attempts at one request
