--- a/tests/test_shard_summary.py
+++ b/tests/test_shard_summary.py
@@ -16,7 +16,7 @@
 )
 from quinceslip.coordination.shard.worker import Worker
 from quinceslip.protocol import messages as m
-from tests.test_scenarios import Runner
+from tests.scenario.runner import Runner
 
 TYPE = m.MachineType("t", 8.0, 0.0, 32.0, 1.0, 10.0, ["z"])
 BATCH = m.JobSpec(
