--- a/quinceslip/storage/records.py
+++ b/quinceslip/storage/records.py
@@ -215,7 +215,7 @@
 
 
 #: the type of the record of each kind
-KINDS: dict[RecordKind, Any] = {
+KINDS: dict[str, Any] = {
     RecordKind.TERM: TermRecord,
     RecordKind.SHARD: ShardRecord,
     RecordKind.JOB: JobRecord,
--- a/tests/test_shard_summary.py
+++ b/tests/test_shard_summary.py
@@ -92,7 +92,7 @@
     runner = Runner()
     for line in ("site size=1", "machines 2 m a", "at 2 submit req-000001 tasks=2 run=30", "run 8"):
         runner.line(line)
-    actor = runner.w().machines["berth-0"].actor
+    actor = runner.w().controllers["berth-0"].actor
     assert actor is not None
     line = actor.shards[0].summary()
     assert line.startswith("shard summary shard=0 machines=2 usable=2 draining=0 booting=0 out=0 spot=0 "), line
