--- a/quinceslip/storage/cache.py
+++ b/quinceslip/storage/cache.py
@@ -30,7 +30,7 @@
     split = staticmethod(records.split_key)
 
     def __init__(self) -> None:
-        self.kinds: dict[str, Any] = {kind.value: record_type for kind, record_type in KINDS.items()}
+        self.kinds: dict[str, Any] = {str(kind): record_type for kind, record_type in KINDS.items()}
         #: store revision at the last page of the last listing; None before the first
         self.listing_revision: int | None = None
         #: store revision up to which all changes are known
