--- a/quinceslip/coordination/actor/compare_and_swap.py
+++ b/quinceslip/coordination/actor/compare_and_swap.py
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 #: so many changes that the store rejected are remembered, so as not to be sent again
-MAX_REJECTED_CHANGES = 1000
+MAX_REJECTED_CHANGES = 8_000
 #: the store counts as available for so long after its last answer
 STORE_AVAILABLE_US = 3 * SECOND
 #: statuses of the store, which show that it is available
--- a/quinceslip/coordination/controller/read_barrier.py
+++ b/quinceslip/coordination/controller/read_barrier.py
@@ -14,7 +14,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PENDING_REQUESTS = 500
+#: requests of users that wait for a read at the same time; more are answered 503. A fleet of 4,000 machines has users
+#: who poll each of its jobs; one entry costs some hundred bytes.
+MAX_PENDING_REQUESTS = 8_000
 #: part of this controller's requests to the key-value store that barriers may take
 MAX_READ_SHARE = 0.25
 #: a request waits no longer than this for others that share its read
--- a/quinceslip/storage/cache.py
+++ b/quinceslip/storage/cache.py
@@ -13,7 +13,7 @@
 log = logging.getLogger(__name__)
 
 #: deletions that are remembered, so that older changes that come late don't bring the keys back
-MAX_REMEMBERED_DELETIONS = 4000
+MAX_REMEMBERED_DELETIONS = 32_000
 
 # Plain strings: what is done for each record costs less with them than with members of an enumeration.
 _JOB, _SHARD, _PARTITION = RecordKind.JOB.value, RecordKind.SHARD.value, RecordKind.PARTITION.value
