--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -18,7 +18,7 @@
 
 from quinceslip.coordination.actor.effects import Call, CallResult, HeartbeatReceived, Reply, UserRequest
 from quinceslip.protocol.settings import Limits
-from quinceslip.service import CONNECTION_MB, max_api_connections, probe_threads, request_threads
+from quinceslip.transport.capacity import CONNECTION_MB, max_api_connections, probe_threads, request_threads
 from quinceslip.transport.clients import Pool
 from quinceslip.transport.clock import steady_us
 from quinceslip.transport.connections import Connection, RequestReader
