--- a/quinceslip/transport/connections.py
+++ b/quinceslip/transport/connections.py
@@ -53,7 +53,7 @@
         self.address = address
         self.state = ConnectionState.RESTING
         self.is_worker = False  # a valid heartbeat came through it
-        self.interrupted = False  # its thread is told to close it
+        self.interrupted = False  # the thread that serves it is to close it
         self.deadline_us = 0  # steady clock, for what the client is to send or to take now
         self.waiting_since_us: int | None = None  # a request thread has waited for the client since
         self.reader: RequestReader | None = None  # None while nothing of a request is read
--- a/quinceslip/transport/request_threads.py
+++ b/quinceslip/transport/request_threads.py
@@ -107,6 +107,7 @@
         self._thread_numbers = itertools.count(1)
         self._idle = 0
         self._serving: dict[threading.Thread, Connection] = {}
+        self._start_failed = False
         self._stopping = False
 
     def submit(self, connection: Connection) -> None:
@@ -130,11 +131,14 @@
             if not self.has_waiting():
                 return
             waiting_for_client = sum(connection.waiting_since_us is not None for connection in self._serving.values())
+            wanted = min(self.max_threads, RUNNABLE_THREADS + 2 * waiting_for_client)
+            if len(self._threads) >= wanted:
+                return
             admissible = self._users.admissible_count() + self._workers.admissible_count()
-            wanted = min(self.max_threads, RUNNABLE_THREADS + 2 * waiting_for_client, len(self._serving) + admissible)
+            wanted = min(wanted, len(self._serving) + admissible)
             # Bound: `max_threads`.
-            while len(self._threads) < wanted:
-                self._start_thread()
+            while len(self._threads) < wanted and self._start_thread():
+                pass
 
     def has_waiting(self) -> bool:
         """Whether a connection waits for a thread."""
@@ -149,6 +153,8 @@
             if not self.has_waiting():
                 return []
             slow = self._slow_users(now_us - SLOW_CLIENT_US)
+            if not slow:
+                return []
             if self._users.busy >= self._users.max_threads or self._users.busy + self._workers.busy >= self.max_threads:
                 return slow[: self._users.waiting_count() + self._workers.waiting_count()]
             # Only addresses are at their bounds: as many of each as wait of it.
@@ -183,10 +189,19 @@
     def _class_of(self, connection: Connection) -> _ConnectionClass:
         return self._workers if connection.is_worker else self._users
 
-    def _start_thread(self) -> None:
+    def _start_thread(self) -> bool:
+        """Start one more thread; False where the system has none left: it is tried again while connections wait."""
         thread = threading.Thread(target=self._run, name=f"request-{next(self._thread_numbers)}", daemon=True)
+        try:
+            thread.start()
+        except RuntimeError as error:
+            if not self._start_failed:  # once for all failures in a row
+                log.error("request thread not started threads=%d error=%s", len(self._threads), error)
+            self._start_failed = True
+            return False
+        self._start_failed = False
         self._threads.add(thread)
-        thread.start()
+        return True
 
     def _run(self) -> None:
         # Bound: none, it is the life of the thread.
--- a/quinceslip/transport/resting_connections.py
+++ b/quinceslip/transport/resting_connections.py
@@ -89,14 +89,20 @@
             except OSError as error:
                 log.debug("connection not accepted error=%s", error)  # its client may be gone already
                 return
-            if not self._make_room():
+            if self._make_room():
+                self._open(Connection(accepted, address))
+            else:
                 accepted.close()
-                continue
-            accepted.setblocking(False)
-            accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            connection = Connection(accepted, address)
-            self._connections.add(connection)
-            self._watch(connection)
+
+    def _open(self, connection: Connection) -> None:
+        self._connections.add(connection)
+        try:
+            connection.socket.setblocking(False)
+            connection.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        except OSError as error:
+            log.debug("connection closed reason=%s client=%s", error, connection.host)  # its client may be gone already
+            self._connections.close(connection)
+        self._watch(connection)
 
     def _make_room(self) -> bool:
         """At the bound, close the connection that has been quiet longest, never one of a worker's."""
@@ -111,7 +117,12 @@
     def _watch(self, connection: Connection) -> None:
         if connection.state is ConnectionState.CLOSED:
             return
-        self._selector.register(connection.socket, selectors.EVENT_READ, connection)
+        try:
+            self._selector.register(connection.socket, selectors.EVENT_READ, connection)
+        except OSError as error:
+            log.error("connection closed reason=%s client=%s", error, connection.host)  # the system's limit of watches
+            self._connections.close(connection)
+            return
         self._idle.start(connection, steady_us())
 
     def _unwatch(self, connection: Connection) -> None:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -373,6 +373,24 @@
         assert all(user.answer()[0] == 200 for user in users)
 
 
+def test_a_thread_that_can_not_be_started_is_tried_again(
+    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
+    start, failed = threading.Thread.start, list[str]()
+
+    def start_late(thread: threading.Thread) -> None:
+        if thread.name.startswith("request-") and len(failed) < 3:
+            failed.append(thread.name)
+            raise RuntimeError("can't start new thread")
+        start(thread)
+
+    monkeypatch.setattr(threading.Thread, "start", start_late)
+    with serving(EchoActor()) as api, contextlib.ExitStack() as stack:
+        users = [stack.enter_context(Client(api, POLL)) for _ in range(100)]
+        assert all(user.answer()[0] == 200 for user in users)
+    assert len(failed) == 3 and caplog.text.count("request thread not started") == 1
+
+
 def test_threads_end_when_slow_clients_are_gone() -> None:
     with serving(EchoActor(), max_threads=32) as api:
         threads = threading.active_count()
