--- a/quinceslip/quota/allocation.py
+++ b/quinceslip/quota/allocation.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from quinceslip.quota.tree import UNLIMITED, ZERO, Amounts, add, least, positive
+from quinceslip.quota.amounts import UNLIMITED, ZERO, Amounts, add, least, positive
 
 GUARDS = ("reserve", "spare", "pool", "stamp", "owner", "in_doubt", "resolved", "caught_up")
 ALL_GUARDS = frozenset(GUARDS)
--- a/quinceslip/quota/allocation_manager.py
+++ b/quinceslip/quota/allocation_manager.py
@@ -21,11 +21,14 @@
 from quinceslip.coordination.shard.shard import Shard
 from quinceslip.protocol import messages as m
 from quinceslip.quota import allocations as keys
-from quinceslip.quota.admission import QuotaAdmission, UnmetDemand
 from quinceslip.quota.allocation import Allocation, GrantRecord, Move
 from quinceslip.quota.allocations import Allocations, TreeRecord, Wanted, WantRecord
+from quinceslip.quota.amounts import ZERO, Amounts, add, least, positive, shown, times
+from quinceslip.quota.preemption import RoomRequest
+from quinceslip.quota.shard_quota import ShardQuota
 from quinceslip.quota.status_page import page
-from quinceslip.quota.tree import ZERO, Amounts, Tree, add, least, positive, shown, times
+from quinceslip.quota.tree import Tree
+from quinceslip.quota.unmet_demand import UnmetDemand
 
 log = logging.getLogger(__name__)
 
@@ -51,7 +54,7 @@
         self.election = election
         self.shards = shards
         self.allocations = Allocations(tree, ctx.cache)
-        self.admissions: dict[int, QuotaAdmission] = {}
+        self.admissions: dict[int, ShardQuota] = {}
         self.next_take_us: dict[int, int] = {}
         self.next_ask_us = 0
         self.asked_us: dict[int, int] = {}  # shards whose want record this node knows, since when
@@ -67,7 +70,7 @@
     # What happens.
 
     def shard_gained(self, shard: Shard) -> None:
-        self.admissions[shard.index] = shard.quota = QuotaAdmission(self.tree, self.allocations, shard)
+        self.admissions[shard.index] = shard.quota = ShardQuota(self.tree, self.allocations, shard)
 
     def shard_lost(self, index: int) -> None:
         self.admissions.pop(index, None)
@@ -157,7 +160,7 @@
 
     # Taking from the pools.
 
-    def _cap_shortfalls(self, index: int, admission: QuotaAdmission) -> dict[Allocation, Amounts]:
+    def _cap_shortfalls(self, index: int, admission: ShardQuota) -> dict[Allocation, Amounts]:
         """By purse of a cap, what the shard lacks for its claims."""
         found: dict[int, Amounts] = {}
         for claim in sorted(admission.unmet_demands.values(), key=lambda c: c.order):
@@ -169,7 +172,7 @@
             lacks[allocation] = positive(add(least(wish, allocation.total_in_force()), allocation.limit(index), -1))
         return lacks
 
-    def _guarantee_shortfalls(self, index: int, admission: QuotaAdmission) -> dict[Allocation, Amounts]:
+    def _guarantee_shortfalls(self, index: int, admission: ShardQuota) -> dict[Allocation, Amounts]:
         """By purse of a guarantee, how much more of it the shard's running and waiting work could rest on.
 
         Where nobody else has work there and nothing is short, no guarantee is needed and none is moved.
@@ -191,10 +194,10 @@
         return lacks
 
     @staticmethod
-    def _usage_and_demand(admission: QuotaAdmission, level: int) -> Amounts:
+    def _usage_and_demand(admission: ShardQuota, level: int) -> Amounts:
         return add(admission.net_usage(level), admission.demand.get(level, ZERO))
 
-    def _take_from_pools(self, index: int, admission: QuotaAdmission) -> None:
+    def _take_from_pools(self, index: int, admission: ShardQuota) -> None:
         """Take what is short from the pools, and somewhat ahead, in one transaction."""
         if self.allocations.tree_outdated:
             return  # an older tree may be wrong about what there is to take
@@ -217,7 +220,7 @@
 
     # Asking and giving.
 
-    def _publish_shortfalls(self, index: int, admission: QuotaAdmission) -> None:
+    def _publish_shortfalls(self, index: int, admission: ShardQuota) -> None:
         """Say durably what the pools lack; the record goes when nothing is wanted any more."""
         claims = [
             self._wanted_entry(index, admission, claim)
@@ -232,8 +235,8 @@
         record = WantRecord(wanted, dict(list(own.items())[:MAX_PUBLISHED_DEMANDS])) if wanted or own else None
         most_bytes = self.ctx.limits.value_kb * 1000
         # Bound: the claims; each turn drops one.
-        while record is not None and record.claims and len(msgspec.json.encode(record)) > most_bytes:
-            record.claims.pop()  # deep trees with long names: the rest comes when these are met
+        while record is not None and record.demands and len(msgspec.json.encode(record)) > most_bytes:
+            record.demands.pop()  # deep trees with long names: the rest comes when these are met
         key = keys.want_key(index)
         known: WantRecord | None = self.ctx.cache.by_kind[keys.WANT].get(str(index))
         soon = self.ctx.now_us < self.asked_again_us.get(index, 0) + RETRY_US
@@ -251,7 +254,7 @@
         others = positive(add(add(allocation.total_in_force(), pool, -1), allocation.held(index), -1))
         return least(positive(add(lack, pool, -1)), others)
 
-    def _wanted_entry(self, index: int, admission: QuotaAdmission, claim: UnmetDemand) -> Wanted | None:
+    def _wanted_entry(self, index: int, admission: ShardQuota, claim: UnmetDemand) -> Wanted | None:
         lacks: dict[str, list[int]] = {}
         for level in self.tree.capped[claim.team]:
             allocation = self.allocations.for_cap(level)
@@ -264,7 +267,7 @@
         names = sorted(self.tree.levels[level].name for level in admission.guarantees_covering(claim.spec, claim.count))
         return Wanted(claim.team, list(claim.unit), lacks, claim.order, names)
 
-    def _give_to_others(self, index: int, admission: QuotaAdmission) -> None:
+    def _give_to_others(self, index: int, admission: ShardQuota) -> None:
         """Give other shards what this one holds and does not use, earliest claims first."""
         asking = {shard: record for shard, record in self.ctx.cache.by_kind[keys.WANT].items() if int(shard) != index}
         if not asking:
@@ -297,27 +300,27 @@
             if move is not None:
                 moves.append((allocation, move))
                 lack = positive(add(lack, move.outgoing[index], -1))
-                admission.release(wanted.order[3] if wanted is not None else "", move.outgoing[index])
+                admission.release(wanted.order.job_id if wanted is not None else "", move.outgoing[index])
             return (level, lack) if kind == keys.CAP and any(lack) else None
 
-        wants = [(wanted, shard) for shard, record in asking.items() for wanted in record.claims]
+        wants = [(wanted, shard) for shard, record in asking.items() for wanted in record.demands]
         for wanted, shard in sorted(wants, key=lambda w: w[0].order):
-            left = [give(shard, key, _four(lack), wanted) for key, lack in wanted.lacks.items()]
+            left = [give(shard, key, _four(lack), wanted) for key, lack in wanted.shortfall.items()]
             rest = {level: least(lack, wanted.unit) for level, lack in (e for e in left if e is not None)}
-            if rest and not wanted.order[0] and self._is_our_turn(index, int(shard), rest):
+            if rest and not wanted.order.without_machines and self._is_our_turn(index, int(shard), rest):
                 self._make_room(admission, wanted, rest)
         for shard, record in asking.items():
-            for key, lack in record.own.items():
+            for key, lack in record.guarantees.items():
                 give(shard, key, _four(lack), None)
         if moves:
             self._send(moves, Urgency.LAUNCH)
 
-    def _comes_first(self, admission: QuotaAdmission, claim: UnmetDemand, wanted: Wanted) -> bool:
+    def _comes_first(self, admission: ShardQuota, claim: UnmetDemand, wanted: Wanted) -> bool:
         """Which of two claims comes first, the same in every shard: a guarantee, then the order of claims."""
         parting = self.tree.parting(claim.team, wanted.team)
         if parting is not None:
             mine = parting[0] in admission.guarantees_covering(claim.spec, claim.count)
-            theirs = self.tree.levels[parting[1]].name in wanted.rests_on
+            theirs = self.tree.levels[parting[1]].name in wanted.covering_guarantees
             if mine != theirs:
                 return mine
         return claim.order < wanted.order
@@ -333,19 +336,19 @@
         turn = (self.ctx.now_us - self.asked_us.get(asker, self.ctx.now_us)) // (2 * ASK_US)
         return holders[turn % len(holders)] == index
 
-    def _make_room(self, admission: QuotaAdmission, wanted: Wanted, rest: dict[int, Amounts]) -> None:
+    def _make_room(self, admission: ShardQuota, wanted: Wanted, rest: dict[int, Amounts]) -> None:
         """Borrowed work of this shard stops for the work of another one."""
-        job = self.ctx.cache.job(wanted.order[3])
+        job = self.ctx.cache.job(wanted.order.job_id)
         if job is None or job.spec is None:
             return  # it is over, or not known here yet
-        rests_on = {self.tree.by_name[name].index for name in wanted.rests_on if name in self.tree.by_name}
+        rests_on = {self.tree.by_name[name].index for name in wanted.covering_guarantees if name in self.tree.by_name}
         going = {
             level: positive(add(short, admission.stopping_usage.get(level, ZERO), -1)) for level, short in rest.items()
         }
         short = {level: amounts for level, amounts in going.items() if any(amounts)}
         if short:
-            admission.victims = None
-            admission.make_room(job.spec, 1, 1, rests_on, short)
+            admission.forget_candidates()
+            admission.make_room(RoomRequest(job.spec, 1, covering_guarantees=rests_on, shortfall=short))
 
     # The tree, and what follows from another one.
 
@@ -418,7 +421,7 @@
         if moves:
             self._send(moves, Urgency.REST)
 
-    def _return_exceeding(self, index: int, admission: QuotaAdmission) -> None:
+    def _return_exceeding(self, index: int, admission: ShardQuota) -> None:
         """Where more is held than a lowered cap, what is not used goes back; the rest drains, and is said."""
         moves: list[tuple[Allocation, Move]] = []
         self.logged_exceeded &= self.allocations.exceeded.keys()
@@ -449,7 +452,7 @@
 
 def _asks_for(record: WantRecord) -> list[tuple[str, list[str]]]:
     """Who asks, and of which purses."""
-    return [(wanted.team, sorted(wanted.lacks)) for wanted in record.claims]
+    return [(wanted.team, sorted(wanted.shortfall)) for wanted in record.demands]
 
 
 def _four(values: Sequence[int]) -> Amounts:
--- a/quinceslip/quota/allocations.py
+++ b/quinceslip/quota/allocations.py
@@ -1,5 +1,6 @@
-"""The purses of a tree as one controller knows them, and their keys in the state service."""
+"""The allocations of all levels as one controller knows them, with their records and keys in the key-value store."""
 
+from typing import NamedTuple
 from urllib.parse import quote, unquote
 
 import msgspec
@@ -9,7 +10,9 @@
 from quinceslip.storage import records
 from quinceslip.storage.cache import StoreCache
 
+#: kinds of records
 GRANT, WANT, TREE = "grant", "want", "tree"
+#: what an allocation is of, as its key says: the cap of a level, or its guarantee
 CAP, OWN = "cap", "own"
 TREE_KEY = f"{records.PREFIX}{TREE}"
 
@@ -21,93 +24,115 @@
     digest: str
 
 
+class DemandOrder(NamedTuple):
+    """Which of two unmet demands comes first: the smaller one, a total order over all shards."""
+
+    #: 0 where machines have room for it, else 1
+    without_machines: int
+    priority: int
+    submitted_us: int
+    job_id: str
+
+
 class Wanted(msgspec.Struct):
-    """One claim that a shard cannot meet from the pools."""
+    """One unmet demand that a shard cannot meet from the pools."""
 
     team: str
     unit: list[int]
-    #: by key of a purse, how much the shard lacks
-    lacks: dict[str, list[int]]
-    #: 0 where machines have room for it; priority; acceptance; id
-    order: tuple[int, int, int, str]
+    #: by key of an allocation, how much the shard lacks
+    shortfall: dict[str, list[int]] = msgspec.field(name="lacks")
+    order: DemandOrder
     #: names of levels within whose guarantee it would be
-    rests_on: list[str]
+    covering_guarantees: list[str] = msgspec.field(name="rests_on")
 
 
 class WantRecord(msgspec.Struct, omit_defaults=True):
     """What one shard asks the others for."""
 
-    claims: list[Wanted] = []
-    #: by key of a purse, how much of guarantees what runs and waits there lacks
-    own: dict[str, list[int]] = {}
+    demands: list[Wanted] = msgspec.field(name="claims", default_factory=list)
+    #: by key of an allocation, how much of guarantees the running and waiting tasks of the shard lack
+    guarantees: dict[str, list[int]] = msgspec.field(name="own", default_factory=dict)
 
 
 def grant_name(level: str, kind: str) -> str:
+    """The name of the record of a level's cap or guarantee, beneath the kind `grant`."""
     return f"{kind}/{quote(level, safe='')}"
 
 
 def want_key(shard: int) -> str:
+    """The key of the record of what a shard asks the others for."""
     return f"{records.PREFIX}{WANT}/{shard}"
 
 
+class LevelAmount(NamedTuple):
+    """What an allocation is of."""
+
+    level: int
+    #: CAP or OWN
+    kind: str
+
+
 class Allocations:
     """Made as they are asked for: thousands of levels that nobody uses cost nothing."""
 
     def __init__(self, tree: Tree, cache: StoreCache) -> None:
         self.tree = tree
         self.cache = cache
+        #: by name of the record
         self.by_name: dict[str, Allocation] = {}
         self._caps: dict[int, Allocation] = {}
-        self._owns: dict[int, Allocation] = {}
-        #: purses of which more is held than there is
+        self._guarantees: dict[int, Allocation] = {}
+        #: names of caps of which more is held than there is, with their level
         self.exceeded: dict[str, int] = {}
         #: the newest version of the tree that any controller has, and whether this one's is older
         self.newest_version = tree.version
         self.tree_outdated = False
 
     def for_cap(self, level: int) -> Allocation:
+        """The allocation of a level's cap."""
         return self._caps.get(level) or self._make(self._caps, level, CAP)
 
     def for_guarantee(self, level: int) -> Allocation:
-        return self._owns.get(level) or self._make(self._owns, level, OWN)
-
-    def _make(self, found: dict[int, Allocation], level: int, kind: str) -> Allocation:
-        place = self.tree.levels[level]
-        name = grant_name(place.name, kind)
-        total = place.cap if kind == CAP else place.guarantee
-        allocation = found[level] = self.by_name[name] = Allocation(
-            f"{records.PREFIX}{GRANT}/{name}", total, self.tree.version, place.parent
-        )
+        """The allocation of a level's guarantee."""
+        return self._guarantees.get(level) or self._make(self._guarantees, level, OWN)
+
+    def _make(self, allocations: dict[int, Allocation], index: int, kind: str) -> Allocation:
+        level = self.tree.levels[index]
+        name = grant_name(level.name, kind)
+        total = level.cap if kind == CAP else level.guarantee
+        allocation = Allocation(f"{records.PREFIX}{GRANT}/{name}", total, self.tree.version, level.parent)
+        allocations[index] = self.by_name[name] = allocation
         self.changed(name)
         return allocation
 
-    def place(self, key: str) -> tuple[int, str] | None:
-        """The level and the kind that a key stands for; None where this tree has no such level."""
+    def place(self, key: str) -> LevelAmount | None:
+        """What the allocation with that key is of; None where this tree has no such level."""
         kind, _, name = key[len(f"{records.PREFIX}{GRANT}/") :].partition("/")
         level = self.tree.by_name.get(unquote(name))
-        return (level.index, kind) if level is not None and kind in (CAP, OWN) else None
+        if level is None or kind not in (CAP, OWN):
+            return None
+        return LevelAmount(level.index, kind)
 
     def changed(self, name: str) -> None:
-        """The record of a purse is another one in the view."""
+        """The cache has another record of an allocation."""
         allocation = self.by_name.get(name)
         if allocation is None:
             return
         record: GrantRecord | None = self.cache.by_kind[GRANT].get(name)
         allocation.record_changed(record, self.cache.mod_revision(allocation.key))
         place = self.place(allocation.key)
-        if place is not None and place[1] == CAP and min(allocation.pool()) < 0:
-            self.exceeded[name] = place[0]
+        if place is not None and place.kind == CAP and min(allocation.pool()) < 0:
+            self.exceeded[name] = place.level
         else:
             self.exceeded.pop(name, None)
 
     def is_current(self, level: int) -> bool:
         """Whether this controller knows what rules the level.
 
-        One with an older tree does where a newer one has written the level's record with the same place.
+        One with an older tree does where a newer one has written the level's record with the same parent.
         """
         if not self.tree_outdated:
             return True
-        record = self.for_cap(level).record
-        return (
-            record is not None and record.version >= self.newest_version and record.parent == self.for_cap(level).parent
-        )
+        allocation = self.for_cap(level)
+        record = allocation.record
+        return record is not None and record.version >= self.newest_version and record.parent == allocation.parent
--- a/quinceslip/quota/bench.py
+++ b/quinceslip/quota/bench.py
@@ -19,11 +19,12 @@
 from quinceslip.coordination.shard.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import Settings, Tuning
-from quinceslip.quota.admission import QuotaAdmission
 from quinceslip.quota.allocation import GrantRecord
 from quinceslip.quota.allocation_manager import AllocationManager
 from quinceslip.quota.allocations import CAP, GRANT, OWN, Allocations, grant_name
-from quinceslip.quota.tree import UNLIMITED, Amounts, Level, Tree
+from quinceslip.quota.amounts import UNLIMITED, Amounts
+from quinceslip.quota.shard_quota import ShardQuota
+from quinceslip.quota.tree import Level, Tree
 from quinceslip.storage import records
 
 ZONE = "z"
@@ -69,10 +70,10 @@
         rights: Any = PermanentLeadership()
         self.state = ShardState(self.ctx, rights, 0, 1)
         self.placement = Placement(self.state)
-        self.admission: QuotaAdmission | None = None
+        self.admission: ShardQuota | None = None
         if tree is not None:
             self.ctx.cache.register_kind(AllocationManager.kinds)
-            self.admission = self.state.quota = QuotaAdmission(tree, Allocations(tree, self.ctx.cache), self.state)
+            self.admission = self.state.quota = ShardQuota(tree, Allocations(tree, self.ctx.cache), self.state)
             for level in tree.levels:
                 for kind, amounts, given in ((CAP, level.cap, level.capped), (OWN, level.guarantee, level.guaranteed)):
                     if given:
--- a/quinceslip/quota/config.py
+++ b/quinceslip/quota/config.py
@@ -21,7 +21,8 @@
 from urllib.parse import quote
 
 from quinceslip.protocol.settings import SettingsError, Team
-from quinceslip.quota.tree import KINDS, RESOURCES, SCALE, UNLIMITED, ZERO, Amounts, Level, Tree, add, least
+from quinceslip.quota.amounts import KINDS, RESOURCES, SCALE, UNLIMITED, ZERO, Amounts, add, least
+from quinceslip.quota.tree import Level, Tree
 
 SECTION = "quota"
 KEYS = {"parent", "weight", "teams", *RESOURCES, *(f"{name}_max" for name in RESOURCES)}
--- a/quinceslip/quota/max_min.py
+++ b/quinceslip/quota/max_min.py
@@ -1,10 +1,19 @@
-"""Weighted max-min division between siblings, and who gives way to whom. No I/O, no clock.
+"""Weighted max-min division between siblings. No I/O, no clock.
 
 Every child first gets what it needs of its own guarantee. What is left goes to those that need more, by
 weight; what one of them does not need goes to the others, and only what no child needs leaves the parent.
 """
 
 from collections.abc import Sequence
+from typing import NamedTuple
+
+
+class Claim(NamedTuple):
+    """What one child wants of its parent's amount, in one unit."""
+
+    weight: float
+    guarantee: int
+    need: int
 
 
 def fill(amount: int, wants: Sequence[tuple[float, int]]) -> list[int]:
@@ -13,35 +22,48 @@
     Max-min: nobody's share over weight can rise without lowering one that is no larger. Shares are whole;
     what rounding leaves goes to the first that can take it, so the sum is exact.
     """
-    found = [0] * len(wants)
-    open_ = sorted((i for i, (_, most) in enumerate(wants) if most > 0), key=lambda i: wants[i][1] / wants[i][0])
-    left, weight = amount, sum(wants[i][0] for i in open_)
-    for place, i in enumerate(open_):
-        share, most = wants[i]
+    shares = [0] * len(wants)
+    # Satisfied first are those that want least for their weight.
+    unsatisfied = sorted(
+        (index for index, (_, most) in enumerate(wants) if most > 0),
+        key=lambda index: wants[index][1] / wants[index][0],
+    )
+    left = amount
+    weight_left = sum(wants[index][0] for index in unsatisfied)
+    for place, index in enumerate(unsatisfied):
+        weight, most = wants[index]
         if left <= 0:
-            return found
-        if most * weight <= left * share:
-            found[i] = most
-        else:
+            return shares
+        if most * weight_left > left * weight:
             # Nobody after this one is satisfied either: all stand at the same level.
-            rest = open_[place:]
-            for j in rest:
-                found[j] = min(wants[j][1], int(left * wants[j][0] / weight))
-            over = left - sum(found[j] for j in rest)
-            for j in rest:
-                more = min(over, wants[j][1] - found[j])
-                found[j] += more
-                over -= more
-            return found
+            _split_by_weight(left, weight_left, unsatisfied[place:], wants, shares)
+            return shares
+        shares[index] = most
         left -= most
-        weight -= share
-    return found
+        weight_left -= weight
+    return shares
+
+
+def _split_by_weight(
+    amount: int, total_weight: float, indices: Sequence[int], wants: Sequence[tuple[float, int]], shares: list[int]
+) -> None:
+    """Set the shares of children of which none gets all it wants."""
+    for index in indices:
+        weight, most = wants[index]
+        shares[index] = min(most, int(amount * weight / total_weight))
+    rounding = amount - sum(shares[index] for index in indices)
+    for index in indices:
+        more = min(rounding, wants[index][1] - shares[index])
+        shares[index] += more
+        rounding -= more
 
 
-def divide(amount: int, children: Sequence[tuple[float, int, int]]) -> list[int]:
-    """Divide what a parent has between its children: (weight, guarantee, need) each, in one unit."""
-    own = [min(guarantee, need) for _, guarantee, need in children]
-    if sum(own) >= amount:
-        return fill(amount, [(max(g, 1), n) for (_, g, _), n in zip(children, own, strict=True)])
-    lent = fill(amount - sum(own), [(w, need - o) for (w, _, need), o in zip(children, own, strict=True)])
-    return [o + more for o, more in zip(own, lent, strict=True)]
+def divide(amount: int, claims: Sequence[tuple[float, int, int]]) -> list[int]:
+    """Divide what a parent has between its children, each with a `Claim`: (weight, guarantee, need)."""
+    guaranteed = [min(guarantee, need) for _, guarantee, need in claims]
+    if sum(guaranteed) >= amount:
+        wants = [(max(guarantee, 1), own) for (_, guarantee, _), own in zip(claims, guaranteed, strict=True)]
+        return fill(amount, wants)
+    beyond = [(weight, need - own) for (weight, _, need), own in zip(claims, guaranteed, strict=True)]
+    borrowed = fill(amount - sum(guaranteed), beyond)
+    return [own + more for own, more in zip(guaranteed, borrowed, strict=True)]
--- a/quinceslip/quota/model.py
+++ b/quinceslip/quota/model.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from quinceslip.quota.allocation import ALL_GUARDS, Allocation, GrantRecord, Move, may_start
-from quinceslip.quota.tree import UNLIMITED, Amounts
+from quinceslip.quota.amounts import UNLIMITED, Amounts
 
 KEY = "purse"
 UNIT: Amounts = (1, 0, 0, 0)
--- a/quinceslip/quota/plots.py
+++ b/quinceslip/quota/plots.py
@@ -12,7 +12,7 @@
 
 from quinceslip import plotting
 from quinceslip.protocol.settings import SettingsError
-from quinceslip.quota.tree import RESOURCES
+from quinceslip.quota.amounts import RESOURCES
 
 #: what several controllers report of their own shards adds up
 SUMMED = ("used", "lent", "borrowed", "waiting")
--- a/quinceslip/quota/status_page.py
+++ b/quinceslip/quota/status_page.py
@@ -3,16 +3,17 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from quinceslip.quota.admission import QuotaAdmission
 from quinceslip.quota.allocations import Allocations
-from quinceslip.quota.tree import RESOURCES, ZERO, Amounts, Tree, add, positive, shown
+from quinceslip.quota.amounts import RESOURCES, ZERO, Amounts, add, positive, shown
+from quinceslip.quota.shard_quota import ShardQuota
+from quinceslip.quota.tree import Tree
 
 #: levels in one answer, so that its line stays under 64 KiB (PROTOCOL)
 PAGE = 100
 
 
 def page(
-    tree: Tree, allocations: Allocations, admissions: Mapping[int, QuotaAdmission], after: str, trouble: str
+    tree: Tree, allocations: Allocations, admissions: Mapping[int, ShardQuota], after: str, trouble: str
 ) -> dict[str, Any]:
     """Levels in the tree's order, beginning after the one named; `more` if there are others.
 
--- a/quinceslip/quota/tree.py
+++ b/quinceslip/quota/tree.py
@@ -1,65 +1,26 @@
-"""The tree of levels and its arithmetic. No I/O, no clock.
+"""The tree of quota levels: tenants, their groups and their teams, with caps, guarantees and weights.
 
-Amounts are whole thousandths of CPUs, GPUs and GB, and whole tasks, so that sums over thousands of tasks
-are exact: floats would let a level exceed its cap by what they round.
+No I/O, no clock. The operators' file is read by `config.py`.
 """
 
 import hashlib
-from collections.abc import Iterable, Sequence
+from collections.abc import Iterable
 from dataclasses import dataclass, field
-from math import ceil
 
 from quinceslip.protocol import messages as m
-
-RESOURCES = ("cpus", "gpus", "memory_gb", "tasks")
-#: how many units of an amount make one of what operators write
-SCALE = (1000, 1000, 1000, 1)
-KINDS = len(RESOURCES)
-#: no cap, or a resource that a guarantee does not speak of
-UNLIMITED = 1 << 60
-#: CPUs, GPUs, memory, tasks
-Amounts = tuple[int, int, int, int]
-ZERO: Amounts = (0, 0, 0, 0)
-#: rounding of decimal input: 0.1 + 0.2 is still 0.3
-ROUNDING = 1e-6
-
-
-def task_amounts(spec: m.JobSpec) -> Amounts:
-    """What one task of a job takes; rounded up, so that what is counted is never less than what is used."""
-    return (
-        ceil(spec.cpus * 1000 - ROUNDING),
-        ceil(spec.gpus * 1000 - ROUNDING),
-        ceil(spec.memory_gb * 1000 - ROUNDING),
-        1,
-    )
-
-
-def add(a: Sequence[int], b: Sequence[int], times: int = 1) -> Amounts:
-    return (a[0] + b[0] * times, a[1] + b[1] * times, a[2] + b[2] * times, a[3] + b[3] * times)
-
-
-def times(a: Sequence[int], count: int) -> Amounts:
-    return (a[0] * count, a[1] * count, a[2] * count, a[3] * count)
-
-
-def least(a: Sequence[int], b: Sequence[int]) -> Amounts:
-    return (min(a[0], b[0]), min(a[1], b[1]), min(a[2], b[2]), min(a[3], b[3]))
-
-
-def positive(a: Sequence[int]) -> Amounts:
-    return (max(a[0], 0), max(a[1], 0), max(a[2], 0), max(a[3], 0))
-
-
-def within(a: Sequence[int], b: Sequence[int]) -> bool:
-    """Whether `a` fits into `b` in every resource."""
-    return a[0] <= b[0] and a[1] <= b[1] and a[2] <= b[2] and a[3] <= b[3]
-
-
-def shown(amounts: Sequence[int]) -> dict[str, float]:
-    """An amount as operators write it; what is unlimited is left out."""
-    return {
-        name: value / scale for name, value, scale in zip(RESOURCES, amounts, SCALE, strict=True) if value < UNLIMITED
-    }
+from quinceslip.quota.amounts import (
+    KINDS,
+    RESOURCES,
+    SCALE,
+    UNLIMITED_AMOUNTS,
+    ZERO,
+    Amounts,
+    add,
+    least,
+    task_amounts,
+    times,
+)
+from quinceslip.quota.amounts import UNLIMITED as UNLIMITED
 
 
 @dataclass(slots=True, eq=False)
@@ -69,7 +30,7 @@
     name: str
     parent: str = ""
     weight: float = 1.0
-    cap: Amounts = (UNLIMITED,) * 4
+    cap: Amounts = UNLIMITED_AMOUNTS
     #: what this level need not wait for others to get; all zero: nothing
     guarantee: Amounts = ZERO
     team: bool = False
@@ -123,7 +84,7 @@
                     given = self.levels[child]
                     if given.guaranteed:
                         total = add(total, given.guarantee)
-                level.guarantee = least(total, (UNLIMITED,) * 4)
+                level.guarantee = least(total, UNLIMITED_AMOUNTS)
             level.capped = min(level.cap) < UNLIMITED
             level.guaranteed = any(0 < a < UNLIMITED for a in level.guarantee)
 
--- /dev/null
+++ b/quinceslip/quota/unmet_demand.py
@@ -0,0 +1,22 @@
+"""What the waiting work of a team lacks of its quota, as a pass of placement notes it."""
+
+from dataclasses import dataclass
+
+from quinceslip.protocol import messages as m
+from quinceslip.quota.allocations import DemandOrder
+from quinceslip.quota.amounts import Amounts
+
+
+@dataclass(slots=True)
+class UnmetDemand:
+    """The demand of a team's waiting work that its quota alone keeps from starting."""
+
+    team: str
+    #: the least that helps: one task, or all of a gang or service
+    unit: Amounts
+    #: what all waiting tasks of the team could use
+    need: Amounts
+    order: DemandOrder
+    #: the first job that was refused, and how many of its tasks start together
+    spec: m.JobSpec
+    count: int
