--- a/quinceslip/quota/allocation.py
+++ b/quinceslip/quota/allocation.py
@@ -1,62 +1,89 @@
-"""Durable grants: which part of a level's amount each shard may use. No I/O, no clock.
-
-A level's cap is one *purse*, its guarantee another; each has one record that says what every shard holds
-of it. What no shard holds is the pool. A shard may use no more than it holds, so the sum of all use is
-never over the purse's total, whoever knows what. The rules a holder keeps, each of which `quinceslip model
-quota --without GUARD` leaves out in turn:
-
-  reserve      what is on its way out is not used any more, from before the write is sent
-  spare        only what nothing uses goes out; what may still be on a machine is used
-  pool         what a shard takes for itself is in the pool
-  stamp        a write holds only for the record it was made from
-  owner        a write holds only while its sender owns the shard (a late one of an earlier owner fails)
-  in_doubt     after a write whose outcome is open, what it gives stays out of use until the record changed
-  resolved     a successor starts nothing until each worker of the roster showed its term or is gone
-  caught_up    nor before its view has what the shard's earlier owner wrote
-
-The same code runs in the service and in the model (`quinceslip/quota/model.py`).
+"""One allocation: which part of a level's cap or guarantee each shard may use. No I/O, no clock.
+
+A level's cap is one allocation, its guarantee another; each has one record that says what every shard holds
+of it. What no shard holds is the pool. A shard may use no more than it holds, so the sum of all usage is
+never over the total, whoever knows what. `Guard` lists the rules that a holder keeps, each of which `quinceslip model
+quota --without GUARD` leaves out in turn. The same code runs in the service and in the model
+(`quinceslip/quota/model.py`).
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 import msgspec
 
-from quinceslip.quota.amounts import UNLIMITED, ZERO, Amounts, add, least, positive
+from quinceslip.quota.amounts import UNLIMITED, ZERO, Amounts, add, amounts_of, least, positive, subtract
+
+
+class Guard(StrEnum):
+    """A rule that keeps the sum of all usage within the total; the values are those of the command line."""
+
+    #: what is on its way out is not used any more, from before the write is sent
+    RESERVE = "reserve"
+    #: only what nothing uses goes out; what may still be on a machine is used
+    SPARE = "spare"
+    #: what a shard takes for itself is in the pool
+    POOL = "pool"
+    #: a write holds only for the `mod_revision` of the record that it was made from
+    MOD_REVISION = "stamp"
+    #: a write holds only while its sender leads the shard (a late one of an earlier leader fails)
+    LEADERSHIP = "owner"
+    #: after a write whose outcome is unknown, what it gives stays out of use until the record changed
+    INDETERMINATE = "in_doubt"
+    #: a successor starts nothing until each worker of the registry showed its term or is gone
+    RECONCILED = "resolved"
+    #: nor before its cache has what the shard's earlier leader wrote
+    CAUGHT_UP = "caught_up"
+
 
-GUARDS = ("reserve", "spare", "pool", "stamp", "owner", "in_doubt", "resolved", "caught_up")
-ALL_GUARDS = frozenset(GUARDS)
+GUARDS = tuple(Guard)
+ALL_GUARDS: frozenset[str] = frozenset(GUARDS)
+
+
+class MoveOutcome(StrEnum):
+    """What a controller knows of a write that it has sent."""
+
+    APPLIED = "applied"
+    FAILED = "failed"
+    #: it may still be applied, minutes later
+    INDETERMINATE = "indeterminate"
 
 
 class GrantRecord(msgspec.Struct, omit_defaults=True):
-    """What each shard holds of one purse, in units of `tree.Amounts`; uncapped resources stay 0."""
+    """What each shard holds of one allocation, in units of `amounts.Amounts`; uncapped resources stay 0."""
 
     #: the version of the tree whose amounts this is
     version: int
     total: list[int]
     #: the level above when it was written: a level that moved is another level
     parent: str = ""
+    #: by shard
     parts: dict[str, list[int]] = {}
 
 
 @dataclass(slots=True)
 class Move:
-    """A change of a record on its way to the state service."""
+    """A change of a record on its way to the key-value store."""
 
     record: GrantRecord
-    conditions: dict[str, int]  # keys of records and of the shard that sends it
-    outgoing: dict[int, Amounts] = field(default_factory=dict)  # by owned shard
-    open: bool = False  # its outcome is unknown
-    settles: bool = False  # it only settles an earlier one whose outcome is unknown
+    #: by key, of the record and of the shard that sends it: the `mod_revision` it must have
+    conditions: dict[str, int]
+    #: by shard that this controller leads: what goes out
+    outgoing: dict[int, Amounts] = field(default_factory=dict)
+    #: its outcome is unknown
+    indeterminate: bool = False
+    #: it only resolves an earlier one whose outcome is unknown
+    resolves_earlier: bool = False
 
 
-def may_start(resolved: bool, caught_up: bool, guards: frozenset[str] = ALL_GUARDS) -> bool:
-    """Whether a shard's owner knows all that is held and used, and may add to it."""
-    return (resolved or "resolved" not in guards) and (caught_up or "caught_up" not in guards)
+def may_start(reconciled: bool, caught_up: bool, guards: frozenset[str] = ALL_GUARDS) -> bool:
+    """Whether a shard's leader knows all that is held and used, and may add to it."""
+    return (reconciled or Guard.RECONCILED not in guards) and (caught_up or Guard.CAUGHT_UP not in guards)
 
 
 class Allocation:
-    """One amount of one level as one controller knows it; it may own several shards that hold of it."""
+    """One amount of one level as one controller knows it; it may lead several shards that hold of it."""
 
     __slots__ = ("_pool", "guards", "key", "mod_revision", "move", "parent", "record", "total", "version")
 
@@ -76,28 +103,28 @@
     # What is known.
 
     def record_changed(self, record: GrantRecord | None, mod_revision: int) -> None:
-        """The view has the record under a new stamp (0: there is none)."""
+        """The cache has the record at another `mod_revision` (0: there is none)."""
         self.record, self.mod_revision, self._pool = record, mod_revision, None
         move = self.move
-        if move is not None and move.open and mod_revision != move.conditions.get(self.key, mod_revision):
-            self.move = None  # it was applied with this stamp, or can never be
+        if move is not None and move.indeterminate and mod_revision != move.conditions.get(self.key, mod_revision):
+            self.move = None  # it was applied at this revision, or can never be
 
     def total_in_force(self) -> Amounts:
         """The total that holds: of two versions of the tree, the newer one's."""
         if self.record is not None and self.record.version > self.version:
-            return _amounts(self.record.total)
+            return _amounts_of_record(self.record.total)
         return self.total
 
     def held(self, shard: int) -> Amounts:
         """What a shard holds by the record."""
         part = self.record.parts.get(str(shard)) if self.record is not None else None
-        return _amounts(part) if part else ZERO
+        return _amounts_of_record(part) if part else ZERO
 
     def limit(self, shard: int) -> Amounts:
-        """What an owned shard may use of it now; without bound where the purse has none."""
+        """What a shard led here may use of it now; without bound where the total has none."""
         held = self.held(shard)
-        if self.move is not None and "reserve" in self.guards:
-            held = positive(add(held, self.move.outgoing.get(shard, ZERO), -1))
+        if self.move is not None and Guard.RESERVE in self.guards:
+            held = positive(subtract(held, self.move.outgoing.get(shard, ZERO)))
         total = self.total_in_force()
         return (
             UNLIMITED if total[0] >= UNLIMITED else held[0],
@@ -113,99 +140,105 @@
         return self._pool
 
     def _count_pool(self) -> Amounts:
-        total = self.total_in_force()
         together = [0, 0, 0, 0]
         if self.record is not None:
             for part in self.record.parts.values():
                 for kind, value in enumerate(part):
                     together[kind] += value
-        found = [t - h if t < UNLIMITED else 0 for t, h in zip(total, together, strict=True)]
-        return (found[0], found[1], found[2], found[3])
+        pairs = zip(self.total_in_force(), together, strict=True)
+        return amounts_of([total - held if total < UNLIMITED else 0 for total, held in pairs])
 
     def is_exceeded(self, need: Sequence[int]) -> bool:
         """Whether more is held than the (lowered) total in a resource that is needed: nothing new starts."""
         pool = self.pool()
-        return min(pool) < 0 and any(n > 0 and p < 0 for n, p in zip(need, pool, strict=True))
-
-    # Moves. One at a time for each purse: a second one would rest on a record that the first replaces.
-
-    def _send(self, parts: dict[int, Amounts], owner: dict[str, int], outgoing: dict[int, Amounts]) -> Move:
-        known = {int(s): _amounts(p) for s, p in self.record.parts.items()} if self.record is not None else {}
-        known |= parts
-        newer = self.record is not None and self.record.version > self.version
-        record = GrantRecord(
-            self.record.version if newer and self.record else self.version,
-            [t if t < UNLIMITED else -1 for t in self.total_in_force()],
-            self.record.parent if newer and self.record else self.parent,
-            {str(s): list(p) for s, p in sorted(known.items()) if any(p)},
-        )
+        return min(pool) < 0 and any(wanted > 0 and left < 0 for wanted, left in zip(need, pool, strict=True))
+
+    # Moves. One at a time for each allocation: a second one would rest on a record that the first replaces.
+
+    def _start_move(
+        self, changed_parts: dict[int, Amounts], fencing: dict[str, int], outgoing: dict[int, Amounts]
+    ) -> Move:
         conditions: dict[str, int] = {}
-        if "stamp" in self.guards:
+        if Guard.MOD_REVISION in self.guards:
             conditions[self.key] = self.mod_revision
-        if "owner" in self.guards:
-            conditions |= owner
-        self.move = Move(record, conditions, outgoing)
+        if Guard.LEADERSHIP in self.guards:
+            conditions |= fencing
+        self.move = Move(self._next_record(changed_parts), conditions, outgoing)
         return self.move
 
-    def take(self, shard: int, amounts: Amounts, owner: dict[str, int]) -> Move | None:
-        """Raise what a shard holds, out of the pool; None if nothing of it is there."""
+    def _next_record(self, changed_parts: dict[int, Amounts]) -> GrantRecord:
+        version, parent, parts = self.version, self.parent, {}
+        if self.record is not None:
+            parts = {int(shard): _amounts_of_record(part) for shard, part in self.record.parts.items()}
+            if self.record.version > self.version:
+                version, parent = self.record.version, self.record.parent
+        parts |= changed_parts
+        return GrantRecord(
+            version,
+            [amount if amount < UNLIMITED else -1 for amount in self.total_in_force()],
+            parent,
+            {str(shard): list(part) for shard, part in sorted(parts.items()) if any(part)},
+        )
+
+    def take(self, shard: int, amounts: Amounts, fencing: dict[str, int]) -> Move | None:
+        """Raise what a shard holds, out of the pool; None if nothing of it is there.
+
+        `fencing` is the condition that this controller still leads the shard, here and below.
+        """
         if self.move is not None:
             return None
-        got = amounts
-        if "pool" in self.guards:
-            got = least(positive(amounts), positive(self.pool()))
-        if not any(got):
+        taken = amounts
+        if Guard.POOL in self.guards:
+            taken = least(positive(amounts), positive(self.pool()))
+        if not any(taken):
             return None
-        return self._send({shard: add(self.held(shard), got)}, owner, {})
+        return self._start_move({shard: add(self.held(shard), taken)}, fencing, {})
 
     def give(
-        self, shard: int, target: int | None, amounts: Amounts, used: Sequence[int], owner: dict[str, int]
+        self, shard: int, target: int | None, amounts: Amounts, used: Sequence[int], fencing: dict[str, int]
     ) -> Move | None:
         """Hand what a shard does not use to another one (None: back to the pool)."""
         if self.move is not None:
             return None
         spare = self.held(shard)
-        if "spare" in self.guards:
-            spare = positive(add(spare, used, -1))
-        got = least(positive(amounts), spare)
-        if not any(got):
+        if Guard.SPARE in self.guards:
+            spare = positive(subtract(spare, used))
+        given = least(positive(amounts), spare)
+        if not any(given):
             return None
-        parts = {shard: add(self.held(shard), got, -1)}
+        parts = {shard: subtract(self.held(shard), given)}
         if target is not None:
-            parts[target] = add(self.held(target), got)
-        return self._send(parts, owner, {shard: got})
+            parts[target] = add(self.held(target), given)
+        return self._start_move(parts, fencing, {shard: given})
 
-    def rewrite(self, owner: dict[str, int]) -> Move | None:
-        """Write the record again: brings a newer tree's amounts, or settles a move whose outcome is open.
+    def rewrite(self, fencing: dict[str, int]) -> Move | None:
+        """Write the record again: brings a newer tree's amounts, or resolves a move whose outcome is unknown.
 
-        Whichever of the two writes comes second fails, since the first one changed the stamp.
+        Whichever of the two writes comes second fails, since the first one changed the `mod_revision`.
         """
         earlier = self.move
-        if earlier is not None and not earlier.open:
+        if earlier is not None and not earlier.indeterminate:
             return None
-        move = self._send({}, owner, earlier.outgoing if earlier is not None else {})
-        move.settles = earlier is not None
+        move = self._start_move({}, fencing, earlier.outgoing if earlier is not None else {})
+        move.resolves_earlier = earlier is not None
         return move
 
-    def answered(self, move: Move, outcome: str) -> None:
-        """`applied` and `failed` are certain; `open` may still be applied, minutes later.
+    def move_ended(self, move: Move, outcome: MoveOutcome) -> None:
+        """The store has answered, or its answer is lost.
 
-        For `applied` the record must have been `seen` before.
+        For `APPLIED`, `record_changed` must have had the record before.
         """
         if self.move is not move:
             return
-        unsettled = outcome == "open" or (outcome == "failed" and move.settles)
-        if (
-            unsettled
-            and "in_doubt" in self.guards
-            and move.conditions.get(self.key, self.mod_revision) == self.mod_revision
-        ):
-            move.open = True  # until the record changes: then it was applied, or never can be
+        unresolved = outcome is MoveOutcome.INDETERMINATE or (outcome is MoveOutcome.FAILED and move.resolves_earlier)
+        record_unchanged = move.conditions.get(self.key, self.mod_revision) == self.mod_revision
+        if unresolved and record_unchanged and Guard.INDETERMINATE in self.guards:
+            move.indeterminate = True  # until the record changes: then it was applied, or never can be
         else:
             self.move = None
 
 
-def _amounts(part: Sequence[int]) -> Amounts:
+def _amounts_of_record(part: Sequence[int]) -> Amounts:
     return (_or_unlimited(part[0]), _or_unlimited(part[1]), _or_unlimited(part[2]), _or_unlimited(part[3]))
 
 
--- a/quinceslip/quota/allocations.py
+++ b/quinceslip/quota/allocations.py
@@ -96,6 +96,10 @@
         """The allocation of a level's guarantee."""
         return self._guarantees.get(level) or self._make(self._guarantees, level, OWN)
 
+    def of(self, amount: LevelAmount) -> Allocation:
+        """The allocation of a level's cap or of its guarantee."""
+        return self.for_cap(amount.level) if amount.kind == CAP else self.for_guarantee(amount.level)
+
     def _make(self, allocations: dict[int, Allocation], index: int, kind: str) -> Allocation:
         level = self.tree.levels[index]
         name = grant_name(level.name, kind)
--- a/quinceslip/quota/model.py
+++ b/quinceslip/quota/model.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from quinceslip.quota.allocation import ALL_GUARDS, Allocation, GrantRecord, Move, may_start
+from quinceslip.quota.allocation import ALL_GUARDS, Allocation, GrantRecord, Move, MoveOutcome, may_start
 from quinceslip.quota.amounts import UNLIMITED, Amounts
 
 KEY = "purse"
@@ -115,7 +115,7 @@
                     if controller.allocation.move is None:
                         yield "take", c, s
                         yield "give", c, s
-                    elif controller.allocation.move.open:
+                    elif controller.allocation.move.indeterminate:
                         yield "touch", c, s
                 if not right.resolved and self.owner_revisions[s] == right.mod_revision:
                     yield "resolve", c, s
@@ -209,10 +209,10 @@
             if flight.outcome == APPLIED and allocation.mod_revision < self.mod_revision:
                 # The answer names the ledger of the change: a newer record than what the view has.
                 allocation.record_changed(self.record, self.mod_revision)
-            allocation.answered(move, "applied" if flight.outcome == APPLIED else "failed")
+            allocation.move_ended(move, MoveOutcome.APPLIED if flight.outcome == APPLIED else MoveOutcome.FAILED)
         else:
             flight.heard = True
-            allocation.answered(move, "open")
+            allocation.move_ended(move, MoveOutcome.INDETERMINATE)
 
     # One name for states that differ only in how large their stamps are.
 
@@ -237,8 +237,8 @@
                 _parts(move.record),
                 tuple(sorted((k, priority_class[v]) for k, v in move.conditions.items())),
                 tuple(sorted((s, a[0]) for s, a in move.outgoing.items())),
-                move.open,
-                move.settles,
+                move.indeterminate,
+                move.resolves_earlier,
             )
 
         return (
@@ -279,7 +279,9 @@
 
         def moved(move: Move) -> Move:
             if id(move) not in moves:
-                moves[id(move)] = Move(move.record, move.conditions, move.outgoing, move.open, move.settles)
+                moves[id(move)] = Move(
+                    move.record, move.conditions, move.outgoing, move.indeterminate, move.resolves_earlier
+                )
             return moves[id(move)]
 
         other.flights = [Flight(f.controller, moved(f.move), f.outcome, f.heard) for f in self.flights]
