--- a/quinceslip/quota/fair_share_targets.py
+++ b/quinceslip/quota/fair_share_targets.py
@@ -69,7 +69,7 @@
     ) -> None:
         """Divide a parent's capacity, less what others beneath it use, between the siblings that want more.
 
-        Bound: as deep as the tree, which its settings limit (`config.MAX_TREE_DEPTH`).
+        Bound: as deep as the tree, which its settings limit (`level_checks.MAX_TREE_DEPTH`).
         """
         room = positive(subtract(capacity, taken))
         claims = [self._claim(level, need[level], room) for level in siblings]
--- /dev/null
+++ b/quinceslip/quota/model_world.py
@@ -0,0 +1,392 @@
+"""One state of the model of allocations, and the steps that lead from it to others.
+
+One allocation, some shards, some controllers. What is real: the code of the allocation (`allocation.Allocation`,
+`may_start`), its conditions and its guards. What is modelled: a key-value store that compares revisions, transactions
+that arrive late or never and answers that are lost, caches that lag, leases that expire, failovers, controllers that
+crash and start again, and workers that obey no term lower than one they have seen.
+"""
+
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from enum import Enum, StrEnum, auto
+from typing import NamedTuple
+
+from quinceslip.quota.allocation import Allocation, GrantRecord, Move, MoveOutcome, may_start
+from quinceslip.quota.amounts import UNLIMITED, Amounts
+
+#: the key of the allocation's record
+KEY = "allocation"
+#: what one task takes, and what one step takes or gives
+UNIT: Amounts = (1, 0, 0, 0)
+#: transactions on their way at the same time
+MAX_TRANSACTIONS = 2
+
+#: a state in a form that can be compared and hashed
+Frozen = tuple[object, ...]
+
+
+class StepKind(StrEnum):
+    """Every kind of step; the values are those of the command line."""
+
+    START = "start"
+    END = "end"
+    TAKE = "take"
+    GIVE = "give"
+    REWRITE = "touch"
+    WATCH = "watch"
+    LEASE_EXPIRY = "lapse"
+    CLAIM = "claim"
+    RECONCILE = "resolve"
+    CRASH = "crash"
+    ARRIVE = "arrive"
+    ANSWER = "answer"
+    GIVE_UP = "give up"
+
+
+#: kinds of steps that concern no shard in particular
+WITHOUT_SHARD = frozenset({StepKind.WATCH, StepKind.CRASH, StepKind.ARRIVE, StepKind.ANSWER, StepKind.GIVE_UP})
+_TRANSACTION_STEPS = frozenset({StepKind.ARRIVE, StepKind.ANSWER, StepKind.GIVE_UP})
+
+
+class Step(NamedTuple):
+    """One thing that may happen."""
+
+    kind: StepKind
+    #: the controller, or the transaction, by its place in the lists of the world
+    subject: int
+    shard: int
+
+    def __str__(self) -> str:
+        """As a history shows it."""
+        text = f"{self.kind} {self.subject}"
+        return text if self.kind in WITHOUT_SHARD else f"{text} shard {self.shard}"
+
+
+def leader_key(shard: int) -> str:
+    """The key of a shard's record."""
+    return f"shard {shard}"
+
+
+@dataclass(slots=True)
+class Leadership:
+    """A controller's leadership of one shard, as it believes it."""
+
+    mod_revision: int
+    used: int = 0
+    reconciled: bool = False
+
+    def copy(self) -> "Leadership":
+        """The same, apart from this one."""
+        return Leadership(self.mod_revision, self.used, self.reconciled)
+
+
+class TransactionState(Enum):
+    """What has become of a transaction at the store."""
+
+    UNDERWAY = auto()
+    APPLIED = auto()
+    FAILED = auto()
+
+
+@dataclass(slots=True)
+class Transaction:
+    """A transaction and what has become of it."""
+
+    controller: int
+    move: Move
+    state: TransactionState = TransactionState.UNDERWAY
+    #: the controller has its answer, or has given up on it
+    ended: bool = False
+
+
+@dataclass(slots=True)
+class ModelController:
+    """What one controller knows."""
+
+    allocation: Allocation
+    #: of its cache
+    revision: int = 0
+    #: by shard
+    leaderships: dict[int, Leadership] = field(default_factory=dict)
+
+
+class World:
+    """One state; `steps` lists what may happen next, `act` makes it happen."""
+
+    def __init__(self, shards: int, controllers: int, total: int, guards: frozenset[str]) -> None:
+        self.shards = shards
+        self.total = total
+        self.guards = guards
+        #: of the store
+        self.revision = shards
+        self.record: GrantRecord | None = None
+        self.mod_revision = 0
+        #: by shard: the revision of its claim; 0: the lease has expired
+        self.leader_revisions = [shard + 1 for shard in range(shards)]
+        #: by shard: tasks on its machines
+        self.running = [0] * shards
+        #: by shard: the newest term that its workers have seen
+        self.terms_seen = [shard + 1 for shard in range(shards)]
+        self.transactions: list[Transaction] = []
+        self.controllers = [ModelController(self._new_allocation(), shards) for _ in range(controllers)]
+        for shard in range(shards):
+            self.controllers[shard].leaderships[shard] = Leadership(shard + 1, reconciled=True)
+
+    def grant_all(self) -> "World":
+        """The same with everything granted to the first shard, as every controller knows."""
+        self.revision += 1
+        self.mod_revision = self.revision
+        self.record = GrantRecord(1, [self.total, -1, -1, -1], parts={"0": [self.total, 0, 0, 0]})
+        for controller in self.controllers:
+            self._catch_up(controller)
+        return self
+
+    def _new_allocation(self) -> Allocation:
+        return Allocation(KEY, (self.total, UNLIMITED, UNLIMITED, UNLIMITED), 1, guards=self.guards)
+
+    def _catch_up(self, controller: ModelController) -> None:
+        controller.revision = self.revision
+        controller.allocation.record_changed(self.record, self.mod_revision)
+
+    # What may happen.
+
+    def steps(self) -> Iterator[Step]:
+        """Every step that may come next."""
+        for number, controller in enumerate(self.controllers):
+            for shard, leadership in controller.leaderships.items():
+                yield from self._steps_of_leader(number, shard, leadership)
+            if controller.revision < self.revision:
+                yield Step(StepKind.WATCH, number, 0)
+            if controller.leaderships:
+                yield Step(StepKind.CRASH, number, 0)
+        for shard in range(self.shards):
+            yield from self._steps_of_shard(shard)
+        for number, transaction in enumerate(self.transactions):
+            if transaction.state is TransactionState.UNDERWAY:
+                yield Step(StepKind.ARRIVE, number, 0)
+            elif not transaction.ended:
+                yield Step(StepKind.ANSWER, number, 0)
+            if not transaction.ended:
+                yield Step(StepKind.GIVE_UP, number, 0)
+
+    def _steps_of_leader(self, number: int, shard: int, leadership: Leadership) -> Iterator[Step]:
+        controller = self.controllers[number]
+        caught_up = controller.revision >= leadership.mod_revision
+        allowed = may_start(leadership.reconciled, caught_up, self.guards)
+        has_room = leadership.used + 1 <= controller.allocation.limit(shard)[0]
+        if allowed and has_room and self.terms_seen[shard] <= leadership.mod_revision:
+            yield Step(StepKind.START, number, shard)
+        if allowed and len(self.transactions) < MAX_TRANSACTIONS:
+            if controller.allocation.move is None:
+                yield Step(StepKind.TAKE, number, shard)
+                yield Step(StepKind.GIVE, number, shard)
+            elif controller.allocation.move.indeterminate:
+                yield Step(StepKind.REWRITE, number, shard)
+        if not leadership.reconciled and self.leader_revisions[shard] == leadership.mod_revision:
+            yield Step(StepKind.RECONCILE, number, shard)
+
+    def _steps_of_shard(self, shard: int) -> Iterator[Step]:
+        if self.running[shard]:
+            yield Step(StepKind.END, 0, shard)
+        if self.leader_revisions[shard]:
+            yield Step(StepKind.LEASE_EXPIRY, 0, shard)
+            return
+        for number, controller in enumerate(self.controllers):
+            if shard not in controller.leaderships:
+                yield Step(StepKind.CLAIM, number, shard)
+
+    # What happens.
+
+    def act(self, step: Step) -> None:
+        """Make a step happen."""
+        if step.kind in _TRANSACTION_STEPS:
+            self._act_on_transaction(step.kind, self.transactions[step.subject])
+        elif step.kind is StepKind.LEASE_EXPIRY:
+            self.leader_revisions[step.shard] = 0
+        elif step.kind is StepKind.END:
+            self._end_task(step.shard)
+        elif step.kind is StepKind.CRASH:
+            self._crash(step.subject)
+        else:
+            self._act_as_controller(step)
+        self.transactions = [t for t in self.transactions if t.state is TransactionState.UNDERWAY or not t.ended]
+
+    def _end_task(self, shard: int) -> None:
+        self.running[shard] -= 1
+        for controller in self.controllers:
+            leadership = controller.leaderships.get(shard)
+            # Its leader hears of it; one that was deposed, or has not reconciled, need not.
+            if leadership is not None and leadership.reconciled and leadership.mod_revision == self.terms_seen[shard]:
+                leadership.used -= 1
+
+    def _crash(self, number: int) -> None:
+        """The controller starts again with a listing, and leads none of the shards that it led."""
+        for transaction in self.transactions:
+            transaction.ended = transaction.ended or transaction.controller == number
+        self.controllers[number] = ModelController(self._new_allocation())
+        self._catch_up(self.controllers[number])
+
+    def _act_as_controller(self, step: Step) -> None:
+        controller, shard = self.controllers[step.subject], step.shard
+        if step.kind is StepKind.WATCH:
+            self._catch_up(controller)
+            for led, leadership in list(controller.leaderships.items()):
+                if self.leader_revisions[led] != leadership.mod_revision:
+                    del controller.leaderships[led]
+        elif step.kind is StepKind.CLAIM:
+            self.revision += 1
+            self.leader_revisions[shard] = self.revision
+            controller.leaderships[shard] = Leadership(self.revision)
+        elif step.kind is StepKind.RECONCILE:
+            leadership = controller.leaderships[shard]
+            leadership.reconciled, leadership.used = True, self.running[shard]
+            self.terms_seen[shard] = leadership.mod_revision
+        elif step.kind is StepKind.START:
+            controller.leaderships[shard].used += 1
+            self.running[shard] += 1
+        else:
+            move = self._make_move(step.kind, controller, shard)
+            if move is not None:
+                self.transactions.append(Transaction(step.subject, move))
+
+    def _make_move(self, kind: StepKind, controller: ModelController, shard: int) -> Move | None:
+        allocation, leadership = controller.allocation, controller.leaderships[shard]
+        fencing = {leader_key(shard): leadership.mod_revision}
+        if kind is StepKind.TAKE:
+            return allocation.take(shard, UNIT, fencing)
+        if kind is StepKind.GIVE:
+            used = (leadership.used, 0, 0, 0)
+            return allocation.give(shard, (shard + 1) % self.shards, UNIT, used, fencing)
+        return allocation.rewrite(fencing)
+
+    def _act_on_transaction(self, kind: StepKind, transaction: Transaction) -> None:
+        if kind is StepKind.ARRIVE:
+            self._apply(transaction)
+            return
+        transaction.ended = True
+        allocation = self.controllers[transaction.controller].allocation
+        if kind is StepKind.GIVE_UP:
+            allocation.move_ended(transaction.move, MoveOutcome.INDETERMINATE)
+            return
+        applied = transaction.state is TransactionState.APPLIED
+        if applied and allocation.mod_revision < self.mod_revision:
+            # The answer names the revision of the change: a newer record than what the cache has.
+            allocation.record_changed(self.record, self.mod_revision)
+        allocation.move_ended(transaction.move, MoveOutcome.APPLIED if applied else MoveOutcome.FAILED)
+
+    def _apply(self, transaction: Transaction) -> None:
+        """The store carries a transaction out if its conditions hold."""
+        revisions = {KEY: self.mod_revision}
+        revisions |= {leader_key(shard): revision for shard, revision in enumerate(self.leader_revisions)}
+        conditions = transaction.move.conditions
+        if any(revisions[key] != mod_revision for key, mod_revision in conditions.items()):
+            transaction.state = TransactionState.FAILED
+            return
+        self.revision += 1
+        self.record, self.mod_revision = transaction.move.record, self.revision
+        transaction.state = TransactionState.APPLIED
+
+    def copy(self) -> "World":
+        """The same state, apart from this one; controllers and transactions still share their moves."""
+        other = World.__new__(World)
+        other.shards, other.total, other.guards = self.shards, self.total, self.guards
+        other.revision, other.record, other.mod_revision = self.revision, self.record, self.mod_revision
+        other.leader_revisions = list(self.leader_revisions)
+        other.running = list(self.running)
+        other.terms_seen = list(self.terms_seen)
+        moves: dict[int, Move] = {}
+        other.transactions = [
+            Transaction(t.controller, _copy_move(t.move, moves), t.state, t.ended) for t in self.transactions
+        ]
+        other.controllers = [other._copy_controller(controller, moves) for controller in self.controllers]
+        return other
+
+    def _copy_controller(self, controller: ModelController, moves: dict[int, Move]) -> ModelController:
+        allocation = self._new_allocation()
+        allocation.record, allocation.mod_revision = controller.allocation.record, controller.allocation.mod_revision
+        if controller.allocation.move is not None:
+            allocation.move = _copy_move(controller.allocation.move, moves)
+        leaderships = {shard: leadership.copy() for shard, leadership in controller.leaderships.items()}
+        return ModelController(allocation, controller.revision, leaderships)
+
+    def freeze(self) -> Frozen:
+        """One value for all states that differ only in how large their revisions are."""
+        return _Freezer(self).freeze()
+
+
+def _copy_move(move: Move, copies: dict[int, Move]) -> Move:
+    """The one copy of a move; `copies` keeps it by the identity of the original."""
+    if id(move) not in copies:
+        copies[id(move)] = Move(move.record, move.conditions, move.outgoing, move.indeterminate, move.resolves_earlier)
+    return copies[id(move)]
+
+
+class _Freezer:
+    """Replaces the revisions of a world by their places in order."""
+
+    def __init__(self, world: World) -> None:
+        self.world = world
+        self.place = {revision: place for place, revision in enumerate(sorted(self._revisions()))}
+
+    def _revisions(self) -> set[int]:
+        world = self.world
+        revisions = {0, world.revision, world.mod_revision, *world.leader_revisions, *world.terms_seen}
+        for controller in world.controllers:
+            revisions |= {controller.revision, controller.allocation.mod_revision}
+            revisions |= {leadership.mod_revision for leadership in controller.leaderships.values()}
+            if controller.allocation.move is not None:
+                revisions |= set(controller.allocation.move.conditions.values())
+        for transaction in world.transactions:
+            revisions |= set(transaction.move.conditions.values())
+        return revisions
+
+    def freeze(self) -> Frozen:
+        world, place = self.world, self.place
+        return (
+            _parts(world.record),
+            place[world.mod_revision],
+            place[world.revision],
+            tuple(place[revision] for revision in world.leader_revisions),
+            tuple(world.running),
+            tuple(place[term] for term in world.terms_seen),
+            tuple(self._transaction(transaction) for transaction in world.transactions),
+            tuple(self._controller(controller) for controller in world.controllers),
+        )
+
+    def _transaction(self, transaction: Transaction) -> Frozen:
+        controller = self.world.controllers[transaction.controller]
+        return (
+            transaction.controller,
+            self._move(transaction.move),
+            transaction.state,
+            transaction.ended,
+            controller.allocation.move is transaction.move,
+        )
+
+    def _controller(self, controller: ModelController) -> Frozen:
+        leaderships = (
+            (shard, self.place[leadership.mod_revision], leadership.used, leadership.reconciled)
+            for shard, leadership in controller.leaderships.items()
+        )
+        return (
+            _parts(controller.allocation.record),
+            self.place[controller.allocation.mod_revision],
+            self.place[controller.revision],
+            self._move(controller.allocation.move),
+            tuple(sorted(leaderships)),
+        )
+
+    def _move(self, move: Move | None) -> Frozen:
+        if move is None:
+            return ()
+        return (
+            _parts(move.record),
+            tuple(sorted((key, self.place[revision]) for key, revision in move.conditions.items())),
+            tuple(sorted((shard, amounts[0]) for shard, amounts in move.outgoing.items())),
+            move.indeterminate,
+            move.resolves_earlier,
+        )
+
+
+def _parts(record: GrantRecord | None) -> Frozen:
+    return () if record is None else tuple((shard, part[0]) for shard, part in sorted(record.parts.items()))
--- a/quinceslip/quota/status_page.py
+++ b/quinceslip/quota/status_page.py
@@ -4,16 +4,18 @@
 from typing import Any
 
 from quinceslip.quota.allocations import Allocations
-from quinceslip.quota.amounts import RESOURCES, ZERO, Amounts, add, positive, shown
+from quinceslip.quota.amounts import RESOURCES, ZERO, Amounts, accumulate, add, positive, shown, subtract
 from quinceslip.quota.shard_quota import ShardQuota
-from quinceslip.quota.tree import Tree
+from quinceslip.quota.tree import Level, Tree
 
 #: levels in one answer, so that its line stays under 64 KiB (PROTOCOL)
-PAGE = 100
+MAX_LEVELS_PER_PAGE = 100
+#: what the table shows of each level
+COLUMNS = ("guaranteed", "cap", "used", "lent", "borrowed", "waiting")
 
 
 def page(
-    tree: Tree, allocations: Allocations, admissions: Mapping[int, ShardQuota], after: str, trouble: str
+    tree: Tree, allocations: Allocations, shard_quotas: Mapping[int, ShardQuota], after: str, trouble: str
 ) -> dict[str, Any]:
     """Levels in the tree's order, beginning after the one named; `more` if there are others.
 
@@ -21,61 +23,69 @@
     `lent` is the part of a level's own guarantee that it does not use.
     """
     start = tree.by_name[after].index + 1 if after in tree.by_name else 0
-    levels = tree.levels[start : start + PAGE]
-    waiting: dict[int, Amounts] = {}
-    for admission in admissions.values():
-        for claim in admission.unmet_demands.values():
-            for level in tree.path(claim.team):
-                waiting[level] = add(waiting.get(level, ZERO), claim.need)
-    found = []
-    for place in levels:
-        used, own = ZERO, ZERO
-        for index, admission in admissions.items():
-            used = add(used, admission.usage.get(place.index, ZERO))
-            if place.guaranteed:
-                own = add(own, allocations.for_guarantee(place.index).held(index))
-        lent = positive(add(own, used, -1))
-        borrowed = positive(add(used, own, -1)) if any(used) else ZERO
-        entry: dict[str, Any] = {
-            "level": place.name,
-            "parent": place.parent,
-            "depth": len(place.path) - 1,
-            "team": place.team,
-            "weight": place.weight,
-            "guaranteed": shown(place.guarantee),
-            "cap": shown(place.cap),
-            "used": shown(used),
-            "lent": shown(lent),
-            "borrowed": shown(borrowed),
-            "waiting": shown(waiting.get(place.index, ZERO)),
-        }
-        if place.capped:
-            allocation = allocations.for_cap(place.index)
-            entry["held"] = {
-                shard: shown(part)
-                for shard, part in (allocation.record.parts.items() if allocation.record is not None else ())
-            }
-            entry["over"] = min(allocation.pool()) < 0
-        found.append(entry)
+    levels = tree.levels[start : start + MAX_LEVELS_PER_PAGE]
+    waiting = _waiting_by_level(tree, shard_quotas)
     return {
         "version": tree.version,
         "in_force": allocations.newest_version,
         "trouble": trouble,
-        "shards": sorted(admissions),
-        "levels": found,
+        "shards": sorted(shard_quotas),
+        "levels": [_level_entry(level, allocations, shard_quotas, waiting.get(level.index, ZERO)) for level in levels],
         "more": start + len(levels) < len(tree.levels),
     }
 
 
+def _waiting_by_level(tree: Tree, shard_quotas: Mapping[int, ShardQuota]) -> dict[int, Amounts]:
+    waiting: dict[int, Amounts] = {}
+    for shard_quota in shard_quotas.values():
+        for demand in shard_quota.unmet_demands.values():
+            accumulate(waiting, tree.path(demand.team), demand.need)
+    return waiting
+
+
+def _level_entry(
+    level: Level, allocations: Allocations, shard_quotas: Mapping[int, ShardQuota], waiting: Amounts
+) -> dict[str, Any]:
+    used, guaranteed = ZERO, ZERO
+    for shard, shard_quota in shard_quotas.items():
+        used = add(used, shard_quota.usage.get(level.index, ZERO))
+        if level.guaranteed:
+            guaranteed = add(guaranteed, allocations.for_guarantee(level.index).held(shard))
+    borrowed = positive(subtract(used, guaranteed)) if any(used) else ZERO
+    entry: dict[str, Any] = {
+        "level": level.name,
+        "parent": level.parent,
+        "depth": len(level.path) - 1,
+        "team": level.team,
+        "weight": level.weight,
+        "guaranteed": shown(level.guarantee),
+        "cap": shown(level.cap),
+        "used": shown(used),
+        "lent": shown(positive(subtract(guaranteed, used))),
+        "borrowed": shown(borrowed),
+        "waiting": shown(waiting),
+    }
+    if level.capped:
+        allocation = allocations.for_cap(level.index)
+        parts = allocation.record.parts if allocation.record is not None else {}
+        entry["held"] = {shard: shown(part) for shard, part in parts.items()}
+        entry["over"] = min(allocation.pool()) < 0
+    return entry
+
+
 def table(levels: Iterable[dict[str, Any]]) -> list[str]:
     """One line a level; amounts as cpus/gpus/memory_gb/tasks, without what is nought or unlimited."""
-    columns = ("guaranteed", "cap", "used", "lent", "borrowed", "waiting")
-    rows = [["level", *columns]]
+    rows = [["level", *COLUMNS]]
     for level in levels:
         name = "  " * level["depth"] + level["level"] + (" (over)" if level.get("over") else "")
-        rows.append([name, *(_short(level[column]) for column in columns)])
-    widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
-    return ["  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows]
+        rows.append([name, *(_short(level[column]) for column in COLUMNS)])
+    widths = [max(map(len, cells)) for cells in zip(*rows, strict=True)]
+    return [_align(row, widths) for row in rows]
+
+
+def _align(row: list[str], widths: list[int]) -> str:
+    cells = (cell.ljust(width) for cell, width in zip(row, widths, strict=True))
+    return "  ".join(cells).rstrip()
 
 
 def _short(amounts: Mapping[str, float]) -> str:
--- a/quinceslip/quota/tree.py
+++ b/quinceslip/quota/tree.py
@@ -22,6 +22,8 @@
 )
 from quinceslip.quota.amounts import UNLIMITED as UNLIMITED
 
+_DIGEST_CHARACTERS = 16
+
 
 @dataclass(slots=True, eq=False)
 class Level:
@@ -50,62 +52,83 @@
         self.version = version
         self.levels: list[Level] = []
         self.by_name: dict[str, Level] = {}
-        rest = {level.name: level for level in levels}
-        beneath: dict[str, list[Level]] = {}
-        for level in rest.values():
-            beneath.setdefault(level.parent, []).append(level)
-        ready = beneath.get("", [])
+        self._add_all(levels)
+        self._derive_amounts()
+        #: the levels that are teams, by name
+        self.leaves: dict[str, Level] = {level.name: level for level in self.levels if level.team}
+        #: by team, the levels of its path that have a cap, and those that have a guarantee
+        self.capped: dict[str, tuple[int, ...]] = {}
+        self.guaranteed: dict[str, tuple[int, ...]] = {}
+        for leaf in self.leaves.values():
+            self.capped[leaf.name] = tuple(index for index in leaf.path if self.levels[index].capped)
+            self.guaranteed[leaf.name] = tuple(index for index in leaf.path if self.levels[index].guaranteed)
+        #: the same for trees with the same levels
+        self.digest = self._digest()
+
+    def _add_all(self, levels: Iterable[Level]) -> None:
+        """Number the levels breadth first, and tell each its path and its children."""
+        by_parent: dict[str, list[Level]] = {}
+        for level in {level.name: level for level in levels}.values():
+            by_parent.setdefault(level.parent, []).append(level)
+        ready = by_parent.get("", [])
         # Bound: the levels; each is beneath one other and comes up once.
         while ready:
             level = ready.pop(0)
-            level.index = len(self.levels)
-            self.levels.append(level)
-            self.by_name[level.name] = level
-            parent = self.by_name.get(level.parent)
-            level.path = (level.index, *(parent.path if parent else ()))
-            if parent is not None:
-                parent.children.append(level.index)
-            ready += beneath.get(level.name, [])
-        self._derive()
-        self.leaves: dict[str, Level] = {level.name: level for level in self.levels if level.team}
-        #: by team, the levels of its path that have a cap, and those that have a guarantee
-        self.capped = {v.name: tuple(i for i in v.path if self.levels[i].capped) for v in self.leaves.values()}
-        self.guaranteed = {v.name: tuple(i for i in v.path if self.levels[i].guaranteed) for v in self.leaves.values()}
-        self.digest = hashlib.sha256(
-            "\n".join(sorted(f"{v.name} {v.parent} {v.weight} {v.cap} {v.guarantee}" for v in self.levels)).encode()
-        ).hexdigest()[:16]
+            self._add(level)
+            ready += by_parent.get(level.name, [])
 
-    def _derive(self) -> None:
+    def _add(self, level: Level) -> None:
+        level.index = len(self.levels)
+        self.levels.append(level)
+        self.by_name[level.name] = level
+        parent = self.by_name.get(level.parent)
+        if parent is None:
+            level.path = (level.index,)
+        else:
+            level.path = (level.index, *parent.path)
+            parent.children.append(level.index)
+
+    def _derive_amounts(self) -> None:
         """A level that states no guarantee has what its children have together."""
         for level in reversed(self.levels):
             if not any(level.guarantee) and level.children:
-                total = ZERO
-                for child in level.children:
-                    given = self.levels[child]
-                    if given.guaranteed:
-                        total = add(total, given.guarantee)
-                level.guarantee = least(total, UNLIMITED_AMOUNTS)
+                level.guarantee = self._guarantee_of_children(level)
             level.capped = min(level.cap) < UNLIMITED
-            level.guaranteed = any(0 < a < UNLIMITED for a in level.guarantee)
+            level.guaranteed = any(0 < amount < UNLIMITED for amount in level.guarantee)
+
+    def _guarantee_of_children(self, level: Level) -> Amounts:
+        total = ZERO
+        for index in level.children:
+            child = self.levels[index]
+            if child.guaranteed:
+                total = add(total, child.guarantee)
+        return least(total, UNLIMITED_AMOUNTS)
+
+    def _digest(self) -> str:
+        lines = (f"{v.name} {v.parent} {v.weight} {v.cap} {v.guarantee}" for v in self.levels)
+        return hashlib.sha256("\n".join(sorted(lines)).encode()).hexdigest()[:_DIGEST_CHARACTERS]
 
     def path(self, team: str) -> tuple[int, ...]:
-        """The levels above a team and its own, leaf first; empty for a team that is not in the tree."""
+        """The team's own level and those above it, leaf first; empty for a team that is not in the tree."""
         leaf = self.leaves.get(team)
         return leaf.path if leaf is not None else ()
 
     def parting(self, one: str, other: str) -> tuple[int, int] | None:
-        """Where the paths of two teams part: the level on either side, siblings of each other."""
-        mine, theirs = self.path(one), self.path(other)
-        if not mine or not theirs or one == other:
+        """Where the paths of two teams part: the level on either side, siblings of each other.
+
+        None where a team is not in the tree, or both are the same.
+        """
+        path, other_path = self.path(one), self.path(other)
+        if not path or not other_path or one == other:
             return None
         place = 1
         # Bound: the shorter of the two paths.
-        while place <= min(len(mine), len(theirs)) and mine[-place] == theirs[-place]:
+        while place <= min(len(path), len(other_path)) and path[-place] == other_path[-place]:
             place += 1
-        return mine[-place], theirs[-place]
+        return path[-place], other_path[-place]
 
     def never_fits(self, spec: m.JobSpec) -> str | None:
-        """The level under which a job can never run, and the amount; None if it may.
+        """The level under which a job can never run, and the amount, for its user; None if it may run.
 
         An array needs room for one task, a service or gang for all of them (PROTOCOL, 422).
         """
@@ -115,6 +138,6 @@
             level = self.levels[index]
             for kind in range(KINDS):
                 if need[kind] > level.cap[kind]:
-                    has, asked = level.cap[kind] / SCALE[kind], need[kind] / SCALE[kind]
-                    return f"over the limit of {level.name}: {RESOURCES[kind]} {asked:g}, at most {has:g}"
+                    cap, asked = level.cap[kind] / SCALE[kind], need[kind] / SCALE[kind]
+                    return f"over the limit of {level.name}: {RESOURCES[kind]} {asked:g}, at most {cap:g}"
         return None
