--- a/quinceslip/quota/admission.py
+++ b/quinceslip/quota/admission.py
@@ -81,7 +81,7 @@
         return self.last_refused_by_target
 
     def startable(self, spec: m.JobSpec, max_count: int, granted_by_level: dict[int, Amounts]) -> int:
-        """How many of `max_count` tasks machines may be rented for: what the shard holds or can take from pools.
+        """How many of `max_count` tasks may have machines added for them: as the shard holds, or can take from pools.
 
         `granted_by_level` adds up, by level, what was answered before in the same plan.
         """
--- a/quinceslip/quota/allocation.py
+++ b/quinceslip/quota/allocation.py
@@ -11,9 +11,8 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-import msgspec
-
 from quinceslip.quota.amounts import UNLIMITED, ZERO, Amounts, add, amounts_of, least, positive, subtract
+from quinceslip.quota.quota_records import GrantRecord
 
 
 class Guard(StrEnum):
@@ -50,18 +49,6 @@
     INDETERMINATE = "indeterminate"
 
 
-class GrantRecord(msgspec.Struct, omit_defaults=True):
-    """What each shard holds of one allocation, in units of `amounts.Amounts`; uncapped resources stay 0."""
-
-    #: the version of the tree whose amounts this is
-    version: int
-    total: list[int]
-    #: the level above when it was written: a level that moved is another level
-    parent: str = ""
-    #: by shard
-    parts: dict[str, list[int]] = {}
-
-
 @dataclass(slots=True)
 class Move:
     """A change of a record on its way to the key-value store."""
--- a/quinceslip/quota/allocation_giving.py
+++ b/quinceslip/quota/allocation_giving.py
@@ -7,13 +7,13 @@
 
 from quinceslip.coordination.actor.effects import Urgency
 from quinceslip.coordination.actor.timing import SECOND
-from quinceslip.quota import allocations as keys
 from quinceslip.quota.allocation import Allocation
 from quinceslip.quota.allocation_writer import MoveBatch
-from quinceslip.quota.allocations import LevelAmount, Wanted, WantRecord
+from quinceslip.quota.allocations import LevelAmount
 from quinceslip.quota.amounts import ZERO, Amounts, add, amounts_of, least, positive, subtract
 from quinceslip.quota.preemption import RoomRequest
 from quinceslip.quota.quota_context import QuotaContext
+from quinceslip.quota.quota_records import WANT, AmountKind, Wanted, WantRecord
 from quinceslip.quota.shard_quota import ShardQuota
 from quinceslip.quota.shortfalls import usage_and_demand
 from quinceslip.quota.unmet_demand import UnmetDemand
@@ -36,7 +36,7 @@
 
     def want_record_changed(self, shard: int) -> bool:
         """The cache has another want record of a shard, or none any more; whether there is one."""
-        if str(shard) in self.quota.actor.cache.by_kind[keys.WANT]:
+        if str(shard) in self.quota.actor.cache.by_kind[WANT]:
             self.wanted_since_us.setdefault(shard, self.quota.actor.now_us)
             return True
         self.wanted_since_us.pop(shard, None)
@@ -45,9 +45,7 @@
     def give_to_others(self, shard: int, shard_quota: ShardQuota) -> None:
         """Give other shards what this one holds and does not use, earliest demands first."""
         want_records: dict[int, WantRecord] = {
-            int(name): record
-            for name, record in self.quota.actor.cache.by_kind[keys.WANT].items()
-            if int(name) != shard
+            int(name): record for name, record in self.quota.actor.cache.by_kind[WANT].items() if int(name) != shard
         }
         if not want_records:
             return
@@ -86,7 +84,7 @@
             if place is None or self.batch.is_full:
                 continue
             lacking = self._give_amount(asker, place, amounts_of(amounts), wanted)
-            if place.kind == keys.CAP and any(lacking):
+            if place.kind == AmountKind.CAP and any(lacking):
                 still_lacking[place.level] = least(lacking, wanted.unit)
         if not still_lacking or wanted.order.without_machines:
             return
@@ -111,7 +109,7 @@
     def _usage_to_keep(self, place: LevelAmount, wanted: Wanted | None) -> tuple[Allocation, Amounts]:
         """An allocation, and how much of it this shard keeps for its own tasks."""
         level = place.level
-        if place.kind == keys.OWN:
+        if place.kind == AmountKind.GUARANTEE:
             return self.quota.allocations.for_guarantee(level), usage_and_demand(self.shard_quota, level)
         used = self.shard_quota.usage.get(level, ZERO)
         if wanted is not None:
--- a/quinceslip/quota/allocation_manager.py
+++ b/quinceslip/quota/allocation_manager.py
@@ -15,13 +15,12 @@
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.shard.shard import Shard
 from quinceslip.protocol import messages as m
-from quinceslip.quota import allocations as keys
-from quinceslip.quota.allocation import GrantRecord
 from quinceslip.quota.allocation_giving import GIVE_INTERVAL_US, AllocationGiver
 from quinceslip.quota.allocation_writer import AllocationWriter
-from quinceslip.quota.allocations import Allocations, TreeRecord, WantRecord
+from quinceslip.quota.allocations import Allocations
 from quinceslip.quota.pool_taking import PoolTaker
 from quinceslip.quota.quota_context import QuotaContext
+from quinceslip.quota.quota_records import GRANT, TREE, WANT, GrantRecord, TreeRecord, WantRecord
 from quinceslip.quota.shard_quota import ShardQuota
 from quinceslip.quota.shortfall_publishing import ShortfallPublisher
 from quinceslip.quota.shortfalls import Shortfalls
@@ -33,7 +32,7 @@
 class AllocationManager(Subsystem):
     """The subsystem of a controller that keeps quotas."""
 
-    kinds = {keys.GRANT: GrantRecord, keys.WANT: WantRecord, keys.TREE: TreeRecord}
+    kinds = {GRANT: GrantRecord, WANT: WantRecord, TREE: TreeRecord}
     questions = ("quota",)
 
     def __init__(self, tree: Tree, ctx: Context, election: LeaderElection, shards: dict[int, Shard]) -> None:
@@ -61,13 +60,13 @@
 
     def record_changed(self, kind: str, name: str) -> None:
         """One of the records of quotas changed in the cache."""
-        if kind == keys.GRANT:
+        if kind == GRANT:
             self.allocations.changed(name)
             self._writer.request_placement()
-        elif kind == keys.WANT:
+        elif kind == WANT:
             if self._giver.want_record_changed(int(name)):
                 self._next_exchange_us = min(self._next_exchange_us, self.ctx.now_us)
-        elif kind == keys.TREE:
+        elif kind == TREE:
             self._tree_updater.tree_record_changed()
 
     def never_runs_reason(self, spec: m.JobSpec) -> str | None:
--- a/quinceslip/quota/allocations.py
+++ b/quinceslip/quota/allocations.py
@@ -1,75 +1,27 @@
-"""The allocations of all levels as one controller knows them, with their records and keys in the key-value store."""
+"""The allocations of all levels as one controller knows them."""
 
 from typing import NamedTuple
-from urllib.parse import quote, unquote
-
-import msgspec
-
-from quinceslip.quota.allocation import Allocation, GrantRecord
+from urllib.parse import unquote
+
+from quinceslip.quota.allocation import Allocation
+from quinceslip.quota.quota_records import GRANT as GRANT
+from quinceslip.quota.quota_records import TREE_KEY as TREE_KEY
+from quinceslip.quota.quota_records import AmountKind, GrantRecord, grant_key
+from quinceslip.quota.quota_records import grant_name as grant_name
+from quinceslip.quota.quota_records import want_key as want_key
 from quinceslip.quota.tree import Tree
-from quinceslip.storage import records
 from quinceslip.storage.cache import StoreCache
 
-#: kinds of records
-GRANT, WANT, TREE = "grant", "want", "tree"
-#: what an allocation is of, as its key says: the cap of a level, or its guarantee
-CAP, OWN = "cap", "own"
-TREE_KEY = f"{records.PREFIX}{TREE}"
-
-
-class TreeRecord(msgspec.Struct):
-    """The newest tree that any controller was started with."""
-
-    version: int
-    digest: str
-
-
-class DemandOrder(NamedTuple):
-    """Which of two unmet demands comes first: the smaller one, a total order over all shards."""
-
-    #: 0 where machines have room for it, else 1
-    without_machines: int
-    priority: int
-    submitted_us: int
-    job_id: str
-
-
-class Wanted(msgspec.Struct):
-    """One unmet demand that a shard cannot meet from the pools."""
-
-    team: str
-    unit: list[int]
-    #: by key of an allocation, how much the shard lacks
-    shortfall: dict[str, list[int]] = msgspec.field(name="lacks")
-    order: DemandOrder
-    #: names of levels within whose guarantee it would be
-    covering_guarantees: list[str] = msgspec.field(name="rests_on")
-
-
-class WantRecord(msgspec.Struct, omit_defaults=True):
-    """What one shard asks the others for."""
-
-    demands: list[Wanted] = msgspec.field(name="claims", default_factory=list)
-    #: by key of an allocation, how much of guarantees the running and waiting tasks of the shard lack
-    guarantees: dict[str, list[int]] = msgspec.field(name="own", default_factory=dict)
-
-
-def grant_name(level: str, kind: str) -> str:
-    """The name of the record of a level's cap or guarantee, beneath the kind `grant`."""
-    return f"{kind}/{quote(level, safe='')}"
-
-
-def want_key(shard: int) -> str:
-    """The key of the record of what a shard asks the others for."""
-    return f"{records.PREFIX}{WANT}/{shard}"
+#: used by tests under this name
+CAP = AmountKind.CAP
+_AMOUNT_KINDS = frozenset(AmountKind)
 
 
 class LevelAmount(NamedTuple):
     """What an allocation is of."""
 
     level: int
-    #: CAP or OWN
-    kind: str
+    kind: AmountKind
 
 
 class Allocations:
@@ -90,32 +42,32 @@
 
     def for_cap(self, level: int) -> Allocation:
         """The allocation of a level's cap."""
-        return self._caps.get(level) or self._make(self._caps, level, CAP)
+        return self._caps.get(level) or self._make(self._caps, level, AmountKind.CAP)
 
     def for_guarantee(self, level: int) -> Allocation:
         """The allocation of a level's guarantee."""
-        return self._guarantees.get(level) or self._make(self._guarantees, level, OWN)
+        return self._guarantees.get(level) or self._make(self._guarantees, level, AmountKind.GUARANTEE)
 
     def of(self, amount: LevelAmount) -> Allocation:
         """The allocation of a level's cap or of its guarantee."""
-        return self.for_cap(amount.level) if amount.kind == CAP else self.for_guarantee(amount.level)
+        return self.for_cap(amount.level) if amount.kind is AmountKind.CAP else self.for_guarantee(amount.level)
 
-    def _make(self, allocations: dict[int, Allocation], index: int, kind: str) -> Allocation:
+    def _make(self, allocations: dict[int, Allocation], index: int, kind: AmountKind) -> Allocation:
         level = self.tree.levels[index]
         name = grant_name(level.name, kind)
-        total = level.cap if kind == CAP else level.guarantee
-        allocation = Allocation(f"{records.PREFIX}{GRANT}/{name}", total, self.tree.version, level.parent)
+        total = level.cap if kind is AmountKind.CAP else level.guarantee
+        allocation = Allocation(grant_key(name), total, self.tree.version, level.parent)
         allocations[index] = self.by_name[name] = allocation
         self.changed(name)
         return allocation
 
     def place(self, key: str) -> LevelAmount | None:
         """What the allocation with that key is of; None where this tree has no such level."""
-        kind, _, name = key[len(f"{records.PREFIX}{GRANT}/") :].partition("/")
+        kind, _, name = key[len(grant_key("")) :].partition("/")
         level = self.tree.by_name.get(unquote(name))
-        if level is None or kind not in (CAP, OWN):
+        if level is None or kind not in _AMOUNT_KINDS:
             return None
-        return LevelAmount(level.index, kind)
+        return LevelAmount(level.index, AmountKind(kind))
 
     def changed(self, name: str) -> None:
         """The cache has another record of an allocation."""
@@ -125,7 +77,7 @@
         record: GrantRecord | None = self.cache.by_kind[GRANT].get(name)
         allocation.record_changed(record, self.cache.mod_revision(allocation.key))
         place = self.place(allocation.key)
-        if place is not None and place.kind == CAP and min(allocation.pool()) < 0:
+        if place is not None and place.kind is AmountKind.CAP and min(allocation.pool()) < 0:
             self.exceeded[name] = place.level
         else:
             self.exceeded.pop(name, None)
--- a/quinceslip/quota/bench.py
+++ b/quinceslip/quota/bench.py
@@ -16,13 +16,12 @@
 from quinceslip.coordination.shard.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import Settings, Tuning
-from quinceslip.quota.allocation import GrantRecord
 from quinceslip.quota.allocation_manager import AllocationManager
-from quinceslip.quota.allocations import CAP, GRANT, OWN, Allocations, grant_name
+from quinceslip.quota.allocations import Allocations
 from quinceslip.quota.amounts import UNLIMITED, Amounts
+from quinceslip.quota.quota_records import AmountKind, GrantRecord, grant_key, grant_name
 from quinceslip.quota.shard_quota import ShardQuota
 from quinceslip.quota.tree import Tree
-from quinceslip.storage import records
 
 ZONE = "z"
 
@@ -42,7 +41,7 @@
 
 
 class PassResult(NamedTuple):
-    """How many tasks one pass has started, and how many it has told to stop."""
+    """How many tasks one pass has started, and how many it stops."""
 
     started: int
     stopped: int
@@ -69,14 +68,14 @@
     def _grant_all(self, tree: Tree) -> None:
         for level in tree.levels:
             if level.capped:
-                self._grant(grant_name(level.name, CAP), level.cap)
+                self._grant(grant_name(level.name, AmountKind.CAP), level.cap)
             if level.guaranteed:
-                self._grant(grant_name(level.name, OWN), level.guarantee)
+                self._grant(grant_name(level.name, AmountKind.GUARANTEE), level.guarantee)
 
     def _grant(self, name: str, amounts: Amounts) -> None:
         part = [amount if amount < UNLIMITED else 0 for amount in amounts]
         total = [amount if amount < UNLIMITED else -1 for amount in amounts]
-        self.ctx.cache.store(f"{records.PREFIX}{GRANT}/{name}", GrantRecord(0, total, parts={"0": part}), 1)
+        self.ctx.cache.store(grant_key(name), GrantRecord(0, total, parts={"0": part}), 1)
 
     def _add_machine(self, name: str, machine_type: m.MachineType) -> None:
         self.state.workers[name] = Worker(
--- a/quinceslip/quota/commands.py
+++ b/quinceslip/quota/commands.py
@@ -68,7 +68,7 @@
     if not interval_allowed or not 0 < for_s <= MAX_RECORDING_DAYS * _DAY_S:
         raise SettingsError(f"--every {every_s:g} --for {for_s:g}: must be 0.05 to 3600, and up to 30 days")
     for address in addresses:
-        fetch(address)  # one that gives none is told at once
+        fetch(address)  # one that gives none is reported at once
     with path.open("w", encoding="utf-8") as out:
         samples = record(fetch, addresses, every_s, for_s, out)
     return f"{path}: {samples} samples"
--- a/quinceslip/quota/model.py
+++ b/quinceslip/quota/model.py
@@ -9,7 +9,8 @@
 from typing import NamedTuple
 
 from quinceslip.quota.allocation import ALL_GUARDS
-from quinceslip.quota.model_world import Frozen, Step, StepKind, World
+from quinceslip.quota.model_states import Frozen, freeze
+from quinceslip.quota.model_world import Step, StepKind, World
 
 #: every kind of step
 STEPS = tuple(StepKind)
@@ -50,20 +51,18 @@
     """
     guards = ALL_GUARDS - {without}
     firsts = [World(shards, controllers, total, guards), World(shards, controllers, total, guards).grant_all()]
-    origins: dict[Frozen, _Origin | None] = {first.freeze(): None for first in firsts}
-    queue = deque([(first, first.freeze(), 0) for first in firsts])
+    origins: dict[Frozen, _Origin | None] = {freeze(first): None for first in firsts}
+    queue = deque([(first, freeze(first), 0) for first in firsts])
     reached = 0
     # Bound: the states within `depth`; each is queued once.
     while queue:
         world, name, reached = queue.popleft()
         if reached == depth:
             continue
-        for step in list(world.steps()):
-            if only and step.kind not in only:
-                continue
+        for step in [step for step in world.steps() if not only or step.kind in only]:
             after = world.copy()
             after.act(step)
-            frozen = after.freeze()
+            frozen = freeze(after)
             if frozen in origins:
                 continue
             origins[frozen] = _Origin(name, step)
--- a/quinceslip/quota/model_world.py
+++ b/quinceslip/quota/model_world.py
@@ -11,8 +11,9 @@
 from enum import Enum, StrEnum, auto
 from typing import NamedTuple
 
-from quinceslip.quota.allocation import Allocation, GrantRecord, Move, MoveOutcome, may_start
+from quinceslip.quota.allocation import Allocation, Move, MoveOutcome, may_start
 from quinceslip.quota.amounts import UNLIMITED, Amounts
+from quinceslip.quota.quota_records import GrantRecord
 
 #: the key of the allocation's record
 KEY = "allocation"
@@ -21,9 +22,6 @@
 #: transactions on their way at the same time
 MAX_TRANSACTIONS = 2
 
-#: a state in a form that can be compared and hashed
-Frozen = tuple[object, ...]
-
 
 class StepKind(StrEnum):
     """Every kind of step; the values are those of the command line."""
@@ -309,84 +307,9 @@
         leaderships = {shard: leadership.copy() for shard, leadership in controller.leaderships.items()}
         return ModelController(allocation, controller.revision, leaderships)
 
-    def freeze(self) -> Frozen:
-        """One value for all states that differ only in how large their revisions are."""
-        return _Freezer(self).freeze()
-
 
 def _copy_move(move: Move, copies: dict[int, Move]) -> Move:
     """The one copy of a move; `copies` keeps it by the identity of the original."""
     if id(move) not in copies:
         copies[id(move)] = Move(move.record, move.conditions, move.outgoing, move.indeterminate, move.resolves_earlier)
     return copies[id(move)]
-
-
-class _Freezer:
-    """Replaces the revisions of a world by their places in order."""
-
-    def __init__(self, world: World) -> None:
-        self.world = world
-        self.place = {revision: place for place, revision in enumerate(sorted(self._revisions()))}
-
-    def _revisions(self) -> set[int]:
-        world = self.world
-        revisions = {0, world.revision, world.mod_revision, *world.leader_revisions, *world.terms_seen}
-        for controller in world.controllers:
-            revisions |= {controller.revision, controller.allocation.mod_revision}
-            revisions |= {leadership.mod_revision for leadership in controller.leaderships.values()}
-            if controller.allocation.move is not None:
-                revisions |= set(controller.allocation.move.conditions.values())
-        for transaction in world.transactions:
-            revisions |= set(transaction.move.conditions.values())
-        return revisions
-
-    def freeze(self) -> Frozen:
-        world, place = self.world, self.place
-        return (
-            _parts(world.record),
-            place[world.mod_revision],
-            place[world.revision],
-            tuple(place[revision] for revision in world.leader_revisions),
-            tuple(world.running),
-            tuple(place[term] for term in world.terms_seen),
-            tuple(self._transaction(transaction) for transaction in world.transactions),
-            tuple(self._controller(controller) for controller in world.controllers),
-        )
-
-    def _transaction(self, transaction: Transaction) -> Frozen:
-        controller = self.world.controllers[transaction.controller]
-        return (
-            transaction.controller,
-            self._move(transaction.move),
-            transaction.state,
-            transaction.ended,
-            controller.allocation.move is transaction.move,
-        )
-
-    def _controller(self, controller: ModelController) -> Frozen:
-        leaderships = (
-            (shard, self.place[leadership.mod_revision], leadership.used, leadership.reconciled)
-            for shard, leadership in controller.leaderships.items()
-        )
-        return (
-            _parts(controller.allocation.record),
-            self.place[controller.allocation.mod_revision],
-            self.place[controller.revision],
-            self._move(controller.allocation.move),
-            tuple(sorted(leaderships)),
-        )
-
-    def _move(self, move: Move | None) -> Frozen:
-        if move is None:
-            return ()
-        return (
-            _parts(move.record),
-            tuple(sorted((key, self.place[revision]) for key, revision in move.conditions.items())),
-            tuple(sorted((shard, amounts[0]) for shard, amounts in move.outgoing.items())),
-            move.indeterminate,
-            move.resolves_earlier,
-        )
-
-
-def _parts(record: GrantRecord | None) -> Frozen:
-    return () if record is None else tuple((shard, part[0]) for shard, part in sorted(record.parts.items()))
--- a/quinceslip/quota/shard_quota.py
+++ b/quinceslip/quota/shard_quota.py
@@ -14,7 +14,7 @@
 from quinceslip.coordination.shard.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.quota.admission import QuotaAdmission
-from quinceslip.quota.allocations import Allocations, DemandOrder
+from quinceslip.quota.allocations import Allocations
 from quinceslip.quota.amounts import ZERO, Amounts, accumulate, add, positive, subtract, task_amounts, times, within
 from quinceslip.quota.preemption import (
     MAX_PREEMPTING_PRIORITY,
@@ -24,6 +24,7 @@
     VictimSearch,
     preemption_order,
 )
+from quinceslip.quota.quota_records import DemandOrder
 from quinceslip.quota.tree import Tree
 from quinceslip.quota.unmet_demand import UnmetDemand
 from quinceslip.quota.usage import Reservation
--- a/quinceslip/quota/shortfall_publishing.py
+++ b/quinceslip/quota/shortfall_publishing.py
@@ -3,11 +3,10 @@
 import msgspec
 
 from quinceslip.coordination.actor.timing import SECOND
-from quinceslip.quota import allocations as keys
 from quinceslip.quota.allocation import Allocation
-from quinceslip.quota.allocations import Wanted, WantRecord
 from quinceslip.quota.amounts import Amounts, add, least, positive, subtract
 from quinceslip.quota.quota_context import QuotaContext
+from quinceslip.quota.quota_records import WANT, Wanted, WantRecord, want_key
 from quinceslip.quota.shard_quota import ShardQuota
 from quinceslip.quota.shortfalls import Shortfalls
 from quinceslip.quota.unmet_demand import UnmetDemand
@@ -31,14 +30,14 @@
         """Say durably what the pools lack; the record goes when nothing is wanted any more."""
         ctx = self.quota.actor
         record = self._want_record(shard, shard_quota)
-        known: WantRecord | None = ctx.cache.by_kind[keys.WANT].get(str(shard))
+        known: WantRecord | None = ctx.cache.by_kind[WANT].get(str(shard))
         if record == known:
             return
         published_lately = ctx.now_us < self._published_us.get(shard, 0) + REPUBLISH_US
         if published_lately and record is not None and known is not None and _asks_for(record) == _asks_for(known):
             return  # only the amounts are others: holders give by halves of what idles anyway
         self._published_us[shard] = ctx.now_us
-        key = keys.want_key(shard)
+        key = want_key(shard)
         conditions = {**self.quota.election.fencing_condition(shard), key: ctx.cache.mod_revision(key)}
         self.quota.writer.write_record(key, conditions, record)
 
--- a/quinceslip/quota/tree_updates.py
+++ b/quinceslip/quota/tree_updates.py
@@ -3,10 +3,10 @@
 import logging
 
 from quinceslip.coordination.actor.effects import Urgency
-from quinceslip.quota import allocations as keys
-from quinceslip.quota.allocations import TreeRecord
+from quinceslip.quota.allocations import LevelAmount
 from quinceslip.quota.amounts import ZERO, positive, shown, times
 from quinceslip.quota.quota_context import QuotaContext
+from quinceslip.quota.quota_records import GRANT, TREE, TREE_KEY, AmountKind, TreeRecord, grant_name
 from quinceslip.quota.shard_quota import ShardQuota
 
 log = logging.getLogger(__name__)
@@ -34,7 +34,7 @@
 
     def tree_record_changed(self) -> None:
         """The cache has another tree record."""
-        record: TreeRecord | None = self.quota.actor.cache.by_kind[keys.TREE].get("")
+        record: TreeRecord | None = self.quota.actor.cache.by_kind[TREE].get("")
         newest_version, same_version_differs = self.tree.version, False
         if record is not None:
             newest_version = max(self.tree.version, record.version)
@@ -61,11 +61,11 @@
     def write_tree_record(self) -> None:
         """Put this controller's tree into force where it is the newest."""
         cache = self.quota.actor.cache
-        record: TreeRecord | None = cache.by_kind[keys.TREE].get("")
+        record: TreeRecord | None = cache.by_kind[TREE].get("")
         if self.quota.shard_quotas and (record is None or record.version < self.tree.version):
             self.quota.writer.write_record(
-                keys.TREE_KEY,
-                {keys.TREE_KEY: cache.mod_revision(keys.TREE_KEY)},
+                TREE_KEY,
+                {TREE_KEY: cache.mod_revision(TREE_KEY)},
                 TreeRecord(self.tree.version, self.tree.digest),
             )
 
@@ -97,10 +97,10 @@
         # Bound: the levels of the tree.
         while self._levels_refreshed < len(levels) and len(batch.moves) + _RECORDS_PER_LEVEL <= batch.max_moves:
             level = levels[self._levels_refreshed]
-            for kind in (keys.CAP, keys.OWN):
-                if self._is_stale(keys.grant_name(level.name, kind)):
+            for kind in (AmountKind.CAP, AmountKind.GUARANTEE):
+                if self._is_stale(grant_name(level.name, kind)):
                     self._found_stale = True
-                    allocation = self.quota.allocations.of(keys.LevelAmount(level.index, kind))
+                    allocation = self.quota.allocations.of(LevelAmount(level.index, kind))
                     batch.add(allocation, allocation.rewrite(fencing))
             self._levels_refreshed += 1
         if self._levels_refreshed >= len(levels) and self._found_stale:
@@ -108,7 +108,7 @@
         self.quota.writer.send(batch, Urgency.REST)
 
     def _is_stale(self, name: str) -> bool:
-        record = self.quota.actor.cache.by_kind[keys.GRANT].get(name)
+        record = self.quota.actor.cache.by_kind[GRANT].get(name)
         return record is not None and record.version < self.tree.version
 
     # Lowered caps.
--- a/quinceslip/quota/unmet_demand.py
+++ b/quinceslip/quota/unmet_demand.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 
 from quinceslip.protocol import messages as m
-from quinceslip.quota.allocations import DemandOrder
 from quinceslip.quota.amounts import Amounts
+from quinceslip.quota.quota_records import DemandOrder
 
 
 @dataclass(slots=True)
--- a/quinceslip/quota/usage.py
+++ b/quinceslip/quota/usage.py
@@ -34,7 +34,7 @@
     until_us: int
     #: the job waits in this shard; else its shard gets the room as an allocation
     waits_here: bool
-    #: what was told to stop for it
+    #: the attempts that were stopped for it
     stopping: list[Attempt] = field(default_factory=list)
     #: what others may have of it, since no machine could take the job
     released: Amounts = ZERO
@@ -49,7 +49,7 @@
         self.state = state
         #: by level; only levels that are in use
         self.usage: dict[int, Amounts] = {}
-        #: the part of it that was told to stop
+        #: the part of it that is stopping
         self.stopping_usage: dict[int, Amounts] = {}
         #: the attempts that are counted, by team
         self.teams: dict[str, dict[Attempt, None]] = {}
@@ -106,7 +106,7 @@
             self.unsettled_attempts[attempt] = None
 
     def attempt_stopping(self, attempt: Attempt) -> None:
-        """An attempt was told to stop; its usage stays until it has ended."""
+        """An attempt is being stopped; its usage stays until it has ended."""
         if attempt.counted_usage is not None and not attempt.counted_as_stopping:
             attempt.counted_as_stopping = True
             accumulate(self.stopping_usage, self.tree.path(attempt.spec.team), attempt.counted_usage)
@@ -130,7 +130,7 @@
                 self.attempt_removed(attempt)
 
     def net_usage(self, level: int) -> Amounts:
-        """The usage of a level without what was told to stop."""
+        """The usage of a level without what is stopping."""
         return subtract(self.usage.get(level, ZERO), self.stopping_usage.get(level, ZERO))
 
     def usage_known(self) -> bool:
