--- a/quinceslip/quota/shard_quota.py
+++ b/quinceslip/quota/shard_quota.py
@@ -234,7 +234,7 @@
             self.wanted_room[spec.job_id] = times(task_amounts(spec), request.count)
             return None
         for victim in search.chosen:
-            log.info("%s makes room for %s, by quotas", victim.name, spec.job_id)
+            log.info("attempt preempted by quotas attempt=%s job=%s", victim.name, spec.job_id)
             self.state.stop(victim, 0.0)
         return search.chosen
 
--- a/quinceslip/quota/tree_updates.py
+++ b/quinceslip/quota/tree_updates.py
@@ -124,7 +124,7 @@
             if name not in self._logged_exceeded:
                 self._logged_exceeded.add(name)
                 log.info(
-                    "%s is over its cap by %s: what runs goes on, nothing new starts",
+                    "level over cap level=%s excess=%s: running tasks go on, nothing new starts",
                     self.tree.levels[level].name,
                     shown(excess),
                 )
