--- a/quinceslip/quota/tree.py
+++ b/quinceslip/quota/tree.py
@@ -1,65 +1,28 @@
-"""The tree of levels and its arithmetic. No I/O, no clock.
+"""The tree of quota levels: tenants, their groups and their teams, with caps, guarantees and weights.
 
-Amounts are whole thousandths of CPUs, GPUs and GB, and whole tasks, so that sums over thousands of tasks
-are exact: floats would let a level exceed its cap by what they round.
+No I/O, no clock. The operators' file is read by `config.py`.
 """
 
 import hashlib
-from collections.abc import Iterable, Sequence
+from collections.abc import Iterable
 from dataclasses import dataclass, field
-from math import ceil
 
 from quinceslip.protocol import messages as m
-
-RESOURCES = ("cpus", "gpus", "memory_gb", "tasks")
-#: how many units of an amount make one of what operators write
-SCALE = (1000, 1000, 1000, 1)
-KINDS = len(RESOURCES)
-#: no cap, or a resource that a guarantee does not speak of
-UNLIMITED = 1 << 60
-#: CPUs, GPUs, memory, tasks
-Amounts = tuple[int, int, int, int]
-ZERO: Amounts = (0, 0, 0, 0)
-#: rounding of decimal input: 0.1 + 0.2 is still 0.3
-ROUNDING = 1e-6
-
-
-def task_amounts(spec: m.JobSpec) -> Amounts:
-    """What one task of a job takes; rounded up, so that what is counted is never less than what is used."""
-    return (
-        ceil(spec.cpus * 1000 - ROUNDING),
-        ceil(spec.gpus * 1000 - ROUNDING),
-        ceil(spec.memory_gb * 1000 - ROUNDING),
-        1,
-    )
-
-
-def add(a: Sequence[int], b: Sequence[int], times: int = 1) -> Amounts:
-    return (a[0] + b[0] * times, a[1] + b[1] * times, a[2] + b[2] * times, a[3] + b[3] * times)
-
-
-def times(a: Sequence[int], count: int) -> Amounts:
-    return (a[0] * count, a[1] * count, a[2] * count, a[3] * count)
-
-
-def least(a: Sequence[int], b: Sequence[int]) -> Amounts:
-    return (min(a[0], b[0]), min(a[1], b[1]), min(a[2], b[2]), min(a[3], b[3]))
-
-
-def positive(a: Sequence[int]) -> Amounts:
-    return (max(a[0], 0), max(a[1], 0), max(a[2], 0), max(a[3], 0))
-
-
-def within(a: Sequence[int], b: Sequence[int]) -> bool:
-    """Whether `a` fits into `b` in every resource."""
-    return a[0] <= b[0] and a[1] <= b[1] and a[2] <= b[2] and a[3] <= b[3]
-
-
-def shown(amounts: Sequence[int]) -> dict[str, float]:
-    """An amount as operators write it; what is unlimited is left out."""
-    return {
-        name: value / scale for name, value, scale in zip(RESOURCES, amounts, SCALE, strict=True) if value < UNLIMITED
-    }
+from quinceslip.quota.amounts import (
+    KINDS,
+    RESOURCES,
+    SCALE,
+    UNLIMITED_AMOUNTS,
+    ZERO,
+    Amounts,
+    add,
+    least,
+    task_amounts,
+    times,
+)
+from quinceslip.quota.amounts import UNLIMITED as UNLIMITED
+
+_DIGEST_CHARACTERS = 16
 
 
 @dataclass(slots=True, eq=False)
@@ -69,7 +32,7 @@
     name: str
     parent: str = ""
     weight: float = 1.0
-    cap: Amounts = (UNLIMITED,) * 4
+    cap: Amounts = UNLIMITED_AMOUNTS
     #: what this level need not wait for others to get; all zero: nothing
     guarantee: Amounts = ZERO
     team: bool = False
@@ -89,62 +52,83 @@
         self.version = version
         self.levels: list[Level] = []
         self.by_name: dict[str, Level] = {}
-        rest = {level.name: level for level in levels}
-        beneath: dict[str, list[Level]] = {}
-        for level in rest.values():
-            beneath.setdefault(level.parent, []).append(level)
-        ready = beneath.get("", [])
+        self._add_all(levels)
+        self._derive_amounts()
+        #: the levels that are teams, by name
+        self.leaves: dict[str, Level] = {level.name: level for level in self.levels if level.team}
+        #: by team, the levels of its path that have a cap, and those that have a guarantee
+        self.capped: dict[str, tuple[int, ...]] = {}
+        self.guaranteed: dict[str, tuple[int, ...]] = {}
+        for leaf in self.leaves.values():
+            self.capped[leaf.name] = tuple(index for index in leaf.path if self.levels[index].capped)
+            self.guaranteed[leaf.name] = tuple(index for index in leaf.path if self.levels[index].guaranteed)
+        #: the same for trees with the same levels
+        self.digest = self._digest()
+
+    def _add_all(self, levels: Iterable[Level]) -> None:
+        """Number the levels breadth first, and tell each its path and its children."""
+        by_parent: dict[str, list[Level]] = {}
+        for level in {level.name: level for level in levels}.values():
+            by_parent.setdefault(level.parent, []).append(level)
+        ready = by_parent.get("", [])
         # Bound: the levels; each is beneath one other and comes up once.
         while ready:
             level = ready.pop(0)
-            level.index = len(self.levels)
-            self.levels.append(level)
-            self.by_name[level.name] = level
-            parent = self.by_name.get(level.parent)
-            level.path = (level.index, *(parent.path if parent else ()))
-            if parent is not None:
-                parent.children.append(level.index)
-            ready += beneath.get(level.name, [])
-        self._derive()
-        self.leaves: dict[str, Level] = {level.name: level for level in self.levels if level.team}
-        #: by team, the levels of its path that have a cap, and those that have a guarantee
-        self.capped = {v.name: tuple(i for i in v.path if self.levels[i].capped) for v in self.leaves.values()}
-        self.guaranteed = {v.name: tuple(i for i in v.path if self.levels[i].guaranteed) for v in self.leaves.values()}
-        self.digest = hashlib.sha256(
-            "\n".join(sorted(f"{v.name} {v.parent} {v.weight} {v.cap} {v.guarantee}" for v in self.levels)).encode()
-        ).hexdigest()[:16]
-
-    def _derive(self) -> None:
+            self._add(level)
+            ready += by_parent.get(level.name, [])
+
+    def _add(self, level: Level) -> None:
+        level.index = len(self.levels)
+        self.levels.append(level)
+        self.by_name[level.name] = level
+        parent = self.by_name.get(level.parent)
+        if parent is None:
+            level.path = (level.index,)
+        else:
+            level.path = (level.index, *parent.path)
+            parent.children.append(level.index)
+
+    def _derive_amounts(self) -> None:
         """A level that states no guarantee has what its children have together."""
         for level in reversed(self.levels):
             if not any(level.guarantee) and level.children:
-                total = ZERO
-                for child in level.children:
-                    given = self.levels[child]
-                    if given.guaranteed:
-                        total = add(total, given.guarantee)
-                level.guarantee = least(total, (UNLIMITED,) * 4)
+                level.guarantee = self._guarantee_of_children(level)
             level.capped = min(level.cap) < UNLIMITED
-            level.guaranteed = any(0 < a < UNLIMITED for a in level.guarantee)
+            level.guaranteed = any(0 < amount < UNLIMITED for amount in level.guarantee)
+
+    def _guarantee_of_children(self, level: Level) -> Amounts:
+        total = ZERO
+        for index in level.children:
+            child = self.levels[index]
+            if child.guaranteed:
+                total = add(total, child.guarantee)
+        return least(total, UNLIMITED_AMOUNTS)
+
+    def _digest(self) -> str:
+        lines = (f"{v.name} {v.parent} {v.weight} {v.cap} {v.guarantee}" for v in self.levels)
+        return hashlib.sha256("\n".join(sorted(lines)).encode()).hexdigest()[:_DIGEST_CHARACTERS]
 
     def path(self, team: str) -> tuple[int, ...]:
-        """The levels above a team and its own, leaf first; empty for a team that is not in the tree."""
+        """The team's own level and those above it, leaf first; empty for a team that is not in the tree."""
         leaf = self.leaves.get(team)
         return leaf.path if leaf is not None else ()
 
     def parting(self, one: str, other: str) -> tuple[int, int] | None:
-        """Where the paths of two teams part: the level on either side, siblings of each other."""
-        mine, theirs = self.path(one), self.path(other)
-        if not mine or not theirs or one == other:
+        """Where the paths of two teams part: the level on either side, siblings of each other.
+
+        None where a team is not in the tree, or both are the same.
+        """
+        path, other_path = self.path(one), self.path(other)
+        if not path or not other_path or one == other:
             return None
         place = 1
         # Bound: the shorter of the two paths.
-        while place <= min(len(mine), len(theirs)) and mine[-place] == theirs[-place]:
+        while place <= min(len(path), len(other_path)) and path[-place] == other_path[-place]:
             place += 1
-        return mine[-place], theirs[-place]
+        return path[-place], other_path[-place]
 
     def never_fits(self, spec: m.JobSpec) -> str | None:
-        """The level under which a job can never run, and the amount; None if it may.
+        """The level under which a job can never run, and the amount, for its user; None if it may run.
 
         An array needs room for one task, a service or gang for all of them (PROTOCOL, 422).
         """
@@ -154,6 +138,6 @@
             level = self.levels[index]
             for kind in range(KINDS):
                 if need[kind] > level.cap[kind]:
-                    has, asked = level.cap[kind] / SCALE[kind], need[kind] / SCALE[kind]
-                    return f"over the limit of {level.name}: {RESOURCES[kind]} {asked:g}, at most {has:g}"
+                    cap, asked = level.cap[kind] / SCALE[kind], need[kind] / SCALE[kind]
+                    return f"over the limit of {level.name}: {RESOURCES[kind]} {asked:g}, at most {cap:g}"
         return None
