--- /dev/null
+++ b/quinceslip/models/takeover/enabled_steps.py
@@ -0,0 +1,104 @@
+"""Which steps may happen next in a state, in the order in which the search tries them."""
+
+from collections.abc import Iterator
+
+from quinceslip.coordination.reconciliation.delivery import MAX_UNANSWERED_PROBES
+from quinceslip.coordination.shard.worker import Worker
+from quinceslip.models.job import task_index, task_name
+from quinceslip.models.result import Step
+from quinceslip.models.takeover.steps import StepKind
+from quinceslip.models.takeover.workers import ModelWorker
+from quinceslip.models.takeover.world import World
+from quinceslip.protocol import messages as m
+
+#: unanswered writes in flight at the same time
+MAX_OPEN_WRITES = 2
+
+
+def enabled_steps(world: World) -> Iterator[Step]:
+    """Every step that may happen next."""
+    yield from _task_steps(world)
+    yield from _store_steps(world)
+    yield Step(StepKind.CRASH)
+    for number, machine in enumerate(world.workers):
+        if not machine.gone:
+            yield from _worker_steps(world, number, machine)
+    yield from _network_steps(world)
+
+
+def _task_steps(world: World) -> Iterator[Step]:
+    for index in world.partition.pending:
+        for number, machine in enumerate(world.workers):
+            worker = world.leader.worker(machine)
+            if worker is not None and _may_place(worker, task_name(index)):
+                yield Step(StepKind.LAUNCH, number, index)
+    for index, attempt in world.partition.attempts.items():
+        if not attempt.stopping:
+            yield Step(StepKind.STOP, 0, index)
+
+
+def _may_place(worker: Worker, task: str) -> bool:
+    usable = worker.fenced and not worker.lease_expired
+    return usable and task not in worker.attempts and task not in worker.reported_tasks
+
+
+def _store_steps(world: World) -> Iterator[Step]:
+    leader, writes = world.leader, world.store.pending_writes
+    if leader.requested_term:
+        yield Step(StepKind.RAISE_TERM)
+    if world.partition.unrecorded_done:
+        if leader.sees_newest_record:
+            yield Step(StepKind.RECORD)
+        if len(writes) < MAX_OPEN_WRITES:
+            yield Step(StepKind.WRITE_UNANSWERED)
+    if not leader.sees_newest_record:
+        yield Step(StepKind.WATCH)
+    for position in range(len(writes)):
+        yield Step(StepKind.WRITE_APPLIED, position)
+
+
+def _worker_steps(world: World, number: int, machine: ModelWorker) -> Iterator[Step]:
+    worker = world.leader.worker(machine)
+    yield Step(StepKind.HEARTBEAT, number)
+    yield Step(StepKind.ANSWER_LOST, number)
+    if worker is not None:
+        yield from _probe_steps(number, worker)
+    if not world.network.heartbeats:
+        yield Step(StepKind.DELAY_HEARTBEAT, number)
+    if machine.tasks:
+        yield Step(StepKind.EXPIRE_LEASE, number)
+    if worker is not None:
+        yield from _expiry_steps(world, number, machine, worker)
+    if sum(not other.gone for other in world.workers) > 1:
+        yield Step(StepKind.MACHINE_GONE, number)
+    for task, status in machine.tasks.items():
+        if status.state == m.RUNNING:
+            yield Step(StepKind.TASK_DONE, number, task_index(task))
+            yield Step(StepKind.TASK_FAILS, number, task_index(task))
+
+
+def _probe_steps(number: int, worker: Worker) -> Iterator[Step]:
+    if worker.delivery.unanswered_probes < MAX_UNANSWERED_PROBES:
+        yield Step(StepKind.PROBE_LOST, number)
+    if not worker.fenced or worker.delivery.suspect:
+        yield Step(StepKind.PROBE, number)
+
+
+def _expiry_steps(world: World, number: int, machine: ModelWorker, worker: Worker) -> Iterator[Step]:
+    # An epoch that has been heard of has its full lease from then on.
+    if machine.lease_lapsed and not worker.lease_expired and worker.epoch != machine.epoch:
+        yield Step(StepKind.LEASE_EXPIRY_SEEN, number)
+    # As `Reconciler.lease_expired_unheard`, whose clock the newer epoch of the worker stands for here.
+    unreconciled = machine.name in world.leader.reconciler.unreconciled
+    if worker.unanswered and unreconciled and machine.in_newer_epoch():
+        yield Step(StepKind.EXPIRED_UNHEARD, number)
+
+
+def _network_steps(world: World) -> Iterator[Step]:
+    for position in range(len(world.network.heartbeats)):
+        yield Step(StepKind.HEARTBEAT_ARRIVES, position)
+        yield Step(StepKind.HEARTBEAT_COPIED, position)
+    for position, commands in enumerate(world.network.commands):
+        yield Step(StepKind.COMMANDS_ARRIVE, position)
+        if commands.on_answer is not None:
+            yield Step(StepKind.COMMANDS_TIME_OUT, position)
--- /dev/null
+++ b/quinceslip/models/takeover/leader.py
@@ -0,0 +1,135 @@
+"""The leader under test: the service's own reconciler and command sender, as one leadership of the shard."""
+
+from types import SimpleNamespace
+from typing import Any
+
+from quinceslip.coordination.reconciliation.commands import CommandSender
+from quinceslip.coordination.reconciliation.reconciler import Reconciler
+from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.models.job import JOB_ID, SPEC
+from quinceslip.models.takeover.network import Network
+from quinceslip.models.takeover.store import ResultStore
+from quinceslip.models.takeover.workers import ModelWorker
+from quinceslip.protocol import messages as m
+from quinceslip.storage.records import JobRecord
+
+#: direct commands in flight at the same time
+MAX_OPEN_COMMANDS = 2
+SHARD = 0
+
+
+class LeaderUnderTest:
+    """One leadership, from the failover that begins it to the crash that ends it."""
+
+    def __init__(
+        self, store: ResultStore, network: Network, fleet: list[ModelWorker], tasks: int, guards: frozenset[str]
+    ) -> None:
+        """Lead under the term of `store`, with all inherited tasks and workers unreconciled."""
+        self._store, self._network = store, network
+        self.requested_term = 0  # a higher term is to be claimed; 0: none
+        self.seen_revision = store.mod_revision  # of the job's record
+        self.reconciler = Reconciler(self._context(tasks), self._election(), SHARD, store.term)
+        self.reconciler.guards = guards
+        self.partition = self._inherit_partition(tasks)
+        self._inherit_workers(fleet)
+        persistence: Any = SimpleNamespace(is_recorded=self._is_recorded)
+        self.command_sender = CommandSender(self.reconciler, persistence, self.receive_heartbeat)
+        self.reconciler.release_unreconciled()
+
+    def _context(self, tasks: int) -> Any:
+        # The job itself is unfinished in the cache; completed tasks stand in its partition.
+        record = JobRecord(m.QUEUED, tasks)
+        cache = SimpleNamespace(job=lambda job_id: record)
+        return SimpleNamespace(now_us=0, types={}, call=self._network.call, cache=cache)
+
+    def _election(self) -> Any:
+        return SimpleNamespace(may_launch=lambda shard: True, claim=self._claim)
+
+    def _claim(self, shard: int, above: int) -> None:
+        self.requested_term = max(self.requested_term, above, 1)
+
+    def _is_recorded(self, attempt: Attempt) -> bool:
+        return attempt.end_cause != m.CAUSE_DONE or attempt.index in self.partition.done
+
+    def _inherit_partition(self, tasks: int) -> JobPartition:
+        partition = JobPartition(JOB_ID, SPEC, SHARD, assigned=set(range(tasks)), done=set(self._store.recorded))
+        partition.unreconciled = partition.assigned - partition.done
+        self.reconciler.partitions[JOB_ID] = partition
+        return partition
+
+    def _inherit_workers(self, fleet: list[ModelWorker]) -> None:
+        for machine in fleet:
+            machine.leader_changed()
+            if machine.gone:
+                continue
+            worker = Worker(machine.name, None, "z", False, endpoint=machine.name, registered=True)
+            self.reconciler.workers[machine.name] = worker
+            self.reconciler.inherit_worker(worker)
+
+    # Reading.
+
+    def worker(self, machine: ModelWorker) -> Worker | None:
+        """What it knows of a worker; None if that is gone."""
+        return self.reconciler.workers.get(machine.name)
+
+    @property
+    def completed(self) -> set[int]:
+        """Tasks that it knows to be done, recorded or not."""
+        return self.partition.done | self.partition.unrecorded_done
+
+    @property
+    def sees_newest_record(self) -> bool:
+        """Whether it knows the job's record as it is."""
+        return self.seen_revision == self._store.mod_revision
+
+    # Events.
+
+    def receive_heartbeat(self, heartbeat: m.WorkerHeartbeat, direct: bool = False) -> m.CommandReply | None:
+        """Take a heartbeat as `Shard` does; the answer, or None where it gets none.
+
+        `direct` says that it is the reply to a direct call.
+        """
+        reconciler = self.reconciler
+        worker = reconciler.workers.get(heartbeat.worker)
+        if worker is None:
+            return None
+        if heartbeat.fencing_token > reconciler.term:
+            reconciler.raise_term(heartbeat.fencing_token)
+            return None
+        if reconciler.is_from_expired_epoch(worker, heartbeat):
+            return None
+        if not direct and reconciler.is_duplicate(worker, heartbeat):
+            return None
+        if not reconciler.apply_heartbeat(worker, heartbeat):
+            return m.CommandReply(reconciler.term, [])
+        if direct or not reconciler.should_answer(worker, heartbeat):
+            return None
+        return self._answer(worker, heartbeat)
+
+    def _answer(self, worker: Worker, heartbeat: m.WorkerHeartbeat) -> m.CommandReply:
+        reply = m.CommandReply(self.reconciler.term, self.command_sender.commands_for(worker))
+        worker.delivery.answer_sent(heartbeat, self.reconciler.term, reply.commands)
+        return reply
+
+    def watch(self) -> None:
+        """Learn the job's record as it is, as in `JobPersistence.sync`."""
+        recorded, partition = self._store.recorded, self.partition
+        self.seen_revision = self._store.mod_revision
+        partition.done |= recorded
+        partition.unrecorded_done -= recorded
+        for index in recorded:
+            partition.pending.discard(index)
+            partition.unreconciled.discard(index)
+
+    def raise_term(self, term: int) -> None:
+        """Lead under a higher term from now on."""
+        self.requested_term = 0
+        self.reconciler.term = term
+        self.reconciler.counter = 0
+
+    def end_batch(self) -> None:
+        """Send direct commands, as at the end of a batch of messages."""
+        self.reconciler.next_raise_us = 0
+        if len(self._network.commands) < MAX_OPEN_COMMANDS:
+            self.command_sender.send_direct()
--- /dev/null
+++ b/quinceslip/models/takeover/state_key.py
@@ -0,0 +1,191 @@
+"""The canonical key of a state: states whose keys are equal behave the same from then on.
+
+Terms and attempt numbers only rise and are only compared, so each is replaced by its rank among all that are in the
+state. Epochs count by their distance from the worker's own, revisions by their distance from the store's.
+"""
+
+from collections.abc import Iterable, Iterator
+
+from quinceslip.coordination.reconciliation.delivery import MAX_UNACKNOWLEDGED, MAX_UNANSWERED_PROBES
+from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.models.takeover.network import CommandsInFlight, DelayedHeartbeat
+from quinceslip.models.takeover.workers import ModelWorker
+from quinceslip.models.takeover.world import World
+from quinceslip.protocol import messages as m
+
+Key = tuple[object, ...]
+
+#: in place of the rank of an attempt that nothing else in the state names
+NO_RANK = -1
+
+
+def state_key(world: World) -> Key:
+    """The key of a state."""
+    return _KeyBuilder(world).build()
+
+
+class _KeyBuilder:
+    """The ranks of one state, and the parts of its key."""
+
+    def __init__(self, world: World) -> None:
+        """Rank all terms and attempt numbers of a state."""
+        self.world = world
+        self.term_ranks = _ranks(_terms(world))
+        self.attempt_ranks = _ranks(_attempt_numbers(world))
+
+    def build(self) -> Key:
+        """All parts of the key."""
+        world = self.world
+        return (
+            tuple(self._machine(machine) for machine in world.workers),
+            tuple(self._known_worker(machine) for machine in world.workers),
+            tuple(self._commands(commands) for commands in world.network.commands),
+            tuple(self._delayed(delayed) for delayed in world.network.heartbeats),
+            self._store(),
+            self._partition(),
+            self._leader(),
+        )
+
+    def _machine(self, machine: ModelWorker) -> Key:
+        return (
+            machine.gone,
+            self.term_ranks[machine.fencing_token],
+            machine.lease_lapsed,
+            self._tasks(machine.tasks.values()),
+        )
+
+    def _tasks(self, tasks: Iterable[m.TaskStatus]) -> Key:
+        return tuple((task.task, self.attempt_ranks[task.attempt], task.state, task.why) for task in tasks)
+
+    def _known_worker(self, machine: ModelWorker) -> Key | None:
+        worker = self.world.leader.worker(machine)
+        if worker is None:
+            return None
+        reconciler = self.world.leader.reconciler
+        return (
+            worker.epoch - machine.epoch if worker.epoch else None,
+            self.term_ranks[worker.fencing_token],
+            worker.fenced,
+            worker.lease_expired,
+            worker.command_open,
+            worker.unanswered,
+            machine.name in reconciler.unreconciled,
+            machine.name in reconciler.workers_to_command,
+            machine.in_newer_epoch(),
+            self._delivery(worker),
+            self._reported(worker),
+            tuple(self._attempt(attempt) for attempt in worker.attempts.values()),
+        )
+
+    def _delivery(self, worker: Worker) -> Key:
+        delivery = worker.delivery
+        return (
+            min(delivery.unanswered_probes, MAX_UNANSWERED_PROBES),
+            min(delivery.unacknowledged, MAX_UNACKNOWLEDGED),
+            delivery.fencing_token > 0,
+            tuple(sorted(self.attempt_ranks.get(number, NO_RANK) for _, number in delivery.launches)),
+        )
+
+    def _reported(self, worker: Worker) -> Key:
+        return tuple(
+            (name, self.attempt_ranks.get(status.attempt, NO_RANK), status.state)
+            for name, status in worker.reported_tasks.items()
+        )
+
+    def _attempt(self, attempt: Attempt) -> Key:
+        return (
+            attempt.name,
+            self.attempt_ranks[attempt.number],
+            attempt.observed,
+            attempt.end_cause,
+            attempt.stopping,
+            attempt.direct_call_open,
+            attempt.sent,
+            self.term_ranks[attempt.unanswered_term],
+            self.world.partition.attempts.get(attempt.index) is attempt,
+        )
+
+    def _commands(self, commands: CommandsInFlight) -> Key:
+        body = commands.body
+        return (
+            commands.worker,
+            self.term_ranks[body.fencing_token],
+            body.epoch - self.world.workers[commands.worker].epoch,
+            tuple((command.op, command.task, self.attempt_ranks[command.attempt]) for command in body.commands),
+            commands.on_answer is not None,
+        )
+
+    def _delayed(self, delayed: DelayedHeartbeat) -> Key:
+        heartbeat = delayed.heartbeat
+        return (
+            delayed.worker,
+            self.term_ranks[heartbeat.fencing_token],
+            heartbeat.epoch - self.world.workers[delayed.worker].epoch,
+            self._tasks(heartbeat.tasks),
+            self.world.is_newer_than_known(delayed.worker, heartbeat),
+        )
+
+    def _store(self) -> Key:
+        store = self.world.store
+        writes = tuple(
+            (write.term == store.term, write.mod_revision - store.mod_revision, tuple(sorted(write.done)))
+            for write in store.pending_writes
+        )
+        return writes, tuple(sorted(store.recorded)), self.term_ranks[store.term]
+
+    def _partition(self) -> Key:
+        partition = self.world.partition
+        return (
+            tuple(partition.pending),
+            tuple(sorted(partition.unreconciled)),
+            tuple(sorted(partition.done)),
+            tuple(sorted(partition.unrecorded_done)),
+        )
+
+    def _leader(self) -> Key:
+        leader = self.world.leader
+        return (
+            leader.sees_newest_record,
+            self.term_ranks[leader.reconciler.term],
+            self.term_ranks[leader.reconciler.first_own_term],
+            leader.requested_term > 0,
+        )
+
+
+def _ranks(numbers: Iterable[int]) -> dict[int, int]:
+    return {number: rank for rank, number in enumerate(sorted(set(numbers)))}
+
+
+def _terms(world: World) -> Iterator[int]:
+    """Every term in a state; 0 stands for none."""
+    reconciler = world.leader.reconciler
+    yield 0
+    yield world.store.term
+    yield reconciler.term
+    yield reconciler.first_own_term
+    for machine in world.workers:
+        yield machine.fencing_token
+    for commands in world.network.commands:
+        yield commands.body.fencing_token
+    for delayed in world.network.heartbeats:
+        yield delayed.heartbeat.fencing_token
+    for worker in reconciler.workers.values():
+        yield worker.fencing_token
+        for attempt in worker.attempts.values():
+            yield attempt.unanswered_term
+
+
+def _attempt_numbers(world: World) -> Iterator[int]:
+    """The number of every attempt in a state."""
+    for machine in world.workers:
+        for status in machine.tasks.values():
+            yield status.attempt
+    for commands in world.network.commands:
+        for command in commands.body.commands:
+            yield command.attempt
+    for delayed in world.network.heartbeats:
+        for status in delayed.heartbeat.tasks:
+            yield status.attempt
+    for worker in world.leader.reconciler.workers.values():
+        for attempt in worker.attempts.values():
+            yield attempt.number
--- /dev/null
+++ b/quinceslip/models/takeover/steps.py
@@ -0,0 +1,218 @@
+"""The kinds of steps, what each of them does, and how a history is read from text."""
+
+from collections.abc import Callable
+from enum import StrEnum
+
+from quinceslip.coordination.actor.effects import CallOutcome
+from quinceslip.coordination.shard.worker import Worker
+from quinceslip.models.job import task_name
+from quinceslip.models.result import Step
+from quinceslip.models.takeover.network import DelayedHeartbeat
+from quinceslip.models.takeover.store import PendingWrite
+from quinceslip.models.takeover.workers import ModelWorker
+from quinceslip.models.takeover.world import World
+from quinceslip.protocol import messages as m
+
+
+class StepKind(StrEnum):
+    """Every kind of step, by its name on the command line; `number` and `task` of a `Step` are explained at each."""
+
+    LAUNCH = "launch"  # the leader pins task `task` to worker `number`
+    STOP = "halt"  # the leader stops task `task`
+    RAISE_TERM = "raise"  # the leader raises its term, as it has asked for
+    RECORD = "record"  # the leader records the completed tasks, with an answer
+    LEASE_EXPIRY_SEEN = "sweep"  # the leader notes that the lease of worker `number` has run out
+    MACHINE_GONE = "gone"  # machine `number` vanishes, and the cloud says so
+    CRASH = "crash"  # the leader ends, a successor leads under a higher term
+    HEARTBEAT = "report"  # a heartbeat of worker `number` and its answer arrive
+    ANSWER_LOST = "unheard"  # a heartbeat of worker `number` arrives, its answer does not
+    PROBE_LOST = "unasked"  # a probe of worker `number` gets no reply
+    PROBE = "probe"  # a probe of worker `number` is answered
+    DELAY_HEARTBEAT = "late"  # worker `number` sends a heartbeat, which stays in flight
+    HEARTBEAT_ARRIVES = "arrive"  # delayed heartbeat `number` arrives
+    HEARTBEAT_COPIED = "copy"  # a copy of delayed heartbeat `number` arrives
+    COMMANDS_ARRIVE = "do"  # direct commands `number` arrive
+    COMMANDS_TIME_OUT = "give up"  # the leader waits no longer for the answer to direct commands `number`
+    TASK_DONE = "finish"  # task `task` on worker `number` completes
+    TASK_FAILS = "fail"  # task `task` on worker `number` exits with an error
+    EXPIRE_LEASE = "expire"  # the lease of worker `number` runs out there
+    EXPIRED_UNHEARD = "outlived"  # the leader concludes that the lease of worker `number`, unanswered, has run out
+    WRITE_UNANSWERED = "write"  # the leader sends a write of the completed tasks, which stays in flight
+    WRITE_APPLIED = "carry out"  # the store applies unanswered write `number`
+    WATCH = "watch"  # the leader learns the job's record
+
+
+def perform(world: World, step: Step) -> None:
+    """Carry out one step; raises Breach where it leads to what must never be."""
+    _HANDLERS[StepKind(step.kind)](world, step)
+    world.leader.end_batch()
+
+
+# The leader.
+
+
+def _known_worker(world: World, step: Step) -> Worker:
+    return world.leader.reconciler.workers[_machine(world, step).name]
+
+
+def _launch(world: World, step: Step) -> None:
+    world.partition.pending.discard(step.task)
+    world.leader.reconciler.launch(world.partition, step.task, _known_worker(world, step))
+
+
+def _stop(world: World, step: Step) -> None:
+    world.leader.reconciler.stop(world.partition.attempts[step.task], 0.0)
+
+
+def _raise_term(world: World, step: Step) -> None:
+    world.store.term = max(world.store.term + 1, world.leader.requested_term)
+    world.leader.raise_term(world.store.term)
+
+
+def _crash(world: World, step: Step) -> None:
+    world.fail_over()
+
+
+def _expire_known_lease(world: World, step: Step) -> None:
+    world.leader.reconciler.expire_lease(_known_worker(world, step))
+
+
+# The store.
+
+
+def _record(world: World, step: Step) -> None:
+    world.store.write(world.leader.completed)
+    world.leader.watch()
+
+
+def _write_unanswered(world: World, step: Step) -> None:
+    done = frozenset(world.leader.completed)
+    world.store.pending_writes.append(PendingWrite(world.store.term, world.leader.seen_revision, done))
+
+
+def _write_applied(world: World, step: Step) -> None:
+    world.store.apply_pending(step.number)
+
+
+def _watch(world: World, step: Step) -> None:
+    world.leader.watch()
+
+
+# Heartbeats and probes.
+
+
+def _heartbeat(world: World, step: Step) -> None:
+    world.deliver_heartbeat(_machine(world, step))
+
+
+def _answer_lost(world: World, step: Step) -> None:
+    machine = _machine(world, step)
+    answer = world.leader.receive_heartbeat(machine.heartbeat())
+    if answer is not None:
+        machine.lease_lapsed = False  # the leader counts the lease as renewed
+
+
+def _probe_lost(world: World, step: Step) -> None:
+    _known_worker(world, step).delivery.probe_missed(1)
+
+
+def _probe(world: World, step: Step) -> None:
+    _known_worker(world, step).delivery.acknowledged()
+    world.leader.receive_heartbeat(_machine(world, step).heartbeat(), direct=True)
+
+
+def _delay_heartbeat(world: World, step: Step) -> None:
+    heartbeat = _machine(world, step).heartbeat()
+    world.network.heartbeats.append(DelayedHeartbeat(step.number, heartbeat))
+
+
+def _heartbeat_arrives(world: World, step: Step) -> None:
+    delayed = world.network.heartbeats.pop(step.number)
+    world.leader.receive_heartbeat(delayed.heartbeat)
+
+
+def _heartbeat_copied(world: World, step: Step) -> None:
+    world.leader.receive_heartbeat(world.network.heartbeats[step.number].heartbeat)
+
+
+# Direct commands.
+
+
+def _commands_arrive(world: World, step: Step) -> None:
+    world.deliver_commands(step.number)
+
+
+def _commands_time_out(world: World, step: Step) -> None:
+    commands = world.network.commands[step.number]
+    on_answer, commands.on_answer = commands.on_answer, None
+    assert on_answer is not None
+    on_answer(CallOutcome.UNKNOWN, b"")
+
+
+# Workers.
+
+
+def _machine(world: World, step: Step) -> ModelWorker:
+    return world.workers[step.number]
+
+
+def _task_done(world: World, step: Step) -> None:
+    _machine(world, step).exit(task_name(step.task), m.CAUSE_DONE)
+
+
+def _task_fails(world: World, step: Step) -> None:
+    _machine(world, step).exit(task_name(step.task), m.CAUSE_ERROR)
+
+
+def _expire_lease(world: World, step: Step) -> None:
+    _machine(world, step).expire_lease()
+
+
+def _machine_gone(world: World, step: Step) -> None:
+    machine = _machine(world, step)
+    machine.vanish()
+    world.leader.reconciler.machine_gone(machine.name)
+
+
+_HANDLERS: dict[StepKind, Callable[[World, Step], None]] = {
+    StepKind.LAUNCH: _launch,
+    StepKind.STOP: _stop,
+    StepKind.RAISE_TERM: _raise_term,
+    StepKind.RECORD: _record,
+    StepKind.LEASE_EXPIRY_SEEN: _expire_known_lease,
+    StepKind.MACHINE_GONE: _machine_gone,
+    StepKind.CRASH: _crash,
+    StepKind.HEARTBEAT: _heartbeat,
+    StepKind.ANSWER_LOST: _answer_lost,
+    StepKind.PROBE_LOST: _probe_lost,
+    StepKind.PROBE: _probe,
+    StepKind.DELAY_HEARTBEAT: _delay_heartbeat,
+    StepKind.HEARTBEAT_ARRIVES: _heartbeat_arrives,
+    StepKind.HEARTBEAT_COPIED: _heartbeat_copied,
+    StepKind.COMMANDS_ARRIVE: _commands_arrive,
+    StepKind.COMMANDS_TIME_OUT: _commands_time_out,
+    StepKind.TASK_DONE: _task_done,
+    StepKind.TASK_FAILS: _task_fails,
+    StepKind.EXPIRE_LEASE: _expire_lease,
+    StepKind.EXPIRED_UNHEARD: _expire_known_lease,
+    StepKind.WRITE_UNANSWERED: _write_unanswered,
+    StepKind.WRITE_APPLIED: _write_applied,
+    StepKind.WATCH: _watch,
+}
+
+
+# Text.
+
+
+def read_steps(text: str) -> tuple[Step, ...]:
+    """Read "launch:0:0,crash:0:0"; raises ValueError for anything else."""
+    return tuple(_read_step(part.strip()) for part in text.split(",") if part.strip())
+
+
+def _read_step(text: str) -> Step:
+    fields = [field.strip() for field in text.split(":")]
+    if len(fields) == 3:
+        kind, number, index = fields
+        if kind in set(StepKind) and number.isdigit() and index.isdigit():
+            return Step(StepKind(kind), int(number), int(index))
+    raise ValueError(f"no such step: {text}; a step is KIND:NUMBER:NUMBER of {', '.join(StepKind)}")
