--- a/quinceslip/bench/__init__.py
+++ b/quinceslip/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the service's own parts, for `quinceslip bench`. Nothing of it is imported by a controller."""
+"""Measurements of the service's own parts, for `quinceslip bench`. No controller imports them."""
--- /dev/null
+++ b/quinceslip/bench/fleet/users.py
@@ -0,0 +1,112 @@
+"""The users of the fleet: they submit jobs at random moments and poll each until it has ended."""
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
+from typing import Any, Literal
+
+from quinceslip.bench.fleet.actor_shell import ActorShell
+from quinceslip.bench.fleet.costs import MessageKind
+from quinceslip.bench.fleet.machines import START_US
+from quinceslip.bench.fleet.services import OK
+from quinceslip.coordination.actor import effects as fx
+from quinceslip.coordination.actor.timing import SECOND
+from quinceslip.protocol import messages as m
+
+TEAM = "team"
+POLL_S = 5.0
+IMAGES = 10
+SERVICE_CPUS, ARRAY_CPUS = 1.0, 2.0
+#: services per machine that are submitted at once; they take the CPUs of a steady fleet, about nine tenths of all
+SERVICES_PER_MACHINE = 0.45
+#: job arrays per second and machine
+ARRAYS_PER_S = 0.001
+
+
+@dataclass(frozen=True, slots=True)
+class Workload:
+    """Jobs of one kind."""
+
+    priority_class: Literal["production", "normal", "low"]
+    service: bool
+    estimate_s: float
+    checkpoint_s: float
+    arrays_per_job: float  # mean interval of arrivals, in mean intervals of job arrays
+    draw_tasks: Callable[[random.Random], int]
+
+
+SERVICES = Workload("production", True, 0.0, 0.0, 2, lambda draw: draw.choice([2, 6, 9]))
+ARRAYS = Workload("normal", False, 30.0, 0.0, 1, lambda draw: draw.randint(5, 80))
+LOW_PRIORITY_ARRAYS = Workload("low", False, 60.0, 15.0, 3, lambda draw: draw.randint(5, 150))
+#: in this order their first jobs arrive
+WORKLOADS = (SERVICES, ARRAYS, LOW_PRIORITY_ARRAYS)
+
+
+class SimulatedUsers:
+    """All users; `specs` gets the jobs that they submit, by their ids."""
+
+    def __init__(self, machines: int, shell: ActorShell, specs: dict[str, m.JobSpec], draw: random.Random) -> None:
+        """Users with work for so many machines."""
+        self._machines = machines
+        self._shell, self._queue = shell, shell.queue
+        self._specs = specs
+        self._draw = draw
+        self.submitted = 0
+
+    def start(self) -> None:
+        """Schedule the services that fill the fleet, and arrivals from then on."""
+        for _ in range(int(self._machines * SERVICES_PER_MACHINE)):
+            self._queue.after(self._draw.uniform(1, 6) * SECOND, lambda: self._submit(SERVICES))
+        arrays_per_s = ARRAYS_PER_S * self._machines
+        for workload in WORKLOADS:
+            self._queue.after(START_US, partial(self._arrive, workload, workload.arrays_per_job / arrays_per_s))
+
+    def _arrive(self, workload: Workload, mean_interval_s: float) -> None:
+        """Submit a job, and schedule the next one."""
+        self._submit(workload)
+        interval_s = self._draw.expovariate(1.0 / mean_interval_s)
+        self._queue.after(interval_s * SECOND, lambda: self._arrive(workload, mean_interval_s))
+
+    def _submit(self, workload: Workload) -> None:
+        tasks = workload.draw_tasks(self._draw)
+        self.submitted += 1
+        job_id = f"req-{self.submitted:06d}"
+        spec = _spec(job_id, workload, tasks, f"img-{self.submitted % IMAGES}")
+        self._specs[job_id] = spec
+        request = self._shell.open_request(lambda status, body: self._schedule_poll(job_id))
+        self._shell.post(MessageKind.SUBMIT, fx.UserRequest(request, "submit", job_id, spec))
+
+    def _schedule_poll(self, job_id: str) -> None:
+        delay_us = POLL_S * SECOND * self._draw.uniform(0.8, 1.2)
+        self._queue.after(delay_us, lambda: self._poll(job_id))
+
+    def _poll(self, job_id: str) -> None:
+        def on_reply(status: int, body: Any) -> None:
+            if status != OK or body["status"] not in (m.DONE, m.CANCELLED):
+                self._schedule_poll(job_id)
+
+        request = self._shell.open_request(on_reply)
+        self._shell.post(MessageKind.POLL, fx.UserRequest(request, "poll", job_id))
+
+
+def _spec(job_id: str, workload: Workload, tasks: int, image: str) -> m.JobSpec:
+    return m.JobSpec(
+        job_id=job_id,
+        job_class=workload.priority_class,
+        team=TEAM,
+        kind="standing" if workload.service else "array",
+        priority_class=workload.priority_class,
+        tasks=tasks,
+        cpus=SERVICE_CPUS if workload.service else ARRAY_CPUS,
+        gpus=0.0,
+        memory_gb=3.0,
+        image=image,
+        image_gb=1.5,
+        one_zone=False,
+        spread=workload.service,
+        spot=not workload.service,
+        estimate_s=workload.estimate_s,
+        checkpoint_s=workload.checkpoint_s,
+        save_s=0.0,
+    )
--- a/quinceslip/bench/plots.py
+++ b/quinceslip/bench/plots.py
@@ -1,4 +1,4 @@
-"""One HTML page of what `bench fleet` measured: work for a message, by kind and size of the fleet.
+"""One HTML page of what `bench fleet` measured: work per message, by kind and size of the fleet.
 
 Several files are drawn beside each other, for instance of the sources before a change and after it.
 matplotlib draws (extra `plots`).
@@ -13,37 +13,50 @@
 from quinceslip import plotting
 from quinceslip.protocol.settings import SettingsError
 
+#: one line that `bench fleet` printed
 Run = dict[str, Any]
 
 
-def read(path: Path) -> list[Run]:
+def read_runs(path: Path) -> list[Run]:
     """The lines that `bench fleet` printed, smallest fleet first; raises SettingsError for a line that is none."""
-    runs = []
     try:
-        for number, line in enumerate(path.read_text(encoding="utf-8").splitlines(), 1):
-            run = msgspec.json.decode(line, type=Run)
-            if not all(isinstance(run.get(key), kind) for key, kind in (("machines", int), ("kinds", dict))):
-                raise SettingsError(f"{path}: line {number}: not of bench fleet")
-            runs.append(run)
+        lines = path.read_text(encoding="utf-8").splitlines()
+        runs = [_read_run(path, number, line) for number, line in enumerate(lines, 1)]
     except (OSError, UnicodeDecodeError, msgspec.DecodeError) as error:
         raise SettingsError(f"{path}: {error}") from error
     if not runs:
         raise SettingsError(f"{path}: no runs")
-    return sorted(runs, key=lambda r: r["machines"])
+    return sorted(runs, key=lambda run: run["machines"])
+
+
+def _read_run(path: Path, number: int, line: str) -> Run:
+    run = msgspec.json.decode(line, type=Run)
+    if not isinstance(run.get("machines"), int) or not isinstance(run.get("kinds"), dict):
+        raise SettingsError(f"{path}: line {number}: not of bench fleet")
+    return run
 
 
 def write_page(paths: Sequence[Path], target: Path) -> str:
-    """Draw calls of functions for a message over the number of machines; a line for each file."""
-    files = {path.stem: read(path) for path in paths}
+    """Draw calls of functions per message over the number of machines, a line for each file.
+
+    Returns a line that says what was written; raises SettingsError for a file that can't be read.
+    """
+    files = {path.stem: read_runs(path) for path in paths}
     kinds = sorted({kind for runs in files.values() for run in runs for kind in run["kinds"]})
     figure, axes = plotting.rows(len(kinds), 8)
     for axis, kind in zip(axes, kinds, strict=True):
-        for name, runs in files.items():
-            known = [(r["machines"], r["kinds"][kind]["calls_each"]) for r in runs if kind in r["kinds"]]
-            axis.plot([k[0] for k in known], [k[1] for k in known], marker="o", markersize=3, label=name)
-        axis.set_title(f"{kind}: calls for a message", loc="left", fontsize=9)
-        axis.set_ylim(bottom=0)
+        _draw_kind(axis, kind, files)
     axes[0].legend(loc="upper left", fontsize=7)
     axes[-1].set_xlabel("machines")
     target.write_text(plotting.page(figure, "bench fleet", "Work of a controller", ", ".join(files)), encoding="utf-8")
     return f"{target}: {sum(map(len, files.values()))} runs, {len(kinds)} kinds of messages"
+
+
+def _draw_kind(axis: Any, kind: str, files: dict[str, list[Run]]) -> None:
+    for name, runs in files.items():
+        measured = [run for run in runs if kind in run["kinds"]]
+        machines = [run["machines"] for run in measured]
+        calls = [run["kinds"][kind]["calls_each"] for run in measured]
+        axis.plot(machines, calls, marker="o", markersize=3, label=name)
+    axis.set_title(f"{kind}: calls for a message", loc="left", fontsize=9)
+    axis.set_ylim(bottom=0)
--- a/quinceslip/models/takeover/recovery.py
+++ b/quinceslip/models/takeover/recovery.py
@@ -28,10 +28,13 @@
 
 def _deliver_everything(world: World) -> None:
     """What is in flight arrives, then a heartbeat of each worker."""
+    # Bound: what is in flight; an arrival sends no other heartbeat.
     while world.network.heartbeats:
         perform(world, Step(StepKind.HEARTBEAT_ARRIVES))
+    # Bound: what is in flight; no write is sent meanwhile.
     while world.store.pending_writes:
         perform(world, Step(StepKind.WRITE_APPLIED))
+    # Bound: the commands that the leader has to send; delivered, they need no repetition.
     while world.network.commands:
         perform(world, Step(StepKind.COMMANDS_ARRIVE))
     for number, machine in enumerate(world.workers):
