--- a/tests/scenario/runner.py
+++ b/tests/scenario/runner.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 from typing import Any
 
+from tests.scenario.breaches import BreachVerbs
 from tests.scenario.components import ComponentChecks
 from tests.scenario.controllers import ControllerVerbs
 from tests.scenario.fields import value
-from tests.scenario.setup import WorldSetup
 from tests.scenario.store import StoreVerbs
 from tests.scenario.tools import heard_errors
 from tests.scenario.troubles import Troubles
@@ -23,7 +23,7 @@
 FOLDER = Path(__file__).parent.parent / "scenarios"
 
 
-class Runner(Troubles, WorldSetup, ControllerVerbs, StoreVerbs, WorkerVerbs, ComponentChecks):
+class Runner(Troubles, BreachVerbs, ControllerVerbs, StoreVerbs, WorkerVerbs, ComponentChecks):
     """Plays the lines of a scenario: `do_` verbs describe and play, `on_` verbs happen, `check_` verbs judge."""
 
     def line(self, text: str) -> None:
@@ -43,13 +43,12 @@
         assert not strange, strange[:5]
         if self.world is None:
             return
-        self.world.checker.excused = self.excused
-        self.world.checker.finish()
-        broken = self.world.checker.broken
+        self.world.checker.finish(judge_served=not self.excused)
+        breaches = self.world.checker.breaches
         if self.expect_broken:
-            assert any(f" {self.expect_broken}:" in b for b in broken), broken
+            assert any(f" {self.expect_broken}:" in b for b in breaches), breaches
         else:
-            assert not broken, broken
+            assert not breaches, breaches
 
 
 def play(text: str) -> Runner:
--- a/tests/scenario/setup.py
+++ b/tests/scenario/setup.py
@@ -1,13 +1,12 @@
 """Lines that describe the world and play it."""
 
 from functools import partial
-from types import SimpleNamespace
 from typing import Any
 
 from tests.scenario.state import RunnerState
-from tests.simulation.checker import SILENT_S, WAIT_S, Checker
+from tests.simulation.checks.answers import SILENT_S
+from tests.simulation.checks.starvation import WAIT_S
 from tests.simulation.clock import US
-from tests.simulation.inputs import job_spec
 from tests.simulation.world import World
 
 
@@ -134,40 +133,3 @@
             self.world.run(max(self.world.calm_us, self.world.now_us) + wait_us)
         else:
             self.world.run(int(float(plain[0]) * US))
-
-    def do_breach(self, plain: list[str], named: dict[str, Any]) -> None:
-        if self.world is None:
-            self.do_run(["0"], {})
-        checker: Checker = self.w().checker
-        what, rest = plain[0], plain[1:]
-        if what == "job":
-            given = {k: str(v).split(",") if k in ("builds", "waitsOn") else v for k, v in named.items()}
-            self.w().jobs[rest[0]] = job_spec(rest[0], **given)
-        elif what == "on":
-            host = {
-                "build": named.get("type", "m"),
-                "yard": named.get("zone", "a"),
-                "loaners": named.get("spot", False),
-            }
-            worker = SimpleNamespace(name=rest[1], host=host)
-            self.w().workers[rest[1]] = worker  # type: ignore[assignment]
-            checker.on(rest[0], worker)
-        elif what == "ask":
-            checker.cancel_asked.add(rest[0])
-        elif what == "asks":
-            checker.asks(rest[0])
-        elif what == "off":
-            checker.off(rest[0], rest[1])
-        elif what == "complete":
-            checker.completed.add(rest[0])
-        elif what == "odd":
-            self.w().odd[rest[0]] = {}
-        elif what == "asked_ago":
-            checker.question_us = self.w().now_us - int(float(rest[0]) * US)
-        elif what == "trouble":
-            self.w().trouble(float(rest[0]))
-        elif what == "wait":
-            self.w().now_us += int(float(rest[0]) * US)
-        else:
-            told = {"submitted": checker.submitted, "polled": checker.polled, "cancelled": checker.cancel_answer}
-            told[what](rest[0], int(rest[1]), {"uid": rest[0], "status": rest[2] if len(rest) > 2 else ""})
--- a/tests/scenario/state.py
+++ b/tests/scenario/state.py
@@ -55,9 +55,9 @@
         def answered(status: int, body: Any) -> None:
             if self.open_polls.pop((asked_us, job_id), None):
                 self.slowest_us = max(self.slowest_us, self.w().now_us - asked_us)
-            self.w().checker.question_us = asked_us
+            self.w().checker.answers.request_sent_us = asked_us
             heard(status, body)
-            self.w().checker.question_us = None
+            self.w().checker.answers.request_sent_us = None
 
         host.user(verb, job_id, answered, spec)
 
--- a/tests/scenario/troubles.py
+++ b/tests/scenario/troubles.py
@@ -46,7 +46,13 @@
                 for _ in range(2):
                     world.after(
                         world.random.randint(1, 8000),
-                        partial(self.ask, "poll", job_id, lambda s, b: world.checker.polled(job_id, s, b), by=label),
+                        partial(
+                            self.ask,
+                            "poll",
+                            job_id,
+                            lambda s, b: world.checker.answers.poll_answered(job_id, s, b),
+                            by=label,
+                        ),
                     )
                 world.after(
                     world.random.randint(1, 8000),
@@ -54,7 +60,7 @@
                         self.ask,
                         "submit",
                         job_id,
-                        lambda s, b: world.checker.submitted(job_id, s, b),
+                        lambda s, b: world.checker.answers.submission_answered(job_id, s, b),
                         world.jobs[job_id],
                         by=label,
                     ),
@@ -80,8 +86,8 @@
             if world.now_us >= until_us:
                 return
             world.after(every_us, one)
-            told, jobs = world.checker.told, world.jobs
-            unfinished = sorted(u for u in world.checker.accepted if told.get(u) not in ("done", "withdrawn"))
+            told, jobs = world.checker.observed.last_status, world.jobs
+            unfinished = sorted(u for u in world.checker.observed.accepted if told.get(u) not in ("done", "withdrawn"))
             done = sorted(u for u, s in told.items() if s == "done")
             kind = world.random.choice(["repeat", "spoilt", "late", *(["new"] if jobs else [])])
             known = unfinished if kind in ("repeat", "spoilt") else done
@@ -92,12 +98,12 @@
                 self.ask("submit", job_id, lambda s, b: self._refused(job_id, s, b), spec)
             elif known and kind == "late":
                 job_id = world.random.choice(known)
-                world.checker.cancel_asked.add(job_id)
-                self.ask("cancel", job_id, lambda s, b: world.checker.cancel_answer(job_id, s, b))
+                world.checker.cancellation_requested(job_id)
+                self.ask("cancel", job_id, lambda s, b: world.checker.answers.cancellation_answered(job_id, s, b))
             elif known:
                 job_id = world.random.choice(known)
                 spec = jobs[job_id] if kind == "repeat" else spoilt(jobs[job_id])
-                self.ask("submit", job_id, lambda s, b: world.checker.submitted(job_id, s, b), spec)
+                self.ask("submit", job_id, lambda s, b: world.checker.answers.submission_answered(job_id, s, b), spec)
             else:
                 return
             self._meets(f"odd_{kind}")
@@ -105,7 +111,7 @@
         one()
 
     def _refused(self, job_id: str, status: int, body: Any) -> None:
-        self.w().checker.submitted(job_id, status, body)
+        self.w().checker.answers.submission_answered(job_id, status, body)
         if status in (400, 422):
             self._meets("refused")
 
@@ -125,9 +131,9 @@
         """cancel_now COUNT [within=S] [hang=S] [by=NAME]: so many jobs that run; their machines hang, eight at most"""
         world, hang_s = self.w(), float(named.get("hang", 0))
         within_s, by = float(named.get("within", 0.2)), str(named.get("by", ""))
-        where = world.checker.where
+        where = world.checker.observed.running_on
         running = sorted(
-            {t.rpartition("/")[0] for t, places in where.items() if places} - world.checker.cancel_asked,
+            {t.rpartition("/")[0] for t, places in where.items() if places} - world.checker.observed.cancel_requested,
             key=lambda u: (world.jobs[u]["shape"] != "standing", -world.run_s.get(u, 0), u),
         )
         hung: list[str] = []
--- a/tests/scenario/users.py
+++ b/tests/scenario/users.py
@@ -65,12 +65,12 @@
             world.jobs[job_id], world.run_s[job_id], world.failing[job_id] = spec, run_s, failing
             world.apart_s[job_id] = apart_s
         until_us = world.now_us + 60 * US
-        world.checker.asks(job_id)
+        world.checker.submission_attempted(job_id)
         settled = [False]
 
         def heard(status: int, body: Any) -> None:
             self.statuses.setdefault(job_id, []).append(status)
-            world.checker.submitted(job_id, status, body)
+            world.checker.answers.submission_answered(job_id, status, body)
             if status in (200, 201) and not settled[0]:
                 settled[0] = True
                 poll()
@@ -82,7 +82,10 @@
             # Users name what was accepted: they wait for that, save where no such job is ever submitted.
             if (
                 any(
-                    u in world.jobs and u != job_id and u not in world.checker.accepted and u not in self.reasons
+                    u in world.jobs
+                    and u != job_id
+                    and u not in world.checker.observed.accepted
+                    and u not in self.reasons
                     for u in given.get("waitsOn", ())
                 )
                 and world.now_us < until_us
@@ -93,7 +96,7 @@
                 world.after(2 * US, attempt)
 
         def poll() -> None:
-            self.ask("poll", job_id, lambda s, b: world.checker.polled(job_id, s, b))
+            self.ask("poll", job_id, lambda s, b: world.checker.answers.poll_answered(job_id, s, b))
             world.after(poll_s * US, poll)
 
         attempt()
@@ -123,7 +126,7 @@
     def on_count(self, args: list[str], named: dict[str, Any]) -> None:
         """count: what is counted from here on"""
         world = self.w()
-        starts = {task: len(times) for task, times in world.checker.starts.items()}
+        starts = {task: len(times) for task, times in world.checker.observed.starts.items()}
         self.counted = {
             "puts": world.store.puts,
             "reports": world.heartbeats,
@@ -142,7 +145,7 @@
         def heard(status: int, body: Any) -> None:
             self.statuses.setdefault(args[0], []).append(status)
             self.whys.setdefault(args[0], {})[by] = body.get("why", "")
-            self.w().checker.polled(args[0], status, body)
+            self.w().checker.answers.poll_answered(args[0], status, body)
 
         self.ask("poll", args[0], heard, by=by)
 
@@ -176,13 +179,13 @@
     def on_cancel(self, args: list[str], named: dict[str, Any]) -> None:
         """cancel UID [by=NAME]: asked of that controller, or of any"""
         world, job_id = self.w(), args[0]
-        world.checker.cancel_asked.add(job_id)
+        world.checker.cancellation_requested(job_id)
         settled = [False]
 
         def heard(status: int, body: Any) -> None:
             self.statuses.setdefault(job_id, []).append(status)
             settled[0] = settled[0] or status == 200
-            world.checker.cancel_answer(job_id, status, body)
+            world.checker.answers.cancellation_answered(job_id, status, body)
 
         def attempt() -> None:
             if not settled[0]:
@@ -193,10 +196,12 @@
 
     def check_done(self, args: list[str], named: dict[str, Any]) -> None:
         for job_id in args:
-            assert self.w().checker.told.get(job_id) == "done", f"{job_id}: {self.w().checker.told.get(job_id)}"
+            assert self.w().checker.observed.last_status.get(job_id) == "done", (
+                f"{job_id}: {self.w().checker.observed.last_status.get(job_id)}"
+            )
 
     def check_told(self, args: list[str], named: dict[str, Any]) -> None:
-        assert self.w().checker.told.get(args[0]) == args[1]
+        assert self.w().checker.observed.last_status.get(args[0]) == args[1]
 
     def check_status(self, args: list[str], named: dict[str, Any]) -> None:
         assert int(args[1]) in self.statuses[args[0]], self.statuses[args[0]]
@@ -206,7 +211,7 @@
         assert sum(" ".join(args[1:]) in text for text in self.whys[args[0]].values()) == 1, self.whys
 
     def check_all_done(self, args: list[str], named: dict[str, Any]) -> None:
-        told = self.w().checker.told
+        told = self.w().checker.observed.last_status
         left = [u for u, spec in self.w().jobs.items() if spec["shape"] == "array" and told.get(u) != "done"]
         assert not left, left[:5]
 
@@ -217,7 +222,9 @@
 
     def check_late_starts(self, args: list[str], named: dict[str, Any]) -> None:
         """late_starts OP N: tasks that began after their job was confirmed as cancelled, by commands on their way"""
-        assert COMPARE[args[0]](self.w().checker.late_starts, int(args[1])), self.w().checker.late_starts
+        assert COMPARE[args[0]](self.w().checker.machines.late_starts, int(args[1])), (
+            self.w().checker.machines.late_starts
+        )
 
     def check_refused_for(self, args: list[str], named: dict[str, Any]) -> None:
         """refused_for UID LEVEL RESOURCE: the 422 names them"""
@@ -227,6 +234,8 @@
     def check_running_team(self, args: list[str], named: dict[str, Any]) -> None:
         """running_team TEAM OP N"""
         there = [
-            t for t, p in self.w().checker.where.items() if p and self.w().jobs[t.rpartition("/")[0]]["crew"] == args[0]
+            t
+            for t, p in self.w().checker.observed.running_on.items()
+            if p and self.w().jobs[t.rpartition("/")[0]]["crew"] == args[0]
         ]
         assert COMPARE[args[1]](len(there), int(args[2])), f"{len(there)} tasks of {args[0]}"
--- a/tests/scenario/workers.py
+++ b/tests/scenario/workers.py
@@ -99,35 +99,35 @@
             self.w().trouble(float(args[1]) + there_s)
 
     def check_nowhere(self, args: list[str], named: dict[str, Any]) -> None:
-        there = {t: p for t, p in self.w().checker.where.items() if p and t.startswith(args[0] + "/")}
+        there = {t: p for t, p in self.w().checker.observed.running_on.items() if p and t.startswith(args[0] + "/")}
         assert not there, there
 
     def check_running(self, args: list[str], named: dict[str, Any]) -> None:
-        there = [t for t, p in self.w().checker.where.items() if p and t.startswith(args[0] + "/")]
+        there = [t for t, p in self.w().checker.observed.running_on.items() if p and t.startswith(args[0] + "/")]
         assert len(there) == int(args[1]), there
 
     def check_starts(self, args: list[str], named: dict[str, Any]) -> None:
-        count = sum(len(s) for t, s in self.w().checker.starts.items() if t.startswith(args[0] + "/"))
+        count = sum(len(s) for t, s in self.w().checker.observed.starts.items() if t.startswith(args[0] + "/"))
         assert COMPARE[args[1]](count, int(args[2])), f"{args[0]} was started {count} times"
 
     def check_starts_since(self, args: list[str], named: dict[str, Any]) -> None:
         """starts_since UID OP N: since `count`"""
         before: Any = self.counted["starts"]
-        starts = self.w().checker.starts
+        starts = self.w().checker.observed.starts
         count = sum(len(s) - before.get(t, 0) for t, s in starts.items() if t.startswith(args[0] + "/"))
         assert COMPARE[args[1]](count, int(args[2])), f"{args[0]} was started {count} times since"
 
     def check_services_restarted_by(self, args: list[str], named: dict[str, Any]) -> None:
         """Some replica was started again, and the last such start was by then."""
-        again = [s[-1] / US for s in self.w().checker.starts.values() if len(s) > 1]
+        again = [s[-1] / US for s in self.w().checker.observed.starts.values() if len(s) > 1]
         assert again and max(again) <= float(args[0]), again
 
     def check_started_by(self, args: list[str], named: dict[str, Any]) -> None:
-        times = [s[-1] / US for t, s in self.w().checker.starts.items() if t.startswith(args[0] + "/")]
+        times = [s[-1] / US for t, s in self.w().checker.observed.starts.items() if t.startswith(args[0] + "/")]
         assert times and max(times) <= float(args[1]), times
 
     def check_together(self, args: list[str], named: dict[str, Any]) -> None:
-        times = [s[-1] for t, s in self.w().checker.starts.items() if t.startswith(args[0] + "/")]
+        times = [s[-1] for t, s in self.w().checker.observed.starts.items() if t.startswith(args[0] + "/")]
         assert max(times) - min(times) < 3 * US, times
 
     def check_killed(self, args: list[str], named: dict[str, Any]) -> None:
@@ -149,7 +149,7 @@
 
     def check_on_type(self, args: list[str], named: dict[str, Any]) -> None:
         """on_type UID TYPE: every task of it that runs does so there"""
-        places = [n for t, p in self.w().checker.where.items() if t.startswith(args[0] + "/") for n in p]
+        places = [n for t, p in self.w().checker.observed.running_on.items() if t.startswith(args[0] + "/") for n in p]
         assert places and all(self.w().workers[n].host["build"] == args[1] for n in places), places
 
     def check_kept_came(self, args: list[str], named: dict[str, Any]) -> None:
@@ -164,14 +164,16 @@
 
     def check_most_used(self, args: list[str], named: dict[str, Any]) -> None:
         """most_used LEVEL OP N: at any instant so far"""
-        used = self.w().checker.most_used[args[0]]
+        used = self.w().checker.quota.most_used[args[0]]
         assert COMPARE[args[1]](used, float(args[2])), f"{args[0]} used {used}"
 
     def check_level_at_most(self, args: list[str], named: dict[str, Any]) -> None:
         """level_at_most LEVEL N: CPUs in use beneath it now"""
-        assert self.w().checker.used_now(args[0]) <= float(args[1]), self.w().checker.used_now(args[0])
+        assert self.w().checker.quota.cpus_used_now(args[0]) <= float(args[1]), self.w().checker.quota.cpus_used_now(
+            args[0]
+        )
 
     def check_since_at_most(self, args: list[str], named: dict[str, Any]) -> None:
         """since_at_most LEVEL T N: CPUs in use beneath it at every start after T"""
-        later = [used for at_us, used in self.w().checker.history[args[0]] if at_us >= float(args[1]) * US]
+        later = [used for at_us, used in self.w().checker.quota.cpu_history[args[0]] if at_us >= float(args[1]) * US]
         assert later and max(later) <= float(args[2]), max(later)
--- /dev/null
+++ b/tests/simulation/checks/observations.py
@@ -0,0 +1,92 @@
+"""What a run has shown so far: what machines did, what users asked and were told. The rules judge it elsewhere."""
+
+from collections import defaultdict
+from typing import TYPE_CHECKING, Any
+
+from tests.simulation.clock import US
+from tests.simulation.tasks import tasks_of
+
+if TYPE_CHECKING:
+    from tests.simulation.world import World
+
+#: statuses of a job, as users are told, after which it has no other
+FINAL_STATUSES = ("done", "withdrawn")
+
+
+class Observations:
+    """Facts that several rules need, and the breaches that the rules have found."""
+
+    def __init__(self, world: "World") -> None:
+        self.world = world
+        self.breaches: list[str] = []
+        # Of machines; keys are names of tasks.
+        self.running_on: dict[str, set[str]] = defaultdict(set)  # names of the workers that run a task now
+        self.starts: dict[str, list[int]] = defaultdict(list)  # when it was started, each time
+        self.completed: set[str] = set()
+        self.completed_us: dict[str, int] = {}  # when it completed first
+        # Of users; keys are ids of jobs.
+        self.first_submitted_us: dict[str, int] = {}  # first attempt to submit it
+        self.accepted: dict[str, dict[str, Any]] = {}  # the first answer that said so
+        self.acceptance_answered_us: dict[str, int] = {}
+        self.cancel_requested: set[str] = set()
+        self.cancel_answered_us: dict[str, int] = {}  # a user was first told that it is cancelled
+        self.last_status: dict[str, str] = {}  # the last status that its users were told
+        self.final_answer_us: dict[str, int] = {}  # a user was first told that it is done or cancelled
+        self.last_answer_us: dict[str, int] = {}  # the last answer about an accepted job
+
+    @property
+    def now_us(self) -> int:
+        """The world's virtual time."""
+        return self.world.now_us
+
+    @property
+    def cancel_limit_us(self) -> int:
+        """The time after which nothing of a job may run whose cancellation was answered (`cancel_s` of the site)."""
+        return int(self.world.facts["workers"]["cancel_s"] * US)
+
+    def spec(self, job_id: str) -> dict[str, Any]:
+        """The description of a job as its user submits it."""
+        return self.world.jobs[job_id]
+
+    def breach(self, rule: str, text: str) -> None:
+        """Record that a rule was broken now."""
+        self.breaches.append(f"{self.now_us / US:.3f} {rule}: {text}")
+
+    def tasks(self, job_id: str) -> list[str]:
+        """The names of all tasks of a job."""
+        return tasks_of(job_id, self.spec(job_id))
+
+    def is_complete(self, job_id: str) -> bool:
+        """Whether each task of a job has completed on some machine."""
+        return all(task in self.completed for task in self.tasks(job_id))
+
+    def dependencies(self, job_id: str) -> set[str]:
+        """All jobs that one waits for, directly or through others."""
+        found: set[str] = set()
+        unvisited = [job_id]
+        # Bound: each job is taken once.
+        while unvisited:
+            for other in self.world.jobs.get(unvisited.pop(), {}).get("waitsOn", ()):
+                if other not in found:
+                    found.add(other)
+                    unvisited.append(other)
+        return found
+
+    def is_cancelled(self, job_id: str) -> bool:
+        """Whether its user, or that of an unfinished job that it waits for, has asked for its end."""
+        return job_id in self.cancel_requested or any(
+            other in self.cancel_requested and self.last_status.get(other) != "done"
+            for other in self.dependencies(job_id)
+        )
+
+    def ready_us(self, job_id: str) -> int:
+        """When the time limits of a job begin, in µs.
+
+        With the first attempt to submit it, or with the end of the last job that it waits for; now if that is to come.
+        """
+        submitted_us = self.first_submitted_us.get(job_id, self.now_us)
+        ends_us = [
+            max(self.completed_us.get(task, self.now_us) for task in self.tasks(other))
+            for other in self.spec(job_id)["waitsOn"]
+        ]
+        return max([submitted_us, *ends_us])
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -96,7 +96,9 @@
                         and not mine.at_us <= known.at_us <= mine.at_us + LATE_US + self.world.links_us
                     )
                 ):
-                    self.world.checker.breach("hearsay", f"{self.label} knows more of {kind} than {origin} saw")
+                    self.world.checker.observed.breach(
+                        "hearsay", f"{self.label} knows more of {kind} than {origin} saw"
+                    )
 
     def _nothing_is_lost(self) -> None:
         """Every task of ours that is not done waits, runs, or is known to be in doubt: none that nobody will start."""
@@ -113,7 +115,7 @@
                     - partition.crash_loop.on_hold
                 )
                 if left:
-                    self.world.checker.breach(
+                    self.world.checker.observed.breach(
                         "stuck", f"{self.label} has lost {sorted(left)[:3]} of {partition.job_id}"
                     )
                 if (
@@ -121,7 +123,7 @@
                     and not partition.pending
                     and not (partition.attempts or partition.indeterminate or partition.unreconciled)
                 ):
-                    self.world.checker.breach("stuck", f"{self.label} tries nothing of {partition.job_id}")
+                    self.world.checker.observed.breach("stuck", f"{self.label} tries nothing of {partition.job_id}")
 
     # The watch.
 
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -61,7 +61,7 @@
     def _end(self, name: str) -> None:
         if self.tasks[name]["on"]:
             self.tasks[name]["on"] = False
-            self.world.checker.off(name, self.name)
+            self.world.checker.machines.task_stopped(name, self.name)
 
     def _heartbeat(self) -> None:
         if self.dead:
@@ -188,8 +188,6 @@
             if order["verb"] == "launch":
                 if task is None:
                     self._launch(name, number)
-                elif task["try"] != number and task["status"] != "exited":
-                    self.world.checker.note(f"{name} launched on {self.name} while attempt {task['try']} is there")
             elif order["verb"] == "halt":
                 if task and task["try"] == number and task["status"] != "exited":
                     saved = task["spec"]["markEveryS"] > 0 and order.get("windDownS", 0) >= task["spec"]["markCostS"]
@@ -226,7 +224,7 @@
         task["status"], task["on"] = "running", True
         self.changed = True
         world = self.world
-        world.checker.on(name, self)
+        world.checker.machines.task_started(name, self)
         job_id = name.rpartition("/")[0]
         if world.failing.get(job_id, 0) > 0:
             world.failing[job_id] -= 1
@@ -241,11 +239,10 @@
             if self.world.now_us < self.hung_until_us:
                 self.world.after(self.hung_until_us - self.world.now_us + 100_000, lambda: self._complete(name, number))
                 return
-            self.world.checker.completed.add(name)
-            self.world.checker.done_us.setdefault(name, self.world.now_us)
+            self.world.checker.task_completed(name)
             self._exit(name, number, "done")
             job_id = name.rpartition("/")[0]
-            if all(f"{job_id}/{i}" in self.world.checker.completed for i in range(task["spec"]["picks"])):
+            if self.world.checker.observed.is_complete(job_id):
                 for ends in self.world.on_end:
                     ends(job_id)
 
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -58,7 +58,7 @@
         self._look()
 
     def _look(self) -> None:
-        self.checker.look()
+        self.checker.sample()
         self.after(2 * US, self._look)
 
     def after(self, delay_us: float, action: Callable[[], object]) -> None:
