--- a/tests/scenario/workers.py
+++ b/tests/scenario/workers.py
@@ -6,6 +6,7 @@
 from tests.scenario.state import RunnerState
 from tests.scenario.tools import COMPARE
 from tests.simulation.clock import US
+from tests.simulation.faults import HeartbeatCopies, SlowCommands
 
 
 class WorkerVerbs(RunnerState):
@@ -16,7 +17,7 @@
         if args[0] == "all":
             return list(world.workers.values())
         if args[0] == "busiest":
-            return sorted(world.workers.values(), key=lambda w: -sum(t["on"] for t in w.tasks.values()))[:1]
+            return sorted(world.workers.values(), key=lambda w: -w.runner.running_count())[:1]
         if args[0].startswith("zone:"):
             return [w for w in world.workers.values() if w.host["yard"] == args[0][5:]]
         if args[0] == "third":
@@ -48,7 +49,7 @@
             return
         late_s, times = float(named.get("late", 3 * self.facts["workers"]["lease_s"])), named.get("times", 1)
         for worker in self._workers(args):
-            worker.copies = (self.w().trouble(float(args[1])), times, int(late_s * US))
+            worker.copies = HeartbeatCopies(self.w().trouble(float(args[1])), times, int(late_s * US))
             self.w().trouble(float(args[1]) + late_s)
 
     def on_reboot(self, args: list[str], named: dict[str, Any]) -> None:
@@ -78,13 +79,13 @@
         for worker in self._workers(args):
             self.w().trouble(notice_s)
             worker.notice_us = self.w().now_us + int(notice_s * US)
-            worker.changed = True
+            worker.has_changed = True
             self.w().after(notice_s * US + 1, partial(self.w().cloud.gone, worker.name))
 
     def on_token(self, args: list[str], named: dict[str, Any]) -> None:
         """token WORKER N: the worker has seen a higher token than its owner's."""
         for worker in self._workers(args):
-            worker.fencing_token, worker.changed = int(args[1]), True
+            worker.fencing_token, worker.has_changed = int(args[1]), True
 
     def on_cloud(self, args: list[str], named: dict[str, Any]) -> None:
         """cloud capacity|never_boot|lost_answers N"""
@@ -95,7 +96,7 @@
         """slow_commands WORKER|... S there=MOST back=MOST: direct commands, or their answers, are held up alone"""
         there_s, back_s = float(named.get("there", 0)), float(named.get("back", 0))
         for worker in self._workers(args):
-            worker.slow_do = (self.w().trouble(float(args[1])), int(there_s * US), int(back_s * US))
+            worker.slow_commands = SlowCommands(self.w().trouble(float(args[1])), int(there_s * US), int(back_s * US))
             self.w().trouble(float(args[1]) + there_s)
 
     def check_nowhere(self, args: list[str], named: dict[str, Any]) -> None:
--- a/tests/simulation/checks/machines.py
+++ b/tests/simulation/checks/machines.py
@@ -86,12 +86,12 @@
             return
         workers = self.observed.world.workers
         other_attempts = {
-            workers[name].tasks[other]["try"]
+            workers[name].tasks[other].attempt
             for other, names in self.observed.running_on.items()
             for name in names
             if job_of(other) == job_of(task) and name in workers
         }
-        if other_attempts - {worker.tasks[task]["try"]}:
+        if other_attempts - {worker.tasks[task].attempt}:
             self.observed.breach("mixed_gang", f"{task} starts under another attempt than the others")
 
     def _check_cancelled(self, task: str, what: str) -> None:
--- a/tests/simulation/checks/starvation.py
+++ b/tests/simulation/checks/starvation.py
@@ -7,6 +7,7 @@
 from tests.simulation.checks.observations import FINAL_STATUSES, Observations
 from tests.simulation.checks.quota import RESOURCE_FIELDS, ROUNDING, QuotaChecks, level_of_section, need_of
 from tests.simulation.clock import US
+from tests.simulation.task_runner import TaskStatus
 from tests.simulation.tasks import job_of
 from tests.simulation.worker import SimulatedWorker
 
@@ -25,7 +26,7 @@
     @classmethod
     def of(cls, worker: SimulatedWorker) -> "Machine":
         """What a worker has at this moment."""
-        tasks = {name: task["spec"] for name, task in worker.tasks.items() if task["status"] != "exited"}
+        tasks = {name: task.spec for name, task in worker.tasks.items() if task.status != TaskStatus.EXITED}
         specs = [spec for spec in tasks.values() if spec is not None]
         free = [worker.type[field] - sum(spec[field] for spec in specs) for field in RESOURCE_FIELDS.values()]
         return cls(worker, list(tasks), free)
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -285,21 +285,19 @@
         worker = next((w for w in world.workers.values() if w.host["endpoint"] == effect.target), None)
         if worker is None:
             world.after(effect.timeout_us, lambda: back(fx.NOT_SENT, {}))
-        elif self._is_cut_from(worker) or world.now_us < max(
-            worker.cut_until_us, worker.hung_until_us, worker.unheard_until_us
-        ):
+        elif self._is_cut_from(worker) or worker.is_unreachable():
             # Held back by the network, delivered when the interruption ends.
             if effect.path == "/do" and not worker.drops:
-                worker.held.append((body, back))
+                worker.undelivered.append(body)
             world.after(effect.timeout_us, lambda: back(fx.UNKNOWN, {}))
-        elif effect.path == "/do" and world.now_us < worker.slow_do[0]:
+        elif effect.path == "/do" and world.now_us < worker.slow_commands.until_us:
             # Held up by itself, while all else passes: on the way there, or the answer on its way back.
-            go_us, come_us = (world.random.randint(0, most) for most in worker.slow_do[1:])
+            go_us, come_us = (world.random.randint(0, most) for most in worker.slow_commands[1:])
 
             def arrives() -> None:
                 now = next((w for w in world.workers.values() if w.host["endpoint"] == effect.target), None)
                 if now is not None:
-                    reply = now.do(body)
+                    reply = now.receive_commands(body)
                     world.after(come_us + world.latency(), lambda: back(*reply))
 
             world.after(go_us + world.latency(), arrives)
@@ -307,7 +305,7 @@
         elif effect.path == "/inspect":
             world.after(world.latency(), lambda: back(200, worker.heartbeat()))
         else:
-            world.after(world.latency(), lambda: back(*worker.do(body)))
+            world.after(world.latency(), lambda: back(*worker.receive_commands(body)))
 
     def _is_cut_from(self, worker: Any) -> bool:
         until_us, zone = self.cut_workers
@@ -324,8 +322,10 @@
         self.waiting[self.next_request] = answer
         self.deliver(make(self.next_request))
 
-    def worker_reports(self, heartbeat: dict[str, Any], answer: Callable[[int, Any], None], copy: bool = False) -> None:
-        if self._is_cut_from(self.world.workers.get(heartbeat["berth"])) and not copy:
+    def receive_heartbeat(
+        self, heartbeat: dict[str, Any], answer: Callable[[int, Any], None], is_copy: bool = False
+    ) -> None:
+        if self._is_cut_from(self.world.workers.get(heartbeat["berth"])) and not is_copy:
             return
         self.world.heartbeats += 1
         self._trace("in", "worker", heartbeat)
--- /dev/null
+++ b/tests/simulation/task_runner.py
@@ -0,0 +1,168 @@
+"""The tasks of one simulated worker: what commands make of them, and when they start and end."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import StrEnum
+from functools import partial
+from typing import TYPE_CHECKING, Any
+
+from tests.simulation.clock import US
+from tests.simulation.tasks import index_of, job_of
+
+if TYPE_CHECKING:
+    from tests.simulation.worker import SimulatedWorker
+
+#: a task fetches its image for so long before it starts
+PULL_US = 300_000
+#: what falls into a hang happens so long after it
+RESUME_US = 100_000
+#: sums of fractions of CPUs may be off by so much
+ROUNDING = 1e-6
+
+
+class TaskStatus(StrEnum):
+    """The state of a task on its worker, as heartbeats say it."""
+
+    PULLING = "pulling"
+    RUNNING = "running"
+    FLUSHING = "flushing"
+    EXITED = "exited"
+
+
+@dataclass
+class SimulatedTask:
+    """One attempt of a task on a worker; `spec` is None where no user of this world submitted its job."""
+
+    name: str
+    attempt: int
+    spec: Any
+    status: TaskStatus = TaskStatus.PULLING
+    cause: str | None = None  # why it exited
+    is_running: bool = False  # as the checker counts: from its start to its exit, saving included
+
+    def to_wire(self) -> dict[str, Any]:
+        """Its part of a heartbeat."""
+        said: dict[str, Any] = {"pick": self.name, "try": self.attempt, "status": self.status}
+        if self.cause is not None:
+            said["cause"] = self.cause
+        return said
+
+    def exit(self, cause: str) -> None:
+        """It has ended, and is reported until a command acknowledges that."""
+        self.status, self.cause = TaskStatus.EXITED, cause
+
+
+class TaskRunner:
+    """Carries commands out, and runs tasks in virtual time."""
+
+    def __init__(self, worker: "SimulatedWorker") -> None:
+        self.worker, self.world = worker, worker.world
+        self.tasks: dict[str, SimulatedTask] = {}
+
+    def execute(self, commands: list[dict[str, Any]]) -> None:
+        """Carry out the commands of one message, in their order."""
+        handlers = {"launch": self._launch, "halt": self._stop, "reap": self._acknowledge_result}
+        for command in commands:
+            handlers[command["verb"]](command)
+            self.worker.has_changed = True
+
+    def end_all(self) -> None:
+        """No task runs any more; what is reported of them stays."""
+        for name in list(self.tasks):
+            self._ended(self.tasks[name])
+
+    def running_count(self) -> int:
+        """Tasks that run or save their state."""
+        return sum(task.is_running for task in self.tasks.values())
+
+    def _attempt(self, name: str, attempt: int) -> SimulatedTask | None:
+        """A task under this attempt, if it is there and the machine is alive."""
+        task = self.tasks.get(name)
+        if task is None or task.attempt != attempt or self.worker.is_dead:
+            return None
+        return task
+
+    def _launch(self, command: dict[str, Any]) -> None:
+        name, attempt = command["pick"], command["try"]
+        if name in self.tasks:
+            return
+        spec = self.world.jobs.get(job_of(name))
+        task = self.tasks[name] = SimulatedTask(name, attempt, spec)
+        if spec is None:
+            task.exit("unknown")
+        elif self._cpus_used() > self.worker.type["vcpus"] + ROUNDING:
+            task.exit("no_room")
+        else:
+            self.world.after(PULL_US, partial(self._start, name, attempt))
+
+    def _cpus_used(self) -> float:
+        return sum(float(task.spec["vcpus"]) for task in self.tasks.values() if task.status != TaskStatus.EXITED)
+
+    def _stop(self, command: dict[str, Any]) -> None:
+        """Stop a task; one that keeps checkpoints saves its state first where the command leaves time for that."""
+        name, attempt = command["pick"], command["try"]
+        task = self.tasks.get(name)
+        if task is None or task.attempt != attempt or task.status == TaskStatus.EXITED:
+            return
+        save_s = task.spec["markCostS"]
+        can_save = task.spec["markEveryS"] > 0 and command.get("windDownS", 0) >= save_s
+        if can_save and task.status == TaskStatus.RUNNING:
+            task.status = TaskStatus.FLUSHING
+            self.world.after(save_s * US, partial(self._exit, name, attempt, "halted"))
+        else:
+            self._exit(name, attempt, "halted")
+
+    def _acknowledge_result(self, command: dict[str, Any]) -> None:
+        task = self.tasks.get(command["pick"])
+        if task is not None and task.attempt == command["try"] and task.status == TaskStatus.EXITED:
+            del self.tasks[task.name]
+
+    def _start(self, name: str, attempt: int) -> None:
+        task = self._attempt(name, attempt)
+        if task is None or task.status != TaskStatus.PULLING:
+            return
+        if self._postponed_by_hang(partial(self._start, name, attempt)):
+            return
+        task.status, task.is_running = TaskStatus.RUNNING, True
+        self.worker.has_changed = True
+        world, job_id = self.world, job_of(name)
+        world.checker.machines.task_started(name, self.worker)
+        if world.failing.get(job_id, 0) > 0:
+            world.failing[job_id] -= 1
+            world.after(US, partial(self._exit, name, attempt, "error"))
+        elif task.spec["shape"] != "standing":
+            run_s = world.run_s[job_id] + index_of(name) * world.apart_s.get(job_id, 0)
+            world.after(run_s * US, partial(self._complete, name, attempt))
+
+    def _complete(self, name: str, attempt: int) -> None:
+        task = self._attempt(name, attempt)
+        if task is None or task.status != TaskStatus.RUNNING:
+            return
+        if self._postponed_by_hang(partial(self._complete, name, attempt)):
+            return
+        checker, job_id = self.world.checker, job_of(name)
+        checker.task_completed(name)
+        self._exit(name, attempt, "done")
+        if checker.observed.is_complete(job_id):
+            for listener in self.world.on_end:
+                listener(job_id)
+
+    def _postponed_by_hang(self, action: Callable[[], None]) -> bool:
+        """Whether the machine hangs; the action then comes shortly after."""
+        hang_left_us = self.worker.hung_until_us - self.world.now_us
+        if hang_left_us <= 0:
+            return False
+        self.world.after(hang_left_us + RESUME_US, action)
+        return True
+
+    def _exit(self, name: str, attempt: int, cause: str) -> None:
+        task = self._attempt(name, attempt)
+        if task is not None and task.status != TaskStatus.EXITED:
+            self._ended(task)
+            task.exit(cause)
+            self.worker.has_changed = True
+
+    def _ended(self, task: SimulatedTask) -> None:
+        if task.is_running:
+            task.is_running = False
+            self.world.checker.machines.task_stopped(task.name, self.worker.name)
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -76,7 +76,7 @@
         for heartbeat in heartbeats:
             for host in self.controllers.values():
                 self.after(
-                    self.latency(), partial(host.worker_reports, heartbeat, lambda status, body: None, copy=True)
+                    self.latency(), partial(host.receive_heartbeat, heartbeat, lambda status, body: None, is_copy=True)
                 )
 
     def trouble(self, seconds: float) -> int:
@@ -88,7 +88,7 @@
     def bound_us(self) -> int:
         """How long what was accepted may take without trouble: leases and boots first, then twice its work."""
         jobs = [(u, j) for u, j in self.jobs.items() if j["shape"] != "standing"]
-        cpus = sum(w.type["vcpus"] for w in self.workers.values() if hasattr(w, "type")) or 16.0
+        cpus = sum(w.type["vcpus"] for w in self.workers.values() if isinstance(w, SimulatedWorker)) or 16.0
         work_s = sum(j["picks"] * j["vcpus"] * self.run_s.get(u, 0) for u, j in jobs) / cpus
         way_s: dict[str, float] = {}  # of the longest chain that ends with a job; what it names was submitted before
         for job_id, job in jobs:
