--- a/tests/scenario/controllers.py
+++ b/tests/scenario/controllers.py
@@ -10,6 +10,7 @@
 from tests.scenario.state import RunnerState
 from tests.scenario.tools import COMPARE
 from tests.simulation.clock import US
+from tests.simulation.faults import StoreCut, WorkerCut
 
 
 class ControllerVerbs(RunnerState):
@@ -27,7 +28,7 @@
     def on_upgrade(self, args: list[str], named: dict[str, Any], old: bool = False) -> None:
         """upgrade NAME... back=S: processes end, and come back with this version"""
         for name in args:
-            self.w().controllers[name].old = old
+            self.w().controllers[name].runs_previous_version = old
         self.on_crash(args, named)
 
     def on_downgrade(self, args: list[str], named: dict[str, Any]) -> None:
@@ -39,24 +40,24 @@
 
     def on_hang_watch(self, args: list[str], named: dict[str, Any]) -> None:
         """hang_watch NAME S: a controller's watch brings nothing, while its other calls are answered."""
-        self.w().controllers[args[0]].watch_hung_until_us = self.w().trouble(float(args[1]))
+        self.w().controllers[args[0]].store.watch_hung_until_us = self.w().trouble(float(args[1]))
 
     def on_deaf(self, args: list[str], named: dict[str, Any]) -> None:
         """deaf NAME S [in]: no frames to or from its peers; with `in`, none to it, while its own arrive."""
         host, until_us = self.w().controllers[args[0]], self.w().trouble(float(args[1]))
         if "in" in args:
-            host.deaf_in_until_us = until_us
+            host.peers_unheard_until_us = until_us
         else:
-            host.deaf_peers_until_us = until_us
+            host.peers_cut_until_us = until_us
 
     def on_isolate(self, args: list[str], named: dict[str, Any]) -> None:
         """isolate NAME S held|refused|reset: it loses the state service and its peers, but not its workers."""
         host, until_us = self.w().controllers[args[0]], self.w().trouble(float(args[1]))
-        host.deaf_peers_until_us = until_us
+        host.peers_cut_until_us = until_us
         if args[2] == "refused":
             self.w().store.refused[args[0]] = until_us
         else:
-            host.state_cut = (until_us, args[2])
+            host.store.cut = StoreCut(until_us, args[2])
 
     def on_cut_state(self, args: list[str], named: dict[str, Any]) -> None:
         """cut_state NAME S held|refused|reset: it loses the state service alone, keeps peers, workers and users"""
@@ -64,11 +65,13 @@
         if args[2] == "refused":
             self.w().store.refused[args[0]] = until_us
         else:
-            self.w().controllers[args[0]].state_cut = (until_us, args[2])
+            self.w().controllers[args[0]].store.cut = StoreCut(until_us, args[2])
 
     def on_cut_workers(self, args: list[str], named: dict[str, Any]) -> None:
         """cut_workers NAME S [zone=Z]: nothing passes between a controller and any worker, or those of a zone."""
-        self.w().controllers[args[0]].cut_workers = (self.w().trouble(float(args[1])), str(named.get("zone", "")))
+        self.w().controllers[args[0]].workers.cut = WorkerCut(
+            self.w().trouble(float(args[1])), str(named.get("zone", ""))
+        )
 
     def on_load_told(self, args: list[str], named: dict[str, Any]) -> None:
         """load_told NAME SHARD,... slots=N rate=R: a peer's frame tells every other controller so; twice a second"""
@@ -101,7 +104,7 @@
         found = {
             h.label: h.actor.ctx.feature_active(PIPELINES)
             for h in self.w().controllers.values()
-            if h.actor and not h.old
+            if h.actor and not h.runs_previous_version
         }
         assert found and set(found.values()) == {args[0] == "open"}, found
 
--- a/tests/scenario/setup.py
+++ b/tests/scenario/setup.py
@@ -116,7 +116,7 @@
             self.world = World(self.facts, self.types, self.seed, self.operators)
             self.world.trace = self.trace
             for name in self.old:
-                self.world.controllers[name].old = True
+                self.world.controllers[name].runs_previous_version = True
             if self.full:
                 self.world.cloud.capacity = 0
             for count, kind, zone, spot in self.initial:
--- a/tests/scenario/state.py
+++ b/tests/scenario/state.py
@@ -59,7 +59,7 @@
             heard(status, body)
             self.w().checker.answers.request_sent_us = None
 
-        host.user(verb, job_id, answered, spec)
+        host.receive_user_request(verb, job_id, answered, spec)
 
     def obey(self, verb: str, plain: list[str], named: dict[str, Any]) -> None:
         """Raises AttributeError for an unknown verb, AssertionError for a field that it does not know."""
--- a/tests/scenario/store.py
+++ b/tests/scenario/store.py
@@ -18,6 +18,7 @@
 from tests.scenario.state import RunnerState
 from tests.scenario.tools import COMPARE
 from tests.simulation.clock import US
+from tests.simulation.faults import LateTransactions, LostAnswers, SlowAnswers
 from tests.simulation.inputs import settings_of
 from tests.simulation.world import World
 
@@ -44,10 +45,12 @@
         """
         if args[2] == "at_once":
             for label in self.w().controllers if args[0] == "all" else args[:1]:
-                self.w().store.unanswered[label] = (self.w().trouble(float(args[1])), float(named.get("share", 1.0)))
+                self.w().store.unanswered[label] = LostAnswers(
+                    self.w().trouble(float(args[1])), float(named.get("share", 1.0))
+                )
             return
         least_s, most_s = float(args[2]), float(args[-1])
-        self.w().store.late[args[0]] = (
+        self.w().store.late[args[0]] = LateTransactions(
             self.w().trouble(float(args[1])),
             int(least_s * US),
             int(most_s * US),
@@ -58,7 +61,7 @@
     def on_slow(self, args: list[str], named: dict[str, Any]) -> None:
         """slow NAME|all S MOST: the state service takes up to so long to answer."""
         for label in self.w().controllers if args[0] == "all" else args[:1]:
-            self.w().store.slow[label] = (self.w().trouble(float(args[1])), int(float(args[2]) * US))
+            self.w().store.slow[label] = SlowAnswers(self.w().trouble(float(args[1])), int(float(args[2]) * US))
 
     def on_page_gap(self, args: list[str], named: dict[str, Any]) -> None:
         """page_gap S: a listing of the records is read in pages, so long after one another"""
--- a/tests/scenario/troubles.py
+++ b/tests/scenario/troubles.py
@@ -5,6 +5,7 @@
 
 from tests.scenario.users import UserVerbs
 from tests.simulation.clock import US
+from tests.simulation.faults import LostHandOver, StoreCut, WorkerCut
 
 #: hosts of cancelled jobs that hang, at the most
 MAX_HUNG_MACHINES = 8
@@ -161,16 +162,17 @@
         world = self.w()
         until_us = world.trouble(float(args[2]))
         for label, host in world.controllers.items():
-            host.cut_workers = (until_us, "!" + args[0] if label == args[1] else args[0])
+            host.workers.cut = WorkerCut(until_us, "!" + args[0] if label == args[1] else args[0])
         inside = world.controllers[args[1]]
-        inside.deaf_peers_until_us, inside.state_cut = until_us, (until_us, args[3] if args[3:] else "held")
+        inside.peers_cut_until_us = until_us
+        inside.store.cut = StoreCut(until_us, args[3] if args[3:] else "held")
 
     def on_hand_over_unanswered(self, args: list[str], named: dict[str, Any]) -> None:
         """hand_over_unanswered NAME S: its next hand-over is carried out, the answer is lost, and its watch hangs
 
         `hand_over_unanswered NAME S lost`: it is not carried out either.
         """
-        self.w().store.hand_over_lost[args[0]] = int(float(args[1]) * US), "lost" in args
+        self.w().store.hand_over_lost[args[0]] = LostHandOver(int(float(args[1]) * US), "lost" in args)
 
     def check_handed_over(self, args: list[str], named: dict[str, Any]) -> None:
         """handed_over: that has met"""
--- a/tests/scenario/users.py
+++ b/tests/scenario/users.py
@@ -19,7 +19,7 @@
         world = self.w()
         pages: list[Any] = []
         for host in world.controllers.values():
-            host.ask("quota", lambda status, body: pages.append(body))
+            host.receive_query("quota", lambda status, body: pages.append(body))
 
         def write() -> None:
             with open(args[0], "a", encoding="utf-8") as out:
--- a/tests/simulation/checker.py
+++ b/tests/simulation/checker.py
@@ -3,6 +3,7 @@
 from typing import TYPE_CHECKING
 
 from tests.simulation.checks.answers import AnswerChecks
+from tests.simulation.checks.controllers import ControllerChecks
 from tests.simulation.checks.end_of_run import EndOfRunChecks
 from tests.simulation.checks.machines import MachineChecks
 from tests.simulation.checks.observations import Observations
@@ -20,6 +21,7 @@
         self.observed = Observations(world)
         self.quota = QuotaChecks(self.observed)
         self.machines = MachineChecks(self.observed, self.quota)
+        self.controllers = ControllerChecks(self.observed)
         self.answers = AnswerChecks(self.observed)
         self.starvation = StarvationChecks(self.observed, self.quota)
         self.end_of_run = EndOfRunChecks(self.observed)
--- /dev/null
+++ b/tests/simulation/checks/controllers.py
@@ -0,0 +1,63 @@
+"""Rules about the insides of controllers, judged at each of their ticks: no task is lost, no hearsay made younger."""
+
+from typing import TYPE_CHECKING
+
+from quinceslip.coordination.controller.controller import Controller
+from quinceslip.coordination.shard.partition import JobPartition
+from tests.simulation.checks.observations import Observations
+
+if TYPE_CHECKING:
+    from tests.simulation.controller import SimulatedController
+
+#: what frames of this network's latency and their milliseconds may make of a moment, beside slow links
+MAX_FRAME_DELAY_US = 10_000
+
+
+class ControllerChecks:
+    """Rules `stuck` and `hearsay`."""
+
+    def __init__(self, observed: Observations) -> None:
+        self.observed = observed
+
+    def check(self, controller: "SimulatedController", actor: Controller) -> None:
+        """Judge one controller that is up."""
+        for shard in actor.shards.values():
+            for partition in shard.partitions.values():
+                self._check_no_task_lost(controller.label, partition)
+        self._check_observations(controller.label, actor)
+
+    def _check_no_task_lost(self, label: str, partition: JobPartition) -> None:
+        """Each unfinished task waits, runs, or is known to be in doubt: none that nobody will start."""
+        on_hold = partition.crash_loop.on_hold
+        lost = (
+            partition.assigned
+            - partition.done
+            - partition.unrecorded_done
+            - partition.pending.members
+            - partition.attempts.keys()
+            - partition.unreconciled
+            - partition.indeterminate
+            - on_hold
+        )
+        if lost:
+            self.observed.breach("stuck", f"{label} has lost {sorted(lost)[:3]} of {partition.job_id}")
+        is_started = partition.attempts or partition.indeterminate or partition.unreconciled
+        if on_hold and not partition.pending and not is_started:
+            self.observed.breach("stuck", f"{label} tries nothing of {partition.job_id}")
+
+    def _check_observations(self, label: str, actor: Controller) -> None:
+        """What is known of a peer's capacity observations is one of its own, and as old as it is."""
+        for origin, observations in actor.autoscaler.capacity.all_observations().items():
+            peer = self.observed.world.controllers[origin].actor
+            own = {} if peer is None else peer.autoscaler.capacity.all_observations().get(origin, {})
+            for kind, known in observations.items():
+                original = own.get(kind)
+                known_version = (known.observation.born, known.observation.number)
+                is_wrong = known.at_us > self.observed.now_us
+                if original is not None:
+                    original_version = (original.observation.born, original.observation.number)
+                    latest_us = original.at_us + MAX_FRAME_DELAY_US + self.observed.world.links_us
+                    is_wrong |= known_version > original_version
+                    is_wrong |= known_version == original_version and not original.at_us <= known.at_us <= latest_us
+                if is_wrong:
+                    self.observed.breach("hearsay", f"{label} knows more of {kind} than {origin} saw")
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -15,341 +15,162 @@
 from quinceslip.protocol.settings import Tuning
 from quinceslip.subsystems import subsystem_factories
 from tests.simulation.inputs import settings_of
+from tests.simulation.store_connection import StoreConnection
+from tests.simulation.worker_connection import WorkerConnection
 
 if TYPE_CHECKING:
     from tests.simulation.world import World
 
-#: what frames of this network's latency and their milliseconds may make of a moment, beside slow links
-LATE_US = 10_000
+#: takes the status and the decoded body of an answer
+AnswerHandler = Callable[[int, Any], None]
+
+START_DELAY_US = 10_000
+TICK_US = 100_000
+STORE_TARGETS = ("state", "lease")
 
 
 class SimulatedController:
-    """Runs one real actor: carries its effects out over the stand-ins."""
+    """One controller process: starts and crashes; its actor is None while it is down."""
 
     def __init__(self, world: "World", label: str) -> None:
         self.world, self.label = world, label
         self.actor: Controller | None = None
-        self.old = False  # the version before this one, which says nothing of what it supports
-        self.life = 0
-        self.waiting: dict[int, Callable[[int, Any], None]] = {}
-        self.next_request = 0
-        self.errors: list[str] = []
-        self.deaf_peers_until_us = 0
-        self.deaf_in_until_us = 0  # its peers' frames do not reach it, its own reach them
-        self.state_cut: tuple[int, str] = (0, "")  # until when it loses the state service, and how: held, reset
-        self.watch_hung_until_us = 0  # its watch stays open and brings nothing, while all else is answered
-        self.cut_workers: tuple[int, str] = (0, "")  # until when it is cut from workers; a zone's, `!` all others', all
+        self.runs_previous_version = False  # one that says nothing of the level that it supports
+        self.life = 0  # counts starts and crashes
+        self.answer_handlers: dict[int, AnswerHandler] = {}  # of requests that wait for a reply
+        self.last_request = 0
+        self.peers_cut_until_us = 0  # no frames to or from its peers
+        self.peers_unheard_until_us = 0  # its peers' frames do not reach it, its own reach them
+        self.store = StoreConnection(self)
+        self.workers = WorkerConnection(self)
         self.operators = configparser.ConfigParser(interpolation=None)  # its own copy of the operators' file
         self.operators.read_dict(world.operators)
-        world.after(10_000, self.start)
+        world.after(START_DELAY_US, self.start)
 
     def start(self) -> None:
+        """Start the process, unless it is up."""
         if self.actor is not None:
             return
         settings = settings_of(self.world.facts, self.label)
         self.life += 1
-        self.waiting.clear()
-        self.actor = Controller(
-            settings, Tuning(), self.world.now_us, self.world.now_us, subsystem_factories(settings, self.operators)
-        )
-        self.actor.feature_gate.supported_level *= not self.old
-        self._heartbeat(self.life)
-        self._list(self.life)
+        self.answer_handlers.clear()
+        now_us = self.world.now_us
+        self.actor = Controller(settings, Tuning(), now_us, now_us, subsystem_factories(settings, self.operators))
+        self.actor.feature_gate.supported_level *= not self.runs_previous_version
+        self._tick(self.life)
+        self.store.list_all(self.life)
 
     def crash(self) -> None:
+        """End the process at once; what was on its way to it is lost."""
         self.actor = None
         self.life += 1
 
-    def _trace(self, direction: str, other: str, *said: Any) -> None:
+    def write_trace(self, direction: str, other: str, *said: Any) -> None:
+        """Write down what came (`in`) or went (`out`), and its other end."""
         if self.world.trace is not None:
             self.world.trace.write(self.world.now_us, self.label, direction, other, *said)
 
     def deliver(self, message: Any, life: int | None = None) -> None:
+        """Hand a message to the actor; one that belongs to an earlier life of the process is lost."""
         if self.actor is None or (life is not None and life != self.life):
             return
         for step in (message, fx.BatchEnd()):
             for effect in self.actor.handle(step, self.world.now_us):
                 self._carry_out(effect)
 
-    def _heartbeat(self, life: int) -> None:
+    def _tick(self, life: int) -> None:
         if life == self.life and self.actor is not None:
             self.deliver(fx.Tick())
-            self._nothing_is_lost()
-            self._nothing_is_younger()
-            self.world.after(100_000, lambda: self._heartbeat(life))
-
-    def _nothing_is_younger(self) -> None:
-        """What is known of a peer's sightings is one of its own, as old as it is; hearsay is nobody's own."""
-        supply = self.actor.autoscaler.capacity if self.actor is not None else None
-        for origin, theirs in supply.all_observations().items() if supply is not None else ():
-            node = self.world.controllers[origin].actor
-            own = {} if node is None else node.autoscaler.capacity.all_observations().get(origin, {})
-            for kind, known in theirs.items():
-                mine = own.get(kind)
-                version = (known.observation.born, known.observation.number)
-                if (
-                    known.at_us > self.world.now_us
-                    or (mine is not None and version > (mine.observation.born, mine.observation.number))
-                    or (
-                        mine is not None
-                        and version == (mine.observation.born, mine.observation.number)
-                        and not mine.at_us <= known.at_us <= mine.at_us + LATE_US + self.world.links_us
-                    )
-                ):
-                    self.world.checker.observed.breach(
-                        "hearsay", f"{self.label} knows more of {kind} than {origin} saw"
-                    )
-
-    def _nothing_is_lost(self) -> None:
-        """Every task of ours that is not done waits, runs, or is known to be in doubt: none that nobody will start."""
-        for shard in self.actor.shards.values() if self.actor is not None else ():
-            for partition in shard.partitions.values():
-                left = (
-                    partition.assigned
-                    - partition.done
-                    - partition.unrecorded_done
-                    - partition.pending.members
-                    - partition.attempts.keys()
-                    - partition.unreconciled
-                    - partition.indeterminate
-                    - partition.crash_loop.on_hold
-                )
-                if left:
-                    self.world.checker.observed.breach(
-                        "stuck", f"{self.label} has lost {sorted(left)[:3]} of {partition.job_id}"
-                    )
-                if (
-                    partition.crash_loop.on_hold
-                    and not partition.pending
-                    and not (partition.attempts or partition.indeterminate or partition.unreconciled)
-                ):
-                    self.world.checker.observed.breach("stuck", f"{self.label} tries nothing of {partition.job_id}")
-
-    # The watch.
-
-    def _list(self, life: int) -> None:
-        if life != self.life:
-            return
-        world, state = self.world, self.world.store
-        if not state.reachable(self.label) or world.now_us < self.state_cut[0]:
-            world.after(300_000, lambda: self._list(life))
-            return
-        asked_us = world.now_us
-        first = state.revision
-        kinds = sorted({k.split("/")[1] for k in state.data})
-
-        def page(place: int, items: list[m.Item]) -> None:
-            """One kind of records is a page; what changes between two pages is seen in the later ones alone."""
-            if life != self.life:
-                return
-            if not state.reachable(self.label):
-                self._list(life)
-                return
-            items += [
-                m.Item(k, msgspec.Raw(msgspec.json.encode(v)), s)
-                for k, (v, s, _) in sorted(state.data.items())
-                if not kinds or k.split("/")[1] == kinds[place]
-            ]
-            if place + 1 < len(kinds):
-                world.after(state.page_gap_us, lambda: page(place + 1, items))
-                return
-            revision = state.revision
-            self._reset(life, fx.StoreListing(items, first, asked_us, revision))
-
-        if state.page_gap_us:
-            page(0, [])
-            return
-        items = [m.Item(k, msgspec.Raw(msgspec.json.encode(v)), s) for k, (v, s, _) in sorted(state.data.items())]
-        self._reset(life, fx.StoreListing(items, first, asked_us, first))
-
-    def _reset(self, life: int, listing: Any) -> None:
-        """A listing, and the watch from there on: what comes of one connection after another comes in order."""
-        comes_us, next_us = self.world.latency(), self.world.latency() + 80_000
-        self._trace("in", "state", "listing", comes_us, listing.revision, listing.until, listing.items)
-        self.world.after(comes_us, lambda: self.deliver(listing, life))
-        self.world.after(max(next_us, comes_us + 1), lambda: self._watch(life, listing.revision))
-
-    def _watch(self, life: int, since: int) -> None:
-        if life != self.life:
-            return
-        world, state = self.world, self.world.store
-        if not state.reachable(self.label) or world.now_us < max(self.watch_hung_until_us, self.state_cut[0]):
-            world.after(300_000, lambda: self._watch(life, since))
-            return
-        asked_us = world.now_us
-        events = [
-            msgspec.convert({**e, "v": msgspec.Raw(msgspec.json.encode(e.get("v")))}, m.Event)
-            for e in state.history
-            if e["stamp"] > since
-        ]
-        revision = state.revision
-        comes_us = world.latency()
-        self._trace("in", "state", "watch", comes_us, revision, events)
-        world.after(comes_us, lambda: self.deliver(fx.StoreChanges(events, revision, asked_us), life))
-        # The next one is asked for when this one has come: over slow links, too, a watch brings changes in order.
-        world.after(max(80_000 if events else 150_000, comes_us + 1), lambda: self._watch(life, revision))
+            self.world.checker.controllers.check(self, self.actor)
+            self.world.after(TICK_US, lambda: self._tick(life))
 
     # Effects.
 
     def _carry_out(self, effect: Any) -> None:
-        world, life = self.world, self.life
         if isinstance(effect, fx.Reply):
-            answer = self.waiting.pop(effect.request, None)
-            self._trace("out", "reply", effect.request, effect.status, effect.body, effect.headers)
-            if answer is not None:
-                body = json.loads(msgspec.json.encode(effect.body))
-                world.after(world.latency(), lambda: answer(effect.status, body))
-            return
-        if isinstance(effect, fx.ToPeers):
-            self._trace("out", "peers", effect.frames.hex())
-            for other in world.controllers.values():
-                if other is not self and world.now_us >= max(
-                    other.deaf_peers_until_us, other.deaf_in_until_us, self.deaf_peers_until_us
-                ):
-                    for said in read_frames(effect.frames):
-                        world.after(world.latency(), partial(other.deliver, fx.PeerFrameReceived(said)))
-            return
-        body = json.loads(msgspec.json.encode(effect.body))
-        self._trace(
-            "out",
-            effect.target,
-            effect.method,
-            effect.path,
-            body,
-            effect.timeout_us,
-            effect.writes,
-            int(effect.urgency),
-        )
-
-        def back(status: int, answer: Any) -> None:
-            data = json.dumps(answer).encode()
-            self._trace("in", effect.target, effect.path, status, answer)
-            world.after(world.latency(), lambda: self.deliver(fx.CallResult(effect.id, status, data), life))
-
-        if effect.target in ("state", "lease"):
-            cut_until_us, how = self.state_cut
-            if world.now_us < cut_until_us:
-                # Held: it arrives when the cut ends, and its sender has given up. Reset: it never does.
-                if how == "held":
-                    world.after(
-                        cut_until_us - world.now_us + world.latency(),
-                        lambda: world.store.answer("", effect.method, effect.path, body),
-                    )
-                world.after(effect.timeout_us if how == "held" else world.latency(), lambda: back(0, {}))
-                return
-            until_us, least_us, most_us, share = world.store.late.get(self.label, (0, 0, 0, 0.0))
-            if effect.path == "/txn" and world.now_us < until_us and world.random.random() < share:
-                world.after(
-                    world.random.randint(least_us, most_us),
-                    lambda: world.store.answer("", effect.method, effect.path, body),
-                )
-                world.after(effect.timeout_us, lambda: back(0, {}))
-                return
-            until_us, share = world.store.unanswered.get(self.label, (0, 0.0))
-            drops = [op.get("drop", "") for op in body.get("then", [])] if effect.path == "/txn" else []
-            if any(key.startswith("q/shard/") for key in drops) and self.label in world.store.hand_over_lost:
-                hung_us, lost = world.store.hand_over_lost.pop(self.label)
-                self.watch_hung_until_us = world.now_us + hung_us
-                until_us, share = world.now_us + 1, 1.0
-                world.handed_over_us = world.now_us
-                if lost:
-                    world.after(effect.timeout_us, lambda: back(0, {}))
-                    return
-            if effect.path == "/txn" and world.now_us < until_us and world.random.random() < share:
-                world.store.answers_lost += 1
-                world.after(world.latency(), lambda: world.store.answer(self.label, effect.method, effect.path, body))
-                world.after(effect.timeout_us, lambda: back(0, {}))
-                return
-            until_us, most_us = world.store.slow.get(self.label, (0, 0))
-            if world.now_us < until_us:
-                # It waits before it is carried out and after; its sender gives up in between.
-                there_us, back_us = (world.random.randint(0, most_us // 2) for _ in range(2))
-
-                def carried_out() -> None:
-                    answer = world.store.answer(self.label, effect.method, effect.path, body)
-                    world.after(back_us, lambda: back(*answer))
-
-                world.after(there_us + world.latency(), carried_out)
-                world.after(effect.timeout_us, lambda: back(0, {}))
-                return
-            world.after(
-                world.latency(), lambda: back(*world.store.answer(self.label, effect.method, effect.path, body))
-            )
-        elif effect.target == "cloud":
-            world.after(world.latency(), lambda: back(*world.cloud.answer(effect.method, effect.path, body)))
+            self._reply(effect)
+        elif isinstance(effect, fx.ToPeers):
+            self._send_to_peers(effect)
         else:
-            self._to_worker(effect, body, back)
-
-    def _to_worker(self, effect: Any, body: Any, back: Callable[[int, Any], None]) -> None:
-        world = self.world
-        worker = next((w for w in world.workers.values() if w.host["endpoint"] == effect.target), None)
-        if worker is None:
-            world.after(effect.timeout_us, lambda: back(fx.NOT_SENT, {}))
-        elif self._is_cut_from(worker) or worker.is_unreachable():
-            # Held back by the network, delivered when the interruption ends.
-            if effect.path == "/do" and not worker.drops:
-                worker.undelivered.append(body)
-            world.after(effect.timeout_us, lambda: back(fx.UNKNOWN, {}))
-        elif effect.path == "/do" and world.now_us < worker.slow_commands.until_us:
-            # Held up by itself, while all else passes: on the way there, or the answer on its way back.
-            go_us, come_us = (world.random.randint(0, most) for most in worker.slow_commands[1:])
+            self._call(effect)
 
-            def arrives() -> None:
-                now = next((w for w in world.workers.values() if w.host["endpoint"] == effect.target), None)
-                if now is not None:
-                    reply = now.receive_commands(body)
-                    world.after(come_us + world.latency(), lambda: back(*reply))
+    def _reply(self, reply: fx.Reply) -> None:
+        handler = self.answer_handlers.pop(reply.request, None)
+        self.write_trace("out", "reply", reply.request, reply.status, reply.body, reply.headers)
+        if handler is not None:
+            body = json.loads(msgspec.json.encode(reply.body))
+            self.world.after(self.world.latency(), partial(handler, reply.status, body))
 
-            world.after(go_us + world.latency(), arrives)
-            world.after(effect.timeout_us, lambda: back(fx.UNKNOWN, {}))
-        elif effect.path == "/inspect":
-            world.after(world.latency(), lambda: back(200, worker.heartbeat()))
+    def _send_to_peers(self, effect: fx.ToPeers) -> None:
+        self.write_trace("out", "peers", effect.frames.hex())
+        world = self.world
+        for other in world.controllers.values():
+            if other is self or world.now_us < max(
+                other.peers_cut_until_us, other.peers_unheard_until_us, self.peers_cut_until_us
+            ):
+                continue
+            for frame in read_frames(effect.frames):
+                world.after(world.latency(), partial(other.deliver, fx.PeerFrameReceived(frame)))
+
+    def _call(self, call: fx.Call) -> None:
+        world = self.world
+        body = json.loads(msgspec.json.encode(call.body))
+        self.write_trace(
+            "out", call.target, call.method, call.path, body, call.timeout_us, call.writes, int(call.urgency)
+        )
+        respond = partial(self._respond, call, self.life)
+        if call.target in STORE_TARGETS:
+            self.store.call(call, body, respond)
+        elif call.target == "cloud":
+            world.after(world.latency(), lambda: respond(*world.cloud.answer(call.method, call.path, body)))
         else:
-            world.after(world.latency(), lambda: back(*worker.receive_commands(body)))
+            self.workers.call(call, body, respond)
 
-    def _is_cut_from(self, worker: Any) -> bool:
-        until_us, zone = self.cut_workers
-        if self.world.now_us >= until_us or not zone:
-            return self.world.now_us < until_us
-        return worker is not None and (worker.host["yard"] == zone.lstrip("!")) != zone.startswith("!")
+    def _respond(self, call: fx.Call, life: int, status: int, answer: Any) -> None:
+        """An answer to a call sets out on its way back."""
+        data = json.dumps(answer).encode()
+        self.write_trace("in", call.target, call.path, status, answer)
+        self.world.after(self.world.latency(), lambda: self.deliver(fx.CallResult(call.id, status, data), life))
 
     # Requests.
 
-    def _request(self, make: Callable[[int], Any], answer: Callable[[int, Any], None]) -> None:
+    def _request(self, make: Callable[[int], Any], answered: AnswerHandler) -> None:
         if self.actor is None:
             return
-        self.next_request += 1
-        self.waiting[self.next_request] = answer
-        self.deliver(make(self.next_request))
+        self.last_request += 1
+        self.answer_handlers[self.last_request] = answered
+        self.deliver(make(self.last_request))
 
-    def receive_heartbeat(
-        self, heartbeat: dict[str, Any], answer: Callable[[int, Any], None], is_copy: bool = False
-    ) -> None:
-        if self._is_cut_from(self.world.workers.get(heartbeat["berth"])) and not is_copy:
+    def receive_heartbeat(self, heartbeat: dict[str, Any], answered: AnswerHandler, is_copy: bool = False) -> None:
+        """A worker's heartbeat arrives; a copy comes by another connection, which no cut from the worker stops."""
+        if not is_copy and self.workers.is_cut_from(self.world.workers.get(heartbeat["berth"])):
             return
         self.world.heartbeats += 1
-        self._trace("in", "worker", heartbeat)
+        self.write_trace("in", "worker", heartbeat)
         decoded = msgspec.json.decode(json.dumps(heartbeat), type=m.WorkerHeartbeat)
-        self._request(lambda n: fx.HeartbeatReceived(n, decoded), answer)
+        self._request(lambda request: fx.HeartbeatReceived(request, decoded), answered)
 
-    def user(self, verb: str, job_id: str, answer: Callable[[int, Any], None], spec: Any = None) -> None:
+    def receive_user_request(self, verb: str, job_id: str, answered: AnswerHandler, spec: Any = None) -> None:
+        """A user's request arrives: `submit` with a description, `poll` or `cancel`."""
         decoded = None if spec is None else m.read_submission(json.dumps(spec).encode())
         if isinstance(decoded, m.Malformed):
             verb = "malformed"
-        self._trace("in", "user", verb, job_id, spec)
-        self._request(lambda n: fx.UserRequest(n, verb, job_id, decoded), answer)
+        self.write_trace("in", "user", verb, job_id, spec)
+        self._request(lambda request: fx.UserRequest(request, verb, job_id, decoded), answered)
 
-    def ask(self, question: str, answer: Callable[[int, Any], None]) -> None:
-        self._trace("in", "question", question)
-        self._request(lambda n: fx.SubsystemQuery(n, question), answer)
+    def receive_query(self, question: str, answered: AnswerHandler) -> None:
+        """An operator's question to a subsystem arrives."""
+        self.write_trace("in", "question", question)
+        self._request(lambda request: fx.SubsystemQuery(request, question), answered)
 
 
 def read_frames(data: bytes) -> list[Any]:
     """What the frames of one message say, as a peer's thread reads them."""
     found = []
+    # Bound: each turn takes a header off what is left.
     while data:
         kind, length = frames.read_header(data[: frames.HEADER.size])
         end = frames.HEADER.size + length
         found.append(frames.read_frame(kind, data[frames.HEADER.size : end]))
         data = data[end:]
-    return [said for said in found if said is not None]
+    return [frame for frame in found if frame is not None]
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -4,6 +4,7 @@
 from typing import TYPE_CHECKING, Any
 
 from tests.simulation.clock import US
+from tests.simulation.faults import LateTransactions, LostAnswers, LostHandOver, SlowAnswers
 
 if TYPE_CHECKING:
     from tests.simulation.world import World
@@ -21,11 +22,11 @@
         self.history: list[dict[str, Any]] = []
         self.down_until_us = 0
         self.refused: dict[str, int] = {}  # controller -> until
-        self.late: dict[str, tuple[int, int, int, float]] = {}  # controller -> (until, least, most delay, share)
-        self.unanswered: dict[str, tuple[int, float]] = {}  # controller -> (until, share): done at once, answer lost
+        self.late: dict[str, LateTransactions] = {}  # by controller, as are all of these
+        self.unanswered: dict[str, LostAnswers] = {}
         self.answers_lost = 0
-        self.hand_over_lost: dict[str, tuple[int, bool]] = {}  # controller -> how long its watch hangs then
-        self.slow: dict[str, tuple[int, int]] = {}  # controller -> (until, most that an answer takes)
+        self.hand_over_lost: dict[str, LostHandOver] = {}
+        self.slow: dict[str, SlowAnswers] = {}
         self.page_gap_us = 0  # a listing comes in pages, with so long between two of them
         self.limits: dict[str, float] = {}  # lower ones than the settings', since some moment
         self.too_large: list[str] = []  # changes that were refused for them
