--- a/tests/scenario/store.py
+++ b/tests/scenario/store.py
@@ -73,12 +73,12 @@
 
     def check_asked(self, args: list[str], named: dict[str, Any]) -> None:
         """asked KEY OP N: how often a change of a record was asked for, whatever came of it"""
-        count = self.w().store.asked_keys.get("q/" + args[0], 0)
+        count = self.w().store.change_requests["q/" + args[0]]
         assert COMPARE[args[1]](count, int(args[2])), f"{args[0]}: {count}"
 
     def check_too_large(self, args: list[str], named: dict[str, Any]) -> None:
         """too_large OP N: changes that the state service refused for its limits; never the same ones again"""
-        refused = self.w().store.too_large
+        refused = self.w().store.refused_changes
         assert COMPARE[args[0]](len(refused), int(args[1])) and len(set(refused)) == len(refused), refused[:3]
 
     def on_load_record(self, args: list[str], named: dict[str, Any]) -> None:
@@ -89,20 +89,20 @@
         self.w().store.answer("", "POST", "/txn", {"if": [], "then": [{"write": f"q/load/{args[0]}", "v": record}]})
 
     def check_puts_per_job(self, args: list[str], named: dict[str, Any]) -> None:
-        puts = self.w().store.puts - self.counted["puts"]
+        puts = self.w().store.job_writes - self.counted["puts"]
         jobs = len(self.w().jobs)
         assert COMPARE[args[0]](puts / jobs, float(args[1])), f"{puts} puts for {jobs} jobs"
 
     def check_puts_per_s(self, args: list[str], named: dict[str, Any]) -> None:
         """in any ten seconds in a row, on average"""
-        seconds = self.w().store.second
+        seconds = self.w().store.job_writes_in_second
         first, last = self.counted["second"], self.w().now_us // US
         most = max(sum(seconds.get(t + i, 0) for i in range(10)) / 10 for t in range(first, last - 9))
         assert COMPARE[args[0]](most, float(args[1])), f"{most} puts a second"
 
     def check_grant_writes(self, args: list[str], named: dict[str, Any]) -> None:
         """grant_writes OP N: changes of quotas' records since `count`"""
-        writes = self.w().store.grants - self.counted.get("grants", 0)
+        writes = self.w().store.quota_writes - self.counted.get("grants", 0)
         assert COMPARE[args[0]](writes, float(args[1])), f"{writes} writes for quotas"
 
     def check_grant_writes_per_job(self, args: list[str], named: dict[str, Any]) -> None:
@@ -110,7 +110,7 @@
 
     def check_grant_writes_per_s(self, args: list[str], named: dict[str, Any]) -> None:
         """in any ten seconds in a row, on average"""
-        seconds = self.w().store.grants_in
+        seconds = self.w().store.quota_writes_in_second
         most = max(sum(seconds.get(t + i, 0) for i in range(10)) / 10 for t in range(self.w().now_us // US))
         assert COMPARE[args[0]](most, float(args[1])), f"{most} writes a second for quotas"
 
--- a/tests/scenario/troubles.py
+++ b/tests/scenario/troubles.py
@@ -155,7 +155,7 @@
     def on_slow_links(self, args: list[str], named: dict[str, Any]) -> None:
         """slow_links S MOST: every message takes up to so long, between whomever"""
         world = self.w()
-        world.links_until_us, world.links_us = world.trouble(float(args[0])), int(float(args[1]) * US)
+        world.links_slow_until_us, world.link_delay_us = world.trouble(float(args[0])), int(float(args[1]) * US)
 
     def on_island(self, args: list[str], named: dict[str, Any]) -> None:
         """island ZONE NAME S [MODE]: a zone with its workers and that controller is cut off from all else"""
--- a/tests/scenario/users.py
+++ b/tests/scenario/users.py
@@ -128,14 +128,14 @@
         world = self.w()
         starts = {task: len(times) for task, times in world.checker.observed.starts.items()}
         self.counted = {
-            "puts": world.store.puts,
+            "puts": world.store.job_writes,
             "reports": world.heartbeats,
             "looked": self._looked(),
             "starts": starts,
             "reads": self._reads(),
-            "asked": world.cloud.asked,
+            "asked": world.cloud.rental_requests,
             "second": world.now_us // US,
-            "grants": world.store.grants,
+            "grants": world.store.quota_writes,
         }
 
     def on_poll(self, args: list[str], named: dict[str, Any]) -> None:
--- a/tests/scenario/workers.py
+++ b/tests/scenario/workers.py
@@ -58,7 +58,7 @@
         for worker in self._workers(args):
             if "other" in args:
                 cloud, host = self.w().cloud, worker.host
-                cloud.gone(worker.name)
+                cloud.remove(worker.name)
                 name = cloud.start(host["build"], host["yard"], host["loaners"], 0)
                 cloud.machines[name]["endpoint"] = host["endpoint"]
             else:
@@ -80,7 +80,7 @@
             self.w().trouble(notice_s)
             worker.notice_us = self.w().now_us + int(notice_s * US)
             worker.has_changed = True
-            self.w().after(notice_s * US + 1, partial(self.w().cloud.gone, worker.name))
+            self.w().after(notice_s * US + 1, partial(self.w().cloud.remove, worker.name))
 
     def on_token(self, args: list[str], named: dict[str, Any]) -> None:
         """token WORKER N: the worker has seen a higher token than its owner's."""
@@ -141,11 +141,11 @@
 
     def check_rented(self, args: list[str], named: dict[str, Any]) -> None:
         """rented OP N: machines there ever were"""
-        count = self.w().cloud.next - 1
+        count = self.w().cloud.next_number - 1
         assert COMPARE[args[0]](count, int(args[1])), f"{count} machines rented"
 
     def check_rental_calls(self, args: list[str], named: dict[str, Any]) -> None:
-        asked = self.w().cloud.asked - self.counted["asked"]
+        asked = self.w().cloud.rental_requests - self.counted["asked"]
         assert COMPARE[args[0]](asked, int(args[1])), f"{asked} rental requests"
 
     def check_on_type(self, args: list[str], named: dict[str, Any]) -> None:
@@ -154,8 +154,8 @@
         assert places and all(self.w().workers[n].host["build"] == args[1] for n in places), places
 
     def check_kept_came(self, args: list[str], named: dict[str, Any]) -> None:
-        """kept_came N: so many old reports at least arrived as a shard got an owner"""
-        assert self.w().kept_came >= int(args[0]), self.w().kept_came
+        """kept_came N: so many old heartbeats at least arrived as a shard got a leader"""
+        assert self.w().kept_delivered >= int(args[0]), self.w().kept_delivered
 
     def check_looked_per_report(self, args: list[str], named: dict[str, Any]) -> None:
         heartbeats = self.w().heartbeats - self.counted["reports"]
--- a/tests/simulation/checks/controllers.py
+++ b/tests/simulation/checks/controllers.py
@@ -56,7 +56,7 @@
                 is_wrong = known.at_us > self.observed.now_us
                 if original is not None:
                     original_version = (original.observation.born, original.observation.number)
-                    latest_us = original.at_us + MAX_FRAME_DELAY_US + self.observed.world.links_us
+                    latest_us = original.at_us + MAX_FRAME_DELAY_US + self.observed.world.link_delay_us
                     is_wrong |= known_version > original_version
                     is_wrong |= known_version == original_version and not original.at_us <= known.at_us <= latest_us
                 if is_wrong:
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -8,30 +8,33 @@
 if TYPE_CHECKING:
     from tests.simulation.world import World
 
+UNLIMITED = 10**6
+
 
 class SimulatedCloud:
-    """Rents machines; lists them late; can be down, full, or rent late."""
+    """Rents machines out and takes them back; its list of them lags behind."""
 
     def __init__(self, world: "World") -> None:
         self.world = world
-        self.next = 1
-        self.requests: dict[str, list[str]] = {}
+        self.next_number = 1
+        self.requests: dict[str, list[str]] = {}  # machines of each rental request: a repeated one gets the same
         self.machines: dict[str, dict[str, Any]] = {}
         self.down_until_us = 0
-        self.capacity = 10**6
-        self.never_boot = 0
-        self.boot_us: int | None = None  # None: as its type says
-        self.lost_answers = 0
-        self.asked = 0  # rental requests
+        self.capacity = UNLIMITED
+        self.never_boot = 0  # so many of the next machines never boot
+        self.boot_us: int | None = None  # None: as the type of machine says
+        self.lost_answers = 0  # answers to so many of the next rental requests are lost
+        self.rental_requests = 0
         self.extra_lag_us = 0  # the list goes back by so much
         self.past: dict[str, tuple[dict[str, Any], int]] = {}  # machines that are gone, and since when
 
     def start(self, kind: str, zone: str, spot: bool, boot_us: int) -> str:
-        name = f"n-{self.next:06d}"
-        self.next += 1
+        """Start a machine that runs after `boot_us`; its name."""
+        name = f"n-{self.next_number:06d}"
+        self.next_number += 1
         self.machines[name] = {
             "uid": name,
-            "endpoint": f"10.1.0.{self.next}:9000",
+            "endpoint": f"10.1.0.{self.next_number}:9000",
             "build": kind,
             "yard": zone,
             "loaners": spot,
@@ -50,42 +53,50 @@
             self.machines[name]["status"] = "running"
             self.world.workers[name] = SimulatedWorker(self.world, name, self.machines[name])
 
-    def gone(self, name: str) -> None:
+    def remove(self, name: str) -> None:
+        """End a machine and its worker, if it is there."""
         host = self.machines.pop(name, None)
-        if host:
-            self.past[name] = (host, self.world.now_us)
-            worker = self.world.workers.pop(name, None)
-            if worker:
-                worker.die()
+        if host is None:
+            return
+        self.past[name] = (host, self.world.now_us)
+        worker = self.world.workers.pop(name, None)
+        if worker is not None:
+            worker.die()
 
     def answer(self, method: str, path: str, body: Any) -> tuple[int, Any]:
-        world = self.world
-        if world.now_us < self.down_until_us:
+        """Carry a call out; its status and body. Status 0: the answer is lost."""
+        if self.world.now_us < self.down_until_us:
             return 503, {"error": "trouble"}
         if path == "/flavors":
-            return 200, {"builds": list(world.types.values())}
+            return 200, {"builds": list(self.world.types.values())}
         if path == "/hosts":
-            self.asked += 1
-            if body["hire"] not in self.requests:
-                room = min(body["howMany"], self.capacity - len(self.machines))
-                if room <= 0:
-                    return 503, {"error": "no capacity"}
-                boot_us = self.boot_us or int(world.types[body["build"]]["startupS"] * US)
-                self.requests[body["hire"]] = [
-                    self.start(body["build"], body["yard"], body["loaners"], boot_us) for _ in range(room)
-                ]
-            if self.lost_answers > 0:
-                self.lost_answers -= 1
-                return 0, {}
-            return 200, {"berths": self.requests[body["hire"]]}
+            return self._rent(body)
         if path == "/hosts/delete":
             for name in body["berths"]:
-                self.gone(name)
+                self.remove(name)
             return 200, {}
-        lag_us = int(world.facts["cloud"]["list_lag_s"] * US)
-        at_us = world.now_us - lag_us - self.extra_lag_us
-        then = [*self.machines.values(), *(h for h, gone_us in self.past.values() if gone_us > at_us)]
-        listed = [
-            {**h, "ageS": (at_us - h["born"]) / US} for h in sorted(then, key=lambda h: h["uid"]) if h["born"] <= at_us
-        ]
-        return 200, {"berths": listed, "hasNext": False}
+        return 200, {"berths": self._listing(), "hasNext": False}
+
+    def _rent(self, body: Any) -> tuple[int, Any]:
+        self.rental_requests += 1
+        request = body["hire"]
+        if request not in self.requests:
+            count = min(body["howMany"], self.capacity - len(self.machines))
+            if count <= 0:
+                return 503, {"error": "no capacity"}
+            boot_us = self.boot_us or int(self.world.types[body["build"]]["startupS"] * US)
+            self.requests[request] = [
+                self.start(body["build"], body["yard"], body["loaners"], boot_us) for _ in range(count)
+            ]
+        if self.lost_answers > 0:
+            self.lost_answers -= 1
+            return 0, {}
+        return 200, {"berths": self.requests[request]}
+
+    def _listing(self) -> list[dict[str, Any]]:
+        """Machines as they were some seconds ago, by name, with their age at that time."""
+        lag_us = int(self.world.facts["cloud"]["list_lag_s"] * US)
+        at_us = self.world.now_us - lag_us - self.extra_lag_us
+        hosts = [*self.machines.values(), *(host for host, gone_us in self.past.values() if gone_us > at_us)]
+        hosts.sort(key=lambda host: str(host["uid"]))
+        return [{**host, "ageS": (at_us - host["born"]) / US} for host in hosts if host["born"] <= at_us]
