--- a/tests/scenario/components.py
+++ b/tests/scenario/components.py
@@ -116,6 +116,7 @@
         assert choose_shard(int(plain[0]), stations, waiting, levels) == named["shard"]
 
     def do_set(self, plain: list[str], named: dict[str, Any]) -> None:
+        """set TEXT size=N: a stored set of tasks is read, and written as it was; odd numbers stay short"""
         numbers = task_sets.decode(plain[0])
         assert len(numbers) == named["size"]
         assert task_sets.decode(task_sets.encode(numbers)) == numbers
@@ -209,6 +210,7 @@
         assert stall_records.following(note, "levels", later_us, lease_us).times == 1  # long ago: it starts anew
 
     def do_loopback_standstill(self, plain: list[str], named: dict[str, Any]) -> None:
+        """loopback_standstill: a process whose actor stands still ends itself"""
         standstill()
 
     def do_actor_goes_on(self, plain: list[str], named: dict[str, Any]) -> None:
@@ -309,7 +311,9 @@
         assert all(grown[k] <= named[k] for k in named), grown
 
     def do_input(self, plain: list[str], named: dict[str, Any]) -> None:
+        """input NAME: bad input of that kind is refused as it must be (tests/inputs.py)"""
         bad_input(plain[0])
 
     def do_loopback(self, plain: list[str], named: dict[str, Any]) -> None:
+        """loopback: one controller over real sockets (tests/loopback.py)"""
         loopback()
--- a/tests/scenario/controllers.py
+++ b/tests/scenario/controllers.py
@@ -36,6 +36,7 @@
         self.on_upgrade(args, named, old=True)
 
     def on_start(self, args: list[str], named: dict[str, Any]) -> None:
+        """start NAME: the process starts, unless it is up"""
         self.w().controllers[args[0]].start()
 
     def on_hang_watch(self, args: list[str], named: dict[str, Any]) -> None:
@@ -151,5 +152,6 @@
         assert not left, left
 
     def check_roster(self, args: list[str], named: dict[str, Any]) -> None:
+        """roster: the machine registry has as many records as the cloud has machines"""
         machine_records = [k for k in self.w().store.data if k.startswith("q/roster/")]
         assert len(machine_records) == len(self.w().cloud.machines), (machine_records, list(self.w().cloud.machines))
--- a/tests/scenario/fields.py
+++ b/tests/scenario/fields.py
@@ -5,6 +5,7 @@
 
 
 def value(text: str) -> Any:
+    """A word of a line as a boolean, a number or text."""
     if text in ("true", "false"):
         return text == "true"
     for kind in (int, float):
@@ -27,10 +28,12 @@
         return super().__getitem__(key)
 
     def get(self, key: str, default: Any = None) -> Any:
+        """The value of a field, which is used by this."""
         self.left.discard(key)
         return super().get(key, default)
 
     def pop(self, key: str, *default: Any) -> Any:
+        """The value of a field, which is used by this and gone."""
         self.left.discard(key)
         return super().pop(key, *default)
 
@@ -39,6 +42,7 @@
         return super().__contains__(key)
 
     def items(self) -> Any:
+        """All fields, which are used by this."""
         self.left.clear()
         return super().items()
 
@@ -47,5 +51,6 @@
         return super().__iter__()
 
     def keys(self) -> Any:
+        """The names of all fields, which are used by this."""
         self.left.clear()
         return super().keys()
--- a/tests/scenario/runner.py
+++ b/tests/scenario/runner.py
@@ -15,7 +15,7 @@
 from tests.scenario.controllers import ControllerVerbs
 from tests.scenario.fields import value
 from tests.scenario.store import StoreVerbs
-from tests.scenario.tools import heard_errors
+from tests.scenario.tools import collected_errors
 from tests.scenario.troubles import Troubles
 from tests.scenario.workers import WorkerVerbs
 from tests.simulation.tracing import open_trace
@@ -27,6 +27,7 @@
     """Plays the lines of a scenario: `do_` verbs describe and play, `on_` verbs happen, `check_` verbs judge."""
 
     def line(self, text: str) -> None:
+        """Play one line; a comment or an empty one does nothing."""
         words = shlex.split(text, comments=True)
         if not words:
             return
@@ -36,11 +37,13 @@
         self.obey("do_" + verb, plain, named)
 
     def do_expect(self, plain: list[str], named: dict[str, Any]) -> None:
+        """expect WHAT ...: a `check_` verb judges what has happened so far"""
         self.obey("check_" + plain[0], plain[1:], {**named})
 
     def finish(self) -> None:
-        strange = [e for e in self.errors if not any(text in e for text in self.errors_expected)]
-        assert not strange, strange[:5]
+        """Judge errors in the log and the rules of the protocol, once all lines are played."""
+        unexpected = [line for line in self.errors if not any(text in line for text in self.errors_expected)]
+        assert not unexpected, unexpected[:5]
         if self.world is None:
             return
         self.world.checker.finish(judge_served=not self.excused)
@@ -54,7 +57,7 @@
 def play(text: str) -> Runner:
     """Play a scenario; lines that the controllers log as errors are judged as well."""
     runner = Runner()
-    with open_trace() as trace, heard_errors(runner.errors):
+    with open_trace() as trace, collected_errors(runner.errors):
         runner.trace = trace
         for line in text.splitlines():
             runner.line(line)
--- a/tests/scenario/setup.py
+++ b/tests/scenario/setup.py
@@ -3,7 +3,7 @@
 from functools import partial
 from typing import Any
 
-from tests.scenario.state import RunnerState
+from tests.scenario.state import Action, InitialMachines, RunnerState
 from tests.simulation.checks.answers import SILENT_S
 from tests.simulation.checks.starvation import WAIT_S
 from tests.simulation.clock import US
@@ -14,9 +14,11 @@
     """Lines that describe the world and play it."""
 
     def do_seed(self, plain: list[str], named: dict[str, Any]) -> None:
+        """seed N: of all random draws"""
         self.seed = int(plain[0])
 
     def do_site(self, plain: list[str], named: dict[str, Any]) -> None:
+        """site [size=N] [zones=A,B] [list_lag=S] [report=S] [lease=S] [cancel=S] [next_LIMIT=N]: facts of the site"""
         for key, given in named.items():
             if key == "zones":
                 self.facts["zones"] = str(given).split(",")
@@ -30,6 +32,7 @@
                 self.facts["workers"][key + "_s"] = given
 
     def do_team(self, plain: list[str], named: dict[str, Any]) -> None:
+        """team NAME [cpus_max=N] ...: a team, with the fields of the settings"""
         self.facts["teams"].append({"name": plain[0], **named})
 
     def do_tree(self, plain: list[str], named: dict[str, Any]) -> None:
@@ -57,6 +60,7 @@
             operators.read_dict({f"quota {level}" if level else "quota": {name: str(given)}})
 
     def do_type(self, plain: list[str], named: dict[str, Any]) -> None:
+        """type NAME [cpus=N] [gpus=N] [memory=GB] [boot=S] [price=P] [spot_price=P] ...: a type of machine"""
         made = {
             "label": plain[0],
             "vcpus": 16.0,
@@ -73,7 +77,8 @@
         self.types.append({**made, **{names.get(k, k): v for k, v in named.items()}})
 
     def do_machines(self, plain: list[str], named: dict[str, Any]) -> None:
-        self.initial.append((int(plain[0]), plain[1], plain[2], "spot" in plain))
+        """machines COUNT TYPE ZONE [spot]: machines that run from the start"""
+        self.initial.append(InitialMachines(int(plain[0]), plain[1], plain[2], "spot" in plain))
 
     def do_objective(self, plain: list[str], named: dict[str, Any]) -> None:
         """objective KIND CLASS within=S share=P: what users ask of a class"""
@@ -92,7 +97,8 @@
         self.full = True
 
     def do_at(self, plain: list[str], named: dict[str, Any]) -> None:
-        self.actions.append((float(plain[0]), plain[1], plain[2:], {**named}))
+        """at T VERB ...: an `on_` verb happens at that second"""
+        self.actions.append(Action(float(plain[0]), plain[1], plain[2:], {**named}))
 
     def do_errors(self, plain: list[str], named: dict[str, Any]) -> None:
         """errors TEXT: such lines may be in the log; any other line at this level fails the scenario"""
@@ -107,29 +113,37 @@
         self.excused = " ".join(plain)
 
     def do_broken(self, plain: list[str], named: dict[str, Any]) -> None:
+        """broken RULE: the checker must catch a breach of this rule, or the scenario fails"""
         self.expect_broken = plain[0]
 
     def do_run(self, plain: list[str], named: dict[str, Any]) -> None:
+        """run T|calm: play up to that second; calm: until all troubles are over and their effects would show"""
         if self.world is None:
-            if not self.types:
-                self.do_type(["m"], {})
-            self.world = World(self.facts, self.types, self.seed, self.operators)
-            self.world.trace = self.trace
-            for name in self.old:
-                self.world.controllers[name].runs_previous_version = True
-            if self.full:
-                self.world.cloud.capacity = 0
-            for count, kind, zone, spot in self.initial:
-                for _ in range(count):
-                    self.world.cloud.start(kind, zone, spot, 0)
+            self.world = self._make_world()
+        world = self.world
         for at_s, verb, args, given in self.actions:
-            self.world.after(max(1, at_s * US - self.world.now_us), partial(self.obey, "on_" + verb, args, given))
-        last_us = max((int(at_s * US) for at_s, *_ in self.actions), default=0)
+            world.after(max(1, at_s * US - world.now_us), partial(self.obey, "on_" + verb, args, given))
+        last_us = max((int(action.at_s * US) for action in self.actions), default=0)
         self.actions = []
         if plain[0] == "calm":
             # To the end of all troubles, and on until everything must be served and a silence would be noticed.
-            self.world.run(max(last_us, self.world.now_us) + 1)
-            wait_us = max(self.world.bound_us(), SILENT_S * US, WAIT_S * US) + US
-            self.world.run(max(self.world.calm_us, self.world.now_us) + wait_us)
+            world.run(max(last_us, world.now_us) + 1)
+            wait_us = max(world.bound_us(), SILENT_S * US, WAIT_S * US) + US
+            world.run(max(world.calm_us, world.now_us) + wait_us)
         else:
-            self.world.run(int(float(plain[0]) * US))
+            world.run(int(float(plain[0]) * US))
+
+    def _make_world(self) -> World:
+        """The world that the lines so far describe, at its start."""
+        if not self.types:
+            self.do_type(["m"], {})
+        world = World(self.facts, self.types, self.seed, self.operators)
+        world.trace = self.trace
+        for name in self.old:
+            world.controllers[name].runs_previous_version = True
+        if self.full:
+            world.cloud.capacity = 0
+        for machines in self.initial:
+            for _ in range(machines.number):
+                world.cloud.start(machines.kind, machines.zone, machines.spot, 0)
+        return world
--- a/tests/scenario/state.py
+++ b/tests/scenario/state.py
@@ -1,12 +1,39 @@
 """The state that the lines of one scenario share."""
 
-from typing import Any
+from collections.abc import Callable
+from typing import Any, NamedTuple
 
 from tests.scenario.fields import Fields
+from tests.simulation.controller import SimulatedController
 from tests.simulation.tracing import Trace
 from tests.simulation.world import World
 
 
+class InitialMachines(NamedTuple):
+    """Machines that run from the start."""
+
+    number: int
+    kind: str
+    zone: str
+    spot: bool
+
+
+class Action(NamedTuple):
+    """A line `at T VERB ...`."""
+
+    at_s: float
+    verb: str
+    args: list[str]
+    named: dict[str, Any]
+
+
+class OpenPoll(NamedTuple):
+    """A poll that waits for its answer: whom it asked, and in which life of the process."""
+
+    controller: SimulatedController
+    life: int
+
+
 class RunnerState:
     """The state of one run that all lines share."""
 
@@ -20,46 +47,53 @@
             "state": {"rps": 150.0, "write_rps": 50.0, "value_kb": 16.0, "txn_ops": 16},
             "cloud": {"rps": 8.0, "list_lag_s": 3.0},
         }
+        # The world that lines describe before it is played.
         self.types: list[dict[str, Any]] = []
-        self.initial: list[tuple[int, str, str, bool]] = []
+        self.initial: list[InitialMachines] = []
         self.seed = 1
+        self.operators: dict[str, dict[str, str]] = {}  # sections of the operators' file
+        self.old: list[str] = []  # controllers that start with the version before
+        self.full = False  # the cloud has no machines to rent
+        self.actions: list[Action] = []
         self.world: World | None = None
-        self.actions: list[tuple[float, str, list[str], dict[str, Any]]] = []
-        self.statuses: dict[str, list[int]] = {}
-        self.expect_broken: str | None = None
-        self.excused = ""
-        self.counted: dict[str, Any] = {}
-        self.whys: dict[str, dict[str, str]] = {}  # by job, and by who was asked: what the latest answer says
-        self.full = False
-        self.operators: dict[str, dict[str, str]] = {}
-        self.reasons: dict[str, Any] = {}
-        self.open_polls: dict[tuple[int, str], tuple[Any, int]] = {}  # by when they were asked: of whom, in which life
-        self.slowest_us = 0  # of all polls that were answered
+        self.trace: Trace | None = None
+        # How the run is judged.
+        self.expect_broken: str | None = None  # the rule that the checker must find broken
+        self.excused = ""  # why the end of the run is not judged by what was served
         self.errors: list[str] = []  # what controllers logged as errors
         self.errors_expected: list[str] = []
-        self.old: list[str] = []  # controllers that start with the version before
-        self.trace: Trace | None = None
+        # What users were answered, by job.
+        self.statuses: dict[str, list[int]] = {}  # each HTTP status
+        self.reasons: dict[str, Any] = {}  # the body of the refusal
+        self.whys: dict[str, dict[str, str]] = {}  # by who was asked: what the latest answer says beside the state
+        self.open_polls: dict[tuple[int, str], OpenPoll] = {}  # by when they were asked, and the job
+        self.slowest_us = 0  # of all polls that were answered
+        self.counted: dict[str, Any] = {}  # figures at the last line `count`
 
     def w(self) -> World:
+        """The world; there is one from the first `run` on."""
         assert self.world is not None
         return self.world
 
-    def ask(self, verb: str, job_id: str, heard: Any, spec: Any = None, by: str = "") -> None:
+    def ask(
+        self, verb: str, job_id: str, on_answer: Callable[[int, Any], None], spec: Any = None, by: str = ""
+    ) -> None:
+        """Send a user's request to a controller that is up: the one named by `by`, or any."""
         alive = [h for h in self.w().controllers.values() if h.actor is not None and by in ("", h.label)]
         if not alive:
             return
-        host, asked_us = self.w().random.choice(alive), self.w().now_us
+        controller, asked_us = self.w().random.choice(alive), self.w().now_us
         if verb == "poll":
-            self.open_polls[asked_us, job_id] = (host, host.life)
+            self.open_polls[asked_us, job_id] = OpenPoll(controller, controller.life)
 
         def answered(status: int, body: Any) -> None:
             if self.open_polls.pop((asked_us, job_id), None):
                 self.slowest_us = max(self.slowest_us, self.w().now_us - asked_us)
             self.w().checker.answers.request_sent_us = asked_us
-            heard(status, body)
+            on_answer(status, body)
             self.w().checker.answers.request_sent_us = None
 
-        host.receive_user_request(verb, job_id, answered, spec)
+        controller.receive_user_request(verb, job_id, answered, spec)
 
     def obey(self, verb: str, plain: list[str], named: dict[str, Any]) -> None:
         """Raises AttributeError for an unknown verb, AssertionError for a field that it does not know."""
--- a/tests/scenario/store.py
+++ b/tests/scenario/store.py
@@ -89,6 +89,7 @@
         self.w().store.answer("", "POST", "/txn", {"if": [], "then": [{"write": f"q/load/{args[0]}", "v": record}]})
 
     def check_puts_per_job(self, args: list[str], named: dict[str, Any]) -> None:
+        """puts_per_job OP N: changes of records of jobs since `count`, for each job"""
         puts = self.w().store.job_writes - self.counted["puts"]
         jobs = len(self.w().jobs)
         assert COMPARE[args[0]](puts / jobs, float(args[1])), f"{puts} puts for {jobs} jobs"
@@ -106,6 +107,7 @@
         assert COMPARE[args[0]](writes, float(args[1])), f"{writes} writes for quotas"
 
     def check_grant_writes_per_job(self, args: list[str], named: dict[str, Any]) -> None:
+        """grant_writes_per_job OP N: changes of quotas' records since `count`, for each job"""
         self.check_grant_writes([args[0], str(float(args[1]) * len(self.w().jobs))], named)
 
     def check_grant_writes_per_s(self, args: list[str], named: dict[str, Any]) -> None:
--- a/tests/scenario/tools.py
+++ b/tests/scenario/tools.py
@@ -33,10 +33,10 @@
 def at_once(seconds: float) -> Iterator[None]:
     """What takes longer fails instead of hanging the suite: it has a bound in steps, of which this is no measure."""
 
-    def over(*_: Any) -> None:
+    def time_over(*_: Any) -> None:
         raise AssertionError(f"no end within {seconds:g} s")
 
-    before = signal.signal(signal.SIGALRM, over)
+    before = signal.signal(signal.SIGALRM, time_over)
     signal.setitimer(signal.ITIMER_REAL, seconds)
     try:
         yield
@@ -46,14 +46,16 @@
 
 
 @contextmanager
-def heard_errors(found: list[str]) -> Iterator[None]:
-    class Ear(logging.Handler):
+def collected_errors(found: list[str]) -> Iterator[None]:
+    """Collect the messages that the program logs as errors meanwhile."""
+
+    class Collector(logging.Handler):
         def emit(self, record: logging.LogRecord) -> None:
             found.append(record.getMessage())
 
-    ear, logger = Ear(logging.ERROR), logging.getLogger("quinceslip")
-    logger.addHandler(ear)
+    collector, logger = Collector(logging.ERROR), logging.getLogger("quinceslip")
+    logger.addHandler(collector)
     try:
         yield
     finally:
-        logger.removeHandler(ear)
+        logger.removeHandler(collector)
--- a/tests/scenario/troubles.py
+++ b/tests/scenario/troubles.py
@@ -1,8 +1,10 @@
 """Verbs of scenarios for troubles that meet: users who look closely or ask oddly, cancellations at awkward moments."""
 
 from functools import partial
+from itertools import count
 from typing import Any
 
+from tests.scenario.odd_requests import FIRST_ID, OddRequests
 from tests.scenario.users import UserVerbs
 from tests.simulation.clock import US
 from tests.simulation.faults import LostHandOver, StoreCut, WorkerCut
@@ -16,7 +18,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.next_odd = 900_000
+        self.odd_numbers = count(FIRST_ID)  # of odd submissions of this run
         self.met: dict[str, int] = {}  # how often each of these troubles met something
 
     def _meets(self, what: str) -> None:
@@ -74,47 +76,9 @@
     def on_odd_requests(self, args: list[str], named: dict[str, Any]) -> None:
         """odd_requests S [every=S]: repeats of unfinished jobs, as they were and spoilt; cancellations of what is done;
         jobs that fit no machine or lack a field"""
-        world, every_us = self.w(), int(float(named.get("every", 0.3)) * US)
-        until_us = world.trouble(float(args[0]))
-
-        def spoilt(spec: dict[str, Any]) -> dict[str, Any]:
-            if world.random.random() < 0.5:
-                return {**spec, "vcpus": 9999.0}
-            lacks = world.random.choice(["lane", "crew", "picks", "vcpus", "expectS"])
-            return {k: v for k, v in spec.items() if k != lacks}
-
-        def one() -> None:
-            if world.now_us >= until_us:
-                return
-            world.after(every_us, one)
-            told, jobs = world.checker.observed.last_status, world.jobs
-            unfinished = sorted(u for u in world.checker.observed.accepted if told.get(u) not in ("done", "withdrawn"))
-            done = sorted(u for u, s in told.items() if s == "done")
-            kind = world.random.choice(["repeat", "spoilt", "late", *(["new"] if jobs else [])])
-            known = unfinished if kind in ("repeat", "spoilt") else done
-            if kind == "new":
-                job_id = f"req-{self.next_odd}"
-                self.next_odd += 1
-                world.odd[job_id] = spec = spoilt({**next(iter(jobs.values())), "uid": job_id})
-                self.ask("submit", job_id, lambda s, b: self._refused(job_id, s, b), spec)
-            elif known and kind == "late":
-                job_id = world.random.choice(known)
-                world.checker.cancellation_requested(job_id)
-                self.ask("cancel", job_id, lambda s, b: world.checker.answers.cancellation_answered(job_id, s, b))
-            elif known:
-                job_id = world.random.choice(known)
-                spec = jobs[job_id] if kind == "repeat" else spoilt(jobs[job_id])
-                self.ask("submit", job_id, lambda s, b: world.checker.answers.submission_answered(job_id, s, b), spec)
-            else:
-                return
-            self._meets(f"odd_{kind}")
-
-        one()
-
-    def _refused(self, job_id: str, status: int, body: Any) -> None:
-        self.w().checker.answers.submission_answered(job_id, status, body)
-        if status in (400, 422):
-            self._meets("refused")
+        every_us = int(float(named.get("every", 0.3)) * US)
+        until_us = self.w().trouble(float(args[0]))
+        OddRequests(self, every_us, until_us, self._meets, self.odd_numbers).send_next()
 
     def on_cancel_at_end(self, args: list[str], named: dict[str, Any]) -> None:
         """cancel_at_end S [share=P]: of the jobs that end, that share is called off at the moment of the end"""
--- a/tests/scenario/users.py
+++ b/tests/scenario/users.py
@@ -6,9 +6,9 @@
 
 from quinceslip.quota.plots import merged
 from tests.scenario.state import RunnerState
+from tests.scenario.submission import MAX_RETRIES_US, Submission, read_spec
 from tests.scenario.tools import COMPARE
 from tests.simulation.clock import US
-from tests.simulation.inputs import job_spec
 
 
 class UserVerbs(RunnerState):
@@ -30,76 +30,27 @@
             world.after(named["every"] * US, lambda: self.on_sample(args, named))
 
     def on_submit(self, args: list[str], named: dict[str, Any]) -> None:
+        """submit UID [gang|service] [run=S] [apart=S] [fails=N] [by=NAME] [poll=S] [lacks=FIELD] [FIELD=VALUE ...]
+
+        A user submits it until it is answered, and polls it from then on. `run` is what each task takes, `apart` what
+        each takes more than the one before; `fails` of its starts fail.
+        """
         world, job_id = self.w(), args[0]
-        names = {
-            "tasks": "picks",
-            "cpus": "vcpus",
-            "team": "crew",
-            "memory": "memGb",
-            "spot": "loaners",
-            "zone": "yard",
-            "estimate": "expectS",
-            "checkpoint": "markEveryS",
-            "save": "markCostS",
-        }
-        run_s, by, apart_s = named.pop("run", 5), named.pop("by", ""), named.pop("apart", 0)
-        failing, poll_s, lacks = named.pop("fails", 0), named.pop("poll", 2), named.pop("lacks", "")
-        given = {names.get(k, k): v for k, v in named.items()}
-        if "after" in given:
-            given["waitsOn"] = str(given.pop("after")).split(",")
-        for key in ("vcpus", "memGb", "gpus", "dueS", "expectS", "markEveryS", "markCostS"):
-            if key in given:
-                given[key] = float(given[key])
-        if "types" in given:
-            given["builds"] = str(given.pop("types")).split(",")
-        spec = job_spec(
-            job_id, shape="standing" if "service" in args else "group" if "gang" in args else "array", **given
-        )
-        if lacks:
-            del spec[lacks]
+        run_s, apart_s, failing = named.pop("run", 5), named.pop("apart", 0), named.pop("fails", 0)
+        by, poll_s, lacking = named.pop("by", ""), named.pop("poll", 2), named.pop("lacks", "")
+        spec = read_spec(job_id, args, named)
+        waits_on = spec["waitsOn"]
+        if lacking:
+            del spec[lacking]
         if job_id in world.jobs:
-            spec = spec if lacks else world.jobs[job_id] | {k: spec[k] for k in ("picks", "vcpus")}
-        elif lacks:
+            spec = spec if lacking else world.jobs[job_id] | {key: spec[key] for key in ("picks", "vcpus")}
+        elif lacking:
             world.odd[job_id] = spec
         else:
-            world.jobs[job_id], world.run_s[job_id], world.failing[job_id] = spec, run_s, failing
-            world.apart_s[job_id] = apart_s
-        until_us = world.now_us + 60 * US
+            world.jobs[job_id], world.run_s[job_id] = spec, run_s
+            world.failing[job_id], world.apart_s[job_id] = failing, apart_s
         world.checker.submission_attempted(job_id)
-        settled = [False]
-
-        def heard(status: int, body: Any) -> None:
-            self.statuses.setdefault(job_id, []).append(status)
-            world.checker.answers.submission_answered(job_id, status, body)
-            if status in (200, 201) and not settled[0]:
-                settled[0] = True
-                poll()
-            elif status in (400, 422):
-                settled[0] = True
-                self.reasons[job_id] = body
-
-        def attempt() -> None:
-            # Users name what was accepted: they wait for that, save where no such job is ever submitted.
-            if (
-                any(
-                    u in world.jobs
-                    and u != job_id
-                    and u not in world.checker.observed.accepted
-                    and u not in self.reasons
-                    for u in given.get("waitsOn", ())
-                )
-                and world.now_us < until_us
-            ):
-                world.after(US // 5, attempt)
-            elif not settled[0] and world.now_us < until_us:
-                self.ask("submit", job_id, heard, spec, by)
-                world.after(2 * US, attempt)
-
-        def poll() -> None:
-            self.ask("poll", job_id, lambda s, b: world.checker.answers.poll_answered(job_id, s, b))
-            world.after(poll_s * US, poll)
-
-        attempt()
+        Submission(self, job_id, spec, waits_on, by, poll_s, world.now_us + MAX_RETRIES_US).attempt()
 
     def on_submit_many(self, args: list[str], named: dict[str, Any]) -> None:
         """submit_many FIRST COUNT [every=S] [off=S] ...: jobs of one kind, with numbers from FIRST on, at once or one
@@ -120,6 +71,7 @@
             self.on_submit([f"req-{int(args[0]) + number:06d}", *args[2:]], {**named, "team": f"t-{number + 1}"})
 
     def on_cancel_many(self, args: list[str], named: dict[str, Any]) -> None:
+        """cancel_many FIRST COUNT [step=N]: jobs by number, each or each so many"""
         for number in range(int(args[0]), int(args[0]) + int(args[1]), int(named.get("step", 1))):
             self.on_cancel([f"req-{number:06d}"], {})
 
@@ -195,15 +147,18 @@
         attempt()
 
     def check_done(self, args: list[str], named: dict[str, Any]) -> None:
+        """done UID...: the last that users were told of each is that it is done"""
         for job_id in args:
             assert self.w().checker.observed.last_status.get(job_id) == "done", (
                 f"{job_id}: {self.w().checker.observed.last_status.get(job_id)}"
             )
 
     def check_told(self, args: list[str], named: dict[str, Any]) -> None:
+        """told UID STATUS: the last that users were told of it"""
         assert self.w().checker.observed.last_status.get(args[0]) == args[1]
 
     def check_status(self, args: list[str], named: dict[str, Any]) -> None:
+        """status UID CODE: some request of users for it was answered so"""
         assert int(args[1]) in self.statuses[args[0]], self.statuses[args[0]]
 
     def check_why(self, args: list[str], named: dict[str, Any]) -> None:
@@ -211,6 +166,7 @@
         assert sum(" ".join(args[1:]) in text for text in self.whys[args[0]].values()) == 1, self.whys
 
     def check_all_done(self, args: list[str], named: dict[str, Any]) -> None:
+        """all_done: users were told that each array is done"""
         told = self.w().checker.observed.last_status
         left = [u for u, spec in self.w().jobs.items() if spec["shape"] == "array" and told.get(u) != "done"]
         assert not left, left[:5]
--- a/tests/scenario/workers.py
+++ b/tests/scenario/workers.py
@@ -70,6 +70,7 @@
             worker.mute_until_us, worker.mute_refused = self.w().trouble(float(args[1])), "refused" in args
 
     def on_hang(self, args: list[str], named: dict[str, Any]) -> None:
+        """hang WORKER|... S: the whole machine stands still"""
         for worker in self._workers(args):
             worker.hung_until_us = self.w().trouble(float(args[1]))
 
@@ -100,14 +101,17 @@
             self.w().trouble(float(args[1]) + there_s)
 
     def check_nowhere(self, args: list[str], named: dict[str, Any]) -> None:
+        """nowhere UID: no task of it runs"""
         there = {t: p for t, p in self.w().checker.observed.running_on.items() if p and t.startswith(args[0] + "/")}
         assert not there, there
 
     def check_running(self, args: list[str], named: dict[str, Any]) -> None:
+        """running UID N: so many of its tasks run"""
         there = [t for t, p in self.w().checker.observed.running_on.items() if p and t.startswith(args[0] + "/")]
         assert len(there) == int(args[1]), there
 
     def check_starts(self, args: list[str], named: dict[str, Any]) -> None:
+        """starts UID OP N: its tasks were started so often altogether"""
         count = sum(len(s) for t, s in self.w().checker.observed.starts.items() if t.startswith(args[0] + "/"))
         assert COMPARE[args[1]](count, int(args[2])), f"{args[0]} was started {count} times"
 
@@ -124,10 +128,12 @@
         assert again and max(again) <= float(args[0]), again
 
     def check_started_by(self, args: list[str], named: dict[str, Any]) -> None:
+        """started_by UID T: the last start of any of its tasks was by that second"""
         times = [s[-1] / US for t, s in self.w().checker.observed.starts.items() if t.startswith(args[0] + "/")]
         assert times and max(times) <= float(args[1]), times
 
     def check_together(self, args: list[str], named: dict[str, Any]) -> None:
+        """together UID: the last starts of its tasks are less than three seconds apart"""
         times = [s[-1] for t, s in self.w().checker.observed.starts.items() if t.startswith(args[0] + "/")]
         assert max(times) - min(times) < 3 * US, times
 
@@ -136,6 +142,7 @@
         assert COMPARE[args[0]](self.w().killed, int(args[1])), f"{self.w().killed} tasks killed by their lease"
 
     def check_machines(self, args: list[str], named: dict[str, Any]) -> None:
+        """machines OP N: so many are rented now"""
         count = len(self.w().cloud.machines)
         assert COMPARE[args[0]](count, int(args[1])), f"{count} machines"
 
@@ -145,6 +152,7 @@
         assert COMPARE[args[0]](count, int(args[1])), f"{count} machines rented"
 
     def check_rental_calls(self, args: list[str], named: dict[str, Any]) -> None:
+        """rental_calls OP N: rental requests to the cloud since `count`"""
         asked = self.w().cloud.rental_requests - self.counted["asked"]
         assert COMPARE[args[0]](asked, int(args[1])), f"{asked} rental requests"
 
@@ -158,6 +166,7 @@
         assert self.w().kept_delivered >= int(args[0]), self.w().kept_delivered
 
     def check_looked_per_report(self, args: list[str], named: dict[str, Any]) -> None:
+        """looked_per_report OP N reports=LEAST: workers that placement looked at since `count`, for each heartbeat"""
         heartbeats = self.w().heartbeats - self.counted["reports"]
         assert heartbeats > int(named["reports"]), heartbeats
         looked = self._looked() - self.counted["looked"]
--- a/tests/simulation/inputs.py
+++ b/tests/simulation/inputs.py
@@ -29,6 +29,7 @@
 
 
 def job_spec(job_id: str, **changes: Any) -> dict[str, Any]:
+    """A job's description as its user submits it; AssertionError for a field that there is not."""
     spec = {
         "uid": job_id,
         "lane": "batch",
