--- a/tests/scenario/breaches.py
+++ b/tests/scenario/breaches.py
@@ -18,7 +18,7 @@
 
 
 class BreachVerbs(WorldSetup):
-    """Lines `breach EVENT ...`: an event that never happened in the world, told to the checker."""
+    """Lines `breach EVENT ...`: an event that never happened in the world, reported to the checker."""
 
     def do_breach(self, plain: list[str], named: dict[str, Any]) -> None:
         """breach EVENT ...: job, on, off, complete, asks, ask, odd, asked_ago, trouble, wait, or an answer to a user"""
--- a/tests/scenario/controllers.py
+++ b/tests/scenario/controllers.py
@@ -52,7 +52,7 @@
             host.peers_cut_until_us = until_us
 
     def on_isolate(self, args: list[str], named: dict[str, Any]) -> None:
-        """isolate NAME S held|refused|reset: it loses the state service and its peers, but not its workers."""
+        """isolate NAME S held|refused|reset: it loses the key-value store and its peers, but not its workers."""
         host, until_us = self.w().controllers[args[0]], self.w().trouble(float(args[1]))
         host.peers_cut_until_us = until_us
         if args[2] == "refused":
@@ -61,7 +61,7 @@
             host.store.cut = StoreCut(until_us, args[2])
 
     def on_cut_state(self, args: list[str], named: dict[str, Any]) -> None:
-        """cut_state NAME S held|refused|reset: it loses the state service alone, keeps peers, workers and users"""
+        """cut_state NAME S held|refused|reset: it loses the key-value store alone, keeps peers, workers and users"""
         until_us = self.w().trouble(float(args[1]))
         if args[2] == "refused":
             self.w().store.refused[args[0]] = until_us
@@ -117,12 +117,12 @@
         assert node.ready() is (args[1] == "true")
 
     def check_terms(self, args: list[str], named: dict[str, Any]) -> None:
-        """terms OP N: shards got an owner so often"""
+        """terms OP N: shards got a leader so often"""
         count = self.w().store.data["q/term"][0]["term"]
         assert COMPARE[args[0]](count, int(args[1])), f"{count} terms"
 
     def check_told_something(self, args: list[str], named: dict[str, Any]) -> None:
-        """told_something: refusals were seen and heard, strays written down, wants recorded"""
+        """told_something: stockouts were observed and passed on, misrouted workers and wants recorded"""
         kinds = {e.get("write", "").split("/")[1] for e in self.w().store.history if "write" in e}
         assert {"stray", "want", "load"} <= kinds, kinds
         known = [
@@ -131,7 +131,7 @@
         assert any(len(cache) > 1 and any(cache.values()) for cache in known), known
 
     def check_died_out(self, args: list[str], named: dict[str, Any]) -> None:
-        """died_out: nothing told in the past is told or counted any more, at any controller"""
+        """died_out: no observation of the past is passed on or counted any more, at any controller"""
         world = self.w()
         for host in world.controllers.values():
             node = host.actor
--- a/tests/scenario/odd_requests.py
+++ b/tests/scenario/odd_requests.py
@@ -18,7 +18,7 @@
 
 @dataclass
 class OddRequests:
-    """Sends one odd request after another; `count_met` is told what each met."""
+    """Sends one odd request after another; `count_met` counts what each met."""
 
     runner: RunnerState
     every_us: int
--- /dev/null
+++ b/tests/scenario/queueing_checks.py
@@ -0,0 +1,84 @@
+"""Lines that check the queueing model against worked values."""
+
+from itertools import combinations_with_replacement, permutations
+from typing import Any
+
+import pytest
+
+from quinceslip.coordination.load_balancing.queueing_model import (
+    Station,
+    choose_shard,
+    credible,
+    fair_levels,
+    load,
+    marginal_cost,
+    mean_wait,
+    shares,
+    wait_probability,
+)
+from tests.scenario.state import RunnerState
+from tests.scenario.tools import at_once
+
+
+class QueueingChecks(RunnerState):
+    """Lines that check the queueing model against worked values."""
+
+    def do_queue(self, plain: list[str], named: dict[str, Any]) -> None:
+        """queue m u arrivals: P_m and W against worked values."""
+        station, arrivals = Station(int(plain[0]), float(plain[1])), float(plain[2])
+        if "p" in named:
+            assert wait_probability(station.slots, arrivals / station.rate) == pytest.approx(named["p"], rel=1e-6)
+        if "wait" in named:
+            assert mean_wait(station, arrivals) == pytest.approx(named["wait"], rel=1e-6)
+        if "slope" in named:
+            assert marginal_cost(station, arrivals) == pytest.approx(named["slope"], rel=1e-6)
+        step = 1e-6 * station.rate
+        if 0 < arrivals < station.capacity - step:
+
+            def cost(x: float) -> float:
+                return x * (mean_wait(station, x) + 1 / station.rate)
+
+            numeric = (cost(arrivals + step) - cost(arrivals - step)) / (2 * step)
+            assert marginal_cost(station, arrivals) == pytest.approx(numeric, rel=1e-3)
+
+    def do_levels(self, plain: list[str], named: dict[str, Any]) -> None:
+        """levels m:u,m:u,... total -> shares and levels, at once; 1/60 is a number too"""
+
+        def number(text: str) -> float:
+            above, _, below = text.partition("/")
+            return float(above) / float(below or 1)
+
+        stations = [Station(int(a), number(b)) for a, _, b in (p.partition(":") for p in plain[0].split(","))]
+        total = number(plain[1])
+        with at_once(5.0):
+            self._levels(stations, total, named)
+
+    def do_levels_at_capacity(self, plain: list[str], named: dict[str, Any]) -> None:
+        """levels_at_capacity MOST: three shards of up to so many slots, as many arrivals in a minute as slots"""
+        most = int(plain[0])
+        with at_once(20.0):
+            for slots in combinations_with_replacement(range(most + 1), 3):
+                for order in sorted(set(permutations(slots))):
+                    stations = [Station(m, 1 / 60) for m in order]
+                    assert fair_levels(stations, sum(order) / 60) == list(order), order
+
+    def _levels(self, stations: list[Station], total: float, named: dict[str, Any]) -> None:
+        if "shares" in named:
+            wanted = [float(s) for s in str(named["shares"]).split(",")]
+            assert shares(stations, total) == pytest.approx(wanted, abs=1e-4)
+        if "levels" in named:
+            assert fair_levels(stations, total) == [int(x) for x in str(named["levels"]).split(",")]
+        if 0 < total < sum(s.capacity for s in stations) * (1 - 1e-9) and all(map(credible, stations)):
+            found = shares(stations, total)
+            assert sum(found) == pytest.approx(1.0, abs=1e-6)
+            slopes = [marginal_cost(s, f * total) for s, f in zip(stations, found, strict=True) if f > 1e-9]
+            assert max(slopes) == pytest.approx(min(slopes), rel=2e-2)
+
+    def do_choose(self, plain: list[str], named: dict[str, Any]) -> None:
+        """choose HOME m:u:waiting:level,... shard=N"""
+        parts = [p.split(":") for p in plain[1].split(",")]
+        stations = {i: Station(int(p[0]), float(p[1])) for i, p in enumerate(parts)}
+        waiting = {i: int(p[2]) for i, p in enumerate(parts)}
+        levels = {i: int(p[3]) for i, p in enumerate(parts)}
+        assert load(waiting[0], stations[0]) == (waiting[0] + stations[0].slots) / stations[0].capacity
+        assert choose_shard(int(plain[0]), stations, waiting, levels) == named["shard"]
--- a/tests/scenario/runner.py
+++ b/tests/scenario/runner.py
@@ -14,6 +14,9 @@
 from tests.scenario.components import ComponentChecks
 from tests.scenario.controllers import ControllerVerbs
 from tests.scenario.fields import value
+from tests.scenario.liveness_checks import LivenessChecks
+from tests.scenario.model_checks import ModelChecks
+from tests.scenario.queueing_checks import QueueingChecks
 from tests.scenario.store import StoreVerbs
 from tests.scenario.tools import collected_errors
 from tests.scenario.troubles import Troubles
@@ -23,7 +26,17 @@
 FOLDER = Path(__file__).parent.parent / "scenarios"
 
 
-class Runner(Troubles, BreachVerbs, ControllerVerbs, StoreVerbs, WorkerVerbs, ComponentChecks):
+class Runner(
+    Troubles,
+    BreachVerbs,
+    ControllerVerbs,
+    StoreVerbs,
+    WorkerVerbs,
+    QueueingChecks,
+    LivenessChecks,
+    ModelChecks,
+    ComponentChecks,
+):
     """Plays the lines of a scenario: `do_` verbs describe and play, `on_` verbs happen, `check_` verbs judge."""
 
     def line(self, text: str) -> None:
--- a/tests/scenario/state.py
+++ b/tests/scenario/state.py
@@ -101,7 +101,7 @@
         getattr(self, verb)(plain, fields)
         assert not fields.left, f"{verb}: unknown {sorted(fields.left)}"
 
-    def _looked(self) -> int:
+    def _workers_examined(self) -> int:
         """Workers that placement has looked at, by all controllers."""
         return sum(
             s.placement.workers_examined
--- a/tests/scenario/store.py
+++ b/tests/scenario/store.py
@@ -35,7 +35,7 @@
             self.w().cloud.down_until_us = until_us
 
     def on_refuse(self, args: list[str], named: dict[str, Any]) -> None:
-        """refuse NAME S: the state service answers 503 to this controller alone."""
+        """refuse NAME S: the key-value store answers 503 to this controller alone."""
         self.w().store.refused[args[0]] = self.w().trouble(float(args[1]))
 
     def on_late(self, args: list[str], named: dict[str, Any]) -> None:
@@ -59,7 +59,7 @@
         self.w().trouble(float(args[1]) + most_s)
 
     def on_slow(self, args: list[str], named: dict[str, Any]) -> None:
-        """slow NAME|all S MOST: the state service takes up to so long to answer."""
+        """slow NAME|all S MOST: the key-value store takes up to so long to answer."""
         for label in self.w().controllers if args[0] == "all" else args[:1]:
             self.w().store.slow[label] = SlowAnswers(self.w().trouble(float(args[1])), int(float(args[2]) * US))
 
@@ -77,7 +77,7 @@
         assert COMPARE[args[1]](count, int(args[2])), f"{args[0]}: {count}"
 
     def check_too_large(self, args: list[str], named: dict[str, Any]) -> None:
-        """too_large OP N: changes that the state service refused for its limits; never the same ones again"""
+        """too_large OP N: changes that the key-value store refused for its limits; never the same ones again"""
         refused = self.w().store.refused_changes
         assert COMPARE[args[0]](len(refused), int(args[1])) and len(set(refused)) == len(refused), refused[:3]
 
@@ -117,7 +117,7 @@
         assert COMPARE[args[0]](most, float(args[1])), f"{most} writes a second for quotas"
 
     def check_records(self, args: list[str], named: dict[str, Any]) -> None:
-        """records KIND N: so many of a kind in the state service"""
+        """records KIND N: so many of a kind in the key-value store"""
         assert sum(key.startswith(f"q/{args[0]}/") for key in self.w().store.data) == int(args[1])
 
     def check_answers_lost(self, args: list[str], named: dict[str, Any]) -> None:
@@ -134,7 +134,7 @@
         assert node.ctx.progress() >= 2 * len(items)
 
     def do_listing_in_pages(self, plain: list[str], named: dict[str, Any]) -> None:
-        """listing_in_pages FIRST LAST: read over these ledgers; nothing is decided before the watch brings the last"""
+        """listing_in_pages FIRST LAST: read over these revisions; nothing is decided before the watch has the last"""
         node = Controller(settings_of({**self.facts, "size": 1}), Tuning(), 0, 0)
         claims, first, last = list[int](), int(plain[0]), int(plain[1])
 
--- a/tests/scenario/troubles.py
+++ b/tests/scenario/troubles.py
@@ -34,7 +34,7 @@
         self.w().after(seconds * US, lambda: self.on_cancel([job_id], {"by": by} if by else {}))
 
     def on_close_looks(self, args: list[str], named: dict[str, Any]) -> None:
-        """close_looks S [cancel=SHARE]: all nodes are asked within milliseconds after what a user was told of a job
+        """close_looks S [cancel=SHARE]: all controllers are asked within milliseconds of any news about a job
 
         The submission is repeated as well; of what has just been accepted that share is cancelled at once.
         """
--- a/tests/scenario/users.py
+++ b/tests/scenario/users.py
@@ -82,7 +82,7 @@
         self.counted = {
             "puts": world.store.job_writes,
             "reports": world.heartbeats,
-            "looked": self._looked(),
+            "looked": self._workers_examined(),
             "starts": starts,
             "reads": self._reads(),
             "asked": world.cloud.rental_requests,
@@ -110,7 +110,7 @@
         return sum(h.actor.user_requests.read_barriers for h in self.w().controllers.values() if h.actor is not None)
 
     def check_reads_since(self, args: list[str], named: dict[str, Any]) -> None:
-        """reads_since OP N: reads of the ledger for users, since `count`"""
+        """reads_since OP N: linearizable reads of the store for users, since `count`"""
         count = self._reads() - self.counted["reads"]
         assert COMPARE[args[0]](count, int(args[1])), f"{count} reads"
 
@@ -147,14 +147,14 @@
         attempt()
 
     def check_done(self, args: list[str], named: dict[str, Any]) -> None:
-        """done UID...: the last that users were told of each is that it is done"""
+        """done UID...: the last answer to users about each is that it is done"""
         for job_id in args:
             assert self.w().checker.observed.last_status.get(job_id) == "done", (
                 f"{job_id}: {self.w().checker.observed.last_status.get(job_id)}"
             )
 
     def check_told(self, args: list[str], named: dict[str, Any]) -> None:
-        """told UID STATUS: the last that users were told of it"""
+        """told UID STATUS: the status in the last answer to users about it"""
         assert self.w().checker.observed.last_status.get(args[0]) == args[1]
 
     def check_status(self, args: list[str], named: dict[str, Any]) -> None:
@@ -162,13 +162,14 @@
         assert int(args[1]) in self.statuses[args[0]], self.statuses[args[0]]
 
     def check_why(self, args: list[str], named: dict[str, Any]) -> None:
-        """why UID TEXT: what its user is told of a job beside its state, by the one controller that answers for it"""
+        """why UID TEXT: what answers say of a job beside its state, by the one controller that answers for it"""
         assert sum(" ".join(args[1:]) in text for text in self.whys[args[0]].values()) == 1, self.whys
 
     def check_all_done(self, args: list[str], named: dict[str, Any]) -> None:
-        """all_done: users were told that each array is done"""
-        told = self.w().checker.observed.last_status
-        left = [u for u, spec in self.w().jobs.items() if spec["shape"] == "array" and told.get(u) != "done"]
+        """all_done: users were answered that each array is done"""
+        last_status = self.w().checker.observed.last_status
+        arrays = [job_id for job_id, spec in self.w().jobs.items() if spec["shape"] == "array"]
+        left = [job_id for job_id in arrays if last_status.get(job_id) != "done"]
         assert not left, left[:5]
 
     def check_open_jobs(self, args: list[str], named: dict[str, Any]) -> None:
@@ -177,7 +178,7 @@
         assert len(left) == int(args[0]), left[:5]
 
     def check_late_starts(self, args: list[str], named: dict[str, Any]) -> None:
-        """late_starts OP N: tasks that began after their job was confirmed as cancelled, by commands on their way"""
+        """late_starts OP N: tasks that began after their cancellation was answered, by commands on their way"""
         assert COMPARE[args[0]](self.w().checker.machines.late_starts, int(args[1])), (
             self.w().checker.machines.late_starts
         )
--- a/tests/scenario/workers.py
+++ b/tests/scenario/workers.py
@@ -25,7 +25,7 @@
         return [world.workers[args[0]]] if args[0] in world.workers else []
 
     def on_cut(self, args: list[str], named: dict[str, Any]) -> None:
-        """cut WORKER|... S [lost]: the network holds everything back until it ends, or loses it."""
+        """cut WORKER|... S [lost]: the network delivers everything when it ends, or loses it."""
         for worker in self._workers(args):
             worker.cut_until_us, worker.drops = self.w().trouble(float(args[1])), "lost" in args
 
@@ -34,12 +34,12 @@
         self.on_cut([f"zone:{args[0]}", args[1]], named)
 
     def on_unheard(self, args: list[str], named: dict[str, Any]) -> None:
-        """unheard WORKER|busiest|third|zone:Z|all S [lost]: reports arrive; answers, commands, questions do not."""
+        """unheard WORKER|busiest|third|zone:Z|all S [lost]: heartbeats arrive; answers, commands, questions do not."""
         for worker in self._workers(args):
             worker.unheard_until_us, worker.drops = self.w().trouble(float(args[1])), "lost" in args
 
     def on_copies(self, args: list[str], named: dict[str, Any]) -> None:
-        """copies WORKER|... S times=N late=S: each report comes again so often, a second to so long after.
+        """copies WORKER|... S times=N late=S: each heartbeat comes again so often, a second to so long after.
 
         `copies WORKER|... S for_next`: one of its latest is kept, and reaches every controller as a shard is claimed.
         """
@@ -84,7 +84,7 @@
             self.w().after(notice_s * US + 1, partial(self.w().cloud.remove, worker.name))
 
     def on_token(self, args: list[str], named: dict[str, Any]) -> None:
-        """token WORKER N: the worker has seen a higher token than its owner's."""
+        """token WORKER N: the worker has seen a higher token than its leader's."""
         for worker in self._workers(args):
             worker.fencing_token, worker.has_changed = int(args[1]), True
 
@@ -169,8 +169,10 @@
         """looked_per_report OP N reports=LEAST: workers that placement looked at since `count`, for each heartbeat"""
         heartbeats = self.w().heartbeats - self.counted["reports"]
         assert heartbeats > int(named["reports"]), heartbeats
-        looked = self._looked() - self.counted["looked"]
-        assert COMPARE[args[0]](looked / heartbeats, float(args[1])), f"{looked} workers for {heartbeats} reports"
+        examined = self._workers_examined() - self.counted["looked"]
+        assert COMPARE[args[0]](examined / heartbeats, float(args[1])), (
+            f"{examined} workers for {heartbeats} heartbeats"
+        )
 
     def check_most_used(self, args: list[str], named: dict[str, Any]) -> None:
         """most_used LEVEL OP N: at any instant so far"""
--- a/tests/simulation/checker.py
+++ b/tests/simulation/checker.py
@@ -1,4 +1,4 @@
-"""Judges a run by the rules of the protocol, from what machines did and what users were told."""
+"""Judges a run by the rules of the protocol, from what machines did and what users were answered."""
 
 from typing import TYPE_CHECKING
 
--- a/tests/simulation/checks/answers.py
+++ b/tests/simulation/checks/answers.py
@@ -1,4 +1,4 @@
-"""Rules about what users are told: nothing invented, nothing forgotten, no final status taken back."""
+"""Rules about what users are answered: nothing invented, nothing forgotten, no final status taken back."""
 
 from typing import Any
 
--- a/tests/simulation/checks/end_of_run.py
+++ b/tests/simulation/checks/end_of_run.py
@@ -44,7 +44,7 @@
                 self.observed.breach("starved", f"{job_id}, of the {name}, had not begun after {BEGIN_S} s")
 
     def _is_served(self, job_id: str) -> bool:
-        """Whether all replicas of a service run, or the user of another job was told that it is done."""
+        """Whether all replicas of a service run, or the user of another job was answered that it is done."""
         if self.observed.spec(job_id)["shape"] == "standing":
             return all(self.observed.running_on[task] for task in self.observed.tasks(job_id))
         return self.observed.last_status.get(job_id) == "done"
--- a/tests/simulation/checks/machines.py
+++ b/tests/simulation/checks/machines.py
@@ -16,7 +16,7 @@
 
     def __init__(self, observed: Observations, quota: QuotaChecks) -> None:
         self.observed, self.quota = observed, quota
-        self.late_starts = 0  # tasks that began after a user was told that their job is cancelled
+        self.late_starts = 0  # tasks that began after a user was answered that their job is cancelled
 
     def task_started(self, task: str, worker: "SimulatedWorker") -> None:
         """A task begins to run on a worker."""
--- a/tests/simulation/checks/observations.py
+++ b/tests/simulation/checks/observations.py
@@ -1,4 +1,4 @@
-"""What a run has shown so far: what machines did, what users asked and were told. The rules judge it elsewhere."""
+"""What a run has shown so far: what machines did, what users asked and were answered. The rules judge it elsewhere."""
 
 from collections import defaultdict
 from typing import TYPE_CHECKING, Any
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from tests.simulation.world import World
 
-#: statuses of a job, as users are told, after which it has no other
+#: statuses of a job, in answers to users, after which it has no other
 FINAL_STATUSES = ("done", "withdrawn")
 
 
@@ -29,9 +29,9 @@
         self.accepted: dict[str, dict[str, Any]] = {}  # the first answer that said so
         self.acceptance_answered_us: dict[str, int] = {}
         self.cancel_requested: set[str] = set()
-        self.cancel_answered_us: dict[str, int] = {}  # a user was first told that it is cancelled
-        self.last_status: dict[str, str] = {}  # the last status that its users were told
-        self.final_answer_us: dict[str, int] = {}  # a user was first told that it is done or cancelled
+        self.cancel_answered_us: dict[str, int] = {}  # a user was first answered that it is cancelled
+        self.last_status: dict[str, str] = {}  # the status in the last answer to its users
+        self.final_answer_us: dict[str, int] = {}  # a user was first answered that it is done or cancelled
         self.last_answer_us: dict[str, int] = {}  # the last answer about an accepted job
 
     @property
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -124,7 +124,7 @@
     # Transactions.
 
     def _transact(self, body: Any) -> tuple[int, Any]:
-        """Carry all changes out if each condition holds; 409 names the keys whose conditions fail."""
+        """Carry all changes out if each condition is met; 409 names the keys whose conditions fail."""
         failed = [c["k"] for c in body["if"] if self._mod_revision(c["k"]) != c["stamp"]]
         if failed:
             return 409, {"failed": failed, "ledger": self.revision}
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -43,7 +43,7 @@
         self.runner = TaskRunner(self)
         self.tasks = self.runner.tasks
         self.lease_renewed_us = world.now_us
-        self.controller = world.random.choice(sorted(world.controllers))  # label of whom it reports to
+        self.controller = world.random.choice(sorted(world.controllers))  # label of the one that gets its heartbeats
         self.is_dead = False
         self.life = 0  # counts reboots
         self.cut_until_us = 0
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -1,7 +1,7 @@
 """A small world in virtual time: stand-ins for the key-value store, the cloud, workers and users.
 
 They speak the protocol's JSON and know nothing of the program's insides; the controllers in it are
-the real actors. The checker sees what truly happens on the machines and what users are told.
+the real actors. The checker sees what truly happens on the machines and what users are answered.
 """
 
 import heapq
@@ -53,7 +53,7 @@
         self.failing: dict[str, int] = {}  # so many more starts of its tasks fail
         self.odd: dict[str, dict[str, Any]] = {}  # submissions that can never run or lack a field
         # Listeners.
-        self.on_news: list[Callable[[str, str], None]] = []  # a user is told of a job what none was told before
+        self.on_news: list[Callable[[str, str], None]] = []  # an answer brings the first news of its kind about a job
         self.on_end: list[Callable[[str], None]] = []  # a job's last task has completed
         # Interruptions, and what they met.
         self.link_delay_us, self.links_slow_until_us = 0, 0  # what a message takes at the most until then
