--- a/tests/scenario/store.py
+++ b/tests/scenario/store.py
@@ -18,6 +18,7 @@
 from tests.scenario.state import RunnerState
 from tests.scenario.tools import COMPARE
 from tests.simulation.clock import US
+from tests.simulation.faults import LateTransactions, LostAnswers, SlowAnswers
 from tests.simulation.inputs import settings_of
 from tests.simulation.world import World
 
@@ -34,7 +35,7 @@
             self.w().cloud.down_until_us = until_us
 
     def on_refuse(self, args: list[str], named: dict[str, Any]) -> None:
-        """refuse NAME S: the state service answers 503 to this controller alone."""
+        """refuse NAME S: the key-value store answers 503 to this controller alone."""
         self.w().store.refused[args[0]] = self.w().trouble(float(args[1]))
 
     def on_late(self, args: list[str], named: dict[str, Any]) -> None:
@@ -44,10 +45,12 @@
         """
         if args[2] == "at_once":
             for label in self.w().controllers if args[0] == "all" else args[:1]:
-                self.w().store.unanswered[label] = (self.w().trouble(float(args[1])), float(named.get("share", 1.0)))
+                self.w().store.unanswered[label] = LostAnswers(
+                    self.w().trouble(float(args[1])), float(named.get("share", 1.0))
+                )
             return
         least_s, most_s = float(args[2]), float(args[-1])
-        self.w().store.late[args[0]] = (
+        self.w().store.late[args[0]] = LateTransactions(
             self.w().trouble(float(args[1])),
             int(least_s * US),
             int(most_s * US),
@@ -56,9 +59,9 @@
         self.w().trouble(float(args[1]) + most_s)
 
     def on_slow(self, args: list[str], named: dict[str, Any]) -> None:
-        """slow NAME|all S MOST: the state service takes up to so long to answer."""
+        """slow NAME|all S MOST: the key-value store takes up to so long to answer."""
         for label in self.w().controllers if args[0] == "all" else args[:1]:
-            self.w().store.slow[label] = (self.w().trouble(float(args[1])), int(float(args[2]) * US))
+            self.w().store.slow[label] = SlowAnswers(self.w().trouble(float(args[1])), int(float(args[2]) * US))
 
     def on_page_gap(self, args: list[str], named: dict[str, Any]) -> None:
         """page_gap S: a listing of the records is read in pages, so long after one another"""
@@ -70,12 +73,12 @@
 
     def check_asked(self, args: list[str], named: dict[str, Any]) -> None:
         """asked KEY OP N: how often a change of a record was asked for, whatever came of it"""
-        count = self.w().store.asked_keys.get("q/" + args[0], 0)
+        count = self.w().store.change_requests["q/" + args[0]]
         assert COMPARE[args[1]](count, int(args[2])), f"{args[0]}: {count}"
 
     def check_too_large(self, args: list[str], named: dict[str, Any]) -> None:
-        """too_large OP N: changes that the state service refused for its limits; never the same ones again"""
-        refused = self.w().store.too_large
+        """too_large OP N: changes that the key-value store refused for its limits; never the same ones again"""
+        refused = self.w().store.refused_changes
         assert COMPARE[args[0]](len(refused), int(args[1])) and len(set(refused)) == len(refused), refused[:3]
 
     def on_load_record(self, args: list[str], named: dict[str, Any]) -> None:
@@ -86,33 +89,35 @@
         self.w().store.answer("", "POST", "/txn", {"if": [], "then": [{"write": f"q/load/{args[0]}", "v": record}]})
 
     def check_puts_per_job(self, args: list[str], named: dict[str, Any]) -> None:
-        puts = self.w().store.puts - self.counted["puts"]
+        """puts_per_job OP N: changes of records of jobs since `count`, for each job"""
+        puts = self.w().store.job_writes - self.counted["puts"]
         jobs = len(self.w().jobs)
         assert COMPARE[args[0]](puts / jobs, float(args[1])), f"{puts} puts for {jobs} jobs"
 
     def check_puts_per_s(self, args: list[str], named: dict[str, Any]) -> None:
         """in any ten seconds in a row, on average"""
-        seconds = self.w().store.second
+        seconds = self.w().store.job_writes_in_second
         first, last = self.counted["second"], self.w().now_us // US
         most = max(sum(seconds.get(t + i, 0) for i in range(10)) / 10 for t in range(first, last - 9))
         assert COMPARE[args[0]](most, float(args[1])), f"{most} puts a second"
 
     def check_grant_writes(self, args: list[str], named: dict[str, Any]) -> None:
         """grant_writes OP N: changes of quotas' records since `count`"""
-        writes = self.w().store.grants - self.counted.get("grants", 0)
+        writes = self.w().store.quota_writes - self.counted.get("grants", 0)
         assert COMPARE[args[0]](writes, float(args[1])), f"{writes} writes for quotas"
 
     def check_grant_writes_per_job(self, args: list[str], named: dict[str, Any]) -> None:
+        """grant_writes_per_job OP N: changes of quotas' records since `count`, for each job"""
         self.check_grant_writes([args[0], str(float(args[1]) * len(self.w().jobs))], named)
 
     def check_grant_writes_per_s(self, args: list[str], named: dict[str, Any]) -> None:
         """in any ten seconds in a row, on average"""
-        seconds = self.w().store.grants_in
+        seconds = self.w().store.quota_writes_in_second
         most = max(sum(seconds.get(t + i, 0) for i in range(10)) / 10 for t in range(self.w().now_us // US))
         assert COMPARE[args[0]](most, float(args[1])), f"{most} writes a second for quotas"
 
     def check_records(self, args: list[str], named: dict[str, Any]) -> None:
-        """records KIND N: so many of a kind in the state service"""
+        """records KIND N: so many of a kind in the key-value store"""
         assert sum(key.startswith(f"q/{args[0]}/") for key in self.w().store.data) == int(args[1])
 
     def check_answers_lost(self, args: list[str], named: dict[str, Any]) -> None:
@@ -129,7 +134,7 @@
         assert node.ctx.progress() >= 2 * len(items)
 
     def do_listing_in_pages(self, plain: list[str], named: dict[str, Any]) -> None:
-        """listing_in_pages FIRST LAST: read over these ledgers; nothing is decided before the watch brings the last"""
+        """listing_in_pages FIRST LAST: read over these revisions; nothing is decided before the watch has the last"""
         node = Controller(settings_of({**self.facts, "size": 1}), Tuning(), 0, 0)
         claims, first, last = list[int](), int(plain[0]), int(plain[1])
 
--- a/tests/scenario/troubles.py
+++ b/tests/scenario/troubles.py
@@ -1,10 +1,13 @@
 """Verbs of scenarios for troubles that meet: users who look closely or ask oddly, cancellations at awkward moments."""
 
 from functools import partial
+from itertools import count
 from typing import Any
 
+from tests.scenario.odd_requests import FIRST_ID, OddRequests
 from tests.scenario.users import UserVerbs
 from tests.simulation.clock import US
+from tests.simulation.faults import LostHandOver, StoreCut, WorkerCut
 
 #: hosts of cancelled jobs that hang, at the most
 MAX_HUNG_MACHINES = 8
@@ -15,7 +18,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.next_odd = 900_000
+        self.odd_numbers = count(FIRST_ID)  # of odd submissions of this run
         self.met: dict[str, int] = {}  # how often each of these troubles met something
 
     def _meets(self, what: str) -> None:
@@ -31,7 +34,7 @@
         self.w().after(seconds * US, lambda: self.on_cancel([job_id], {"by": by} if by else {}))
 
     def on_close_looks(self, args: list[str], named: dict[str, Any]) -> None:
-        """close_looks S [cancel=SHARE]: all nodes are asked within milliseconds after what a user was told of a job
+        """close_looks S [cancel=SHARE]: all controllers are asked within milliseconds of any news about a job
 
         The submission is repeated as well; of what has just been accepted that share is cancelled at once.
         """
@@ -46,7 +49,13 @@
                 for _ in range(2):
                     world.after(
                         world.random.randint(1, 8000),
-                        partial(self.ask, "poll", job_id, lambda s, b: world.checker.polled(job_id, s, b), by=label),
+                        partial(
+                            self.ask,
+                            "poll",
+                            job_id,
+                            lambda s, b: world.checker.answers.poll_answered(job_id, s, b),
+                            by=label,
+                        ),
                     )
                 world.after(
                     world.random.randint(1, 8000),
@@ -54,7 +63,7 @@
                         self.ask,
                         "submit",
                         job_id,
-                        lambda s, b: world.checker.submitted(job_id, s, b),
+                        lambda s, b: world.checker.answers.submission_answered(job_id, s, b),
                         world.jobs[job_id],
                         by=label,
                     ),
@@ -67,47 +76,9 @@
     def on_odd_requests(self, args: list[str], named: dict[str, Any]) -> None:
         """odd_requests S [every=S]: repeats of unfinished jobs, as they were and spoilt; cancellations of what is done;
         jobs that fit no machine or lack a field"""
-        world, every_us = self.w(), int(float(named.get("every", 0.3)) * US)
-        until_us = world.trouble(float(args[0]))
-
-        def spoilt(spec: dict[str, Any]) -> dict[str, Any]:
-            if world.random.random() < 0.5:
-                return {**spec, "vcpus": 9999.0}
-            lacks = world.random.choice(["lane", "crew", "picks", "vcpus", "expectS"])
-            return {k: v for k, v in spec.items() if k != lacks}
-
-        def one() -> None:
-            if world.now_us >= until_us:
-                return
-            world.after(every_us, one)
-            told, jobs = world.checker.told, world.jobs
-            unfinished = sorted(u for u in world.checker.accepted if told.get(u) not in ("done", "withdrawn"))
-            done = sorted(u for u, s in told.items() if s == "done")
-            kind = world.random.choice(["repeat", "spoilt", "late", *(["new"] if jobs else [])])
-            known = unfinished if kind in ("repeat", "spoilt") else done
-            if kind == "new":
-                job_id = f"req-{self.next_odd}"
-                self.next_odd += 1
-                world.odd[job_id] = spec = spoilt({**next(iter(jobs.values())), "uid": job_id})
-                self.ask("submit", job_id, lambda s, b: self._refused(job_id, s, b), spec)
-            elif known and kind == "late":
-                job_id = world.random.choice(known)
-                world.checker.cancel_asked.add(job_id)
-                self.ask("cancel", job_id, lambda s, b: world.checker.cancel_answer(job_id, s, b))
-            elif known:
-                job_id = world.random.choice(known)
-                spec = jobs[job_id] if kind == "repeat" else spoilt(jobs[job_id])
-                self.ask("submit", job_id, lambda s, b: world.checker.submitted(job_id, s, b), spec)
-            else:
-                return
-            self._meets(f"odd_{kind}")
-
-        one()
-
-    def _refused(self, job_id: str, status: int, body: Any) -> None:
-        self.w().checker.submitted(job_id, status, body)
-        if status in (400, 422):
-            self._meets("refused")
+        every_us = int(float(named.get("every", 0.3)) * US)
+        until_us = self.w().trouble(float(args[0]))
+        OddRequests(self, every_us, until_us, self._meets, self.odd_numbers).send_next()
 
     def on_cancel_at_end(self, args: list[str], named: dict[str, Any]) -> None:
         """cancel_at_end S [share=P]: of the jobs that end, that share is called off at the moment of the end"""
@@ -125,9 +96,9 @@
         """cancel_now COUNT [within=S] [hang=S] [by=NAME]: so many jobs that run; their machines hang, eight at most"""
         world, hang_s = self.w(), float(named.get("hang", 0))
         within_s, by = float(named.get("within", 0.2)), str(named.get("by", ""))
-        where = world.checker.where
+        where = world.checker.observed.running_on
         running = sorted(
-            {t.rpartition("/")[0] for t, places in where.items() if places} - world.checker.cancel_asked,
+            {t.rpartition("/")[0] for t, places in where.items() if places} - world.checker.observed.cancel_requested,
             key=lambda u: (world.jobs[u]["shape"] != "standing", -world.run_s.get(u, 0), u),
         )
         hung: list[str] = []
@@ -148,23 +119,24 @@
     def on_slow_links(self, args: list[str], named: dict[str, Any]) -> None:
         """slow_links S MOST: every message takes up to so long, between whomever"""
         world = self.w()
-        world.links_until_us, world.links_us = world.trouble(float(args[0])), int(float(args[1]) * US)
+        world.links_slow_until_us, world.link_delay_us = world.trouble(float(args[0])), int(float(args[1]) * US)
 
     def on_island(self, args: list[str], named: dict[str, Any]) -> None:
         """island ZONE NAME S [MODE]: a zone with its workers and that controller is cut off from all else"""
         world = self.w()
         until_us = world.trouble(float(args[2]))
         for label, host in world.controllers.items():
-            host.cut_workers = (until_us, "!" + args[0] if label == args[1] else args[0])
+            host.workers.cut = WorkerCut(until_us, "!" + args[0] if label == args[1] else args[0])
         inside = world.controllers[args[1]]
-        inside.deaf_peers_until_us, inside.state_cut = until_us, (until_us, args[3] if args[3:] else "held")
+        inside.peers_cut_until_us = until_us
+        inside.store.cut = StoreCut(until_us, args[3] if args[3:] else "held")
 
     def on_hand_over_unanswered(self, args: list[str], named: dict[str, Any]) -> None:
         """hand_over_unanswered NAME S: its next hand-over is carried out, the answer is lost, and its watch hangs
 
         `hand_over_unanswered NAME S lost`: it is not carried out either.
         """
-        self.w().store.hand_over_lost[args[0]] = int(float(args[1]) * US), "lost" in args
+        self.w().store.hand_over_lost[args[0]] = LostHandOver(int(float(args[1]) * US), "lost" in args)
 
     def check_handed_over(self, args: list[str], named: dict[str, Any]) -> None:
         """handed_over: that has met"""
--- a/tests/scenario/users.py
+++ b/tests/scenario/users.py
@@ -6,9 +6,9 @@
 
 from quinceslip.quota.plots import merged
 from tests.scenario.state import RunnerState
+from tests.scenario.submission import MAX_RETRIES_US, Submission, read_spec
 from tests.scenario.tools import COMPARE
 from tests.simulation.clock import US
-from tests.simulation.inputs import job_spec
 
 
 class UserVerbs(RunnerState):
@@ -19,7 +19,7 @@
         world = self.w()
         pages: list[Any] = []
         for host in world.controllers.values():
-            host.ask("quota", lambda status, body: pages.append(body))
+            host.receive_query("quota", lambda status, body: pages.append(body))
 
         def write() -> None:
             with open(args[0], "a", encoding="utf-8") as out:
@@ -30,73 +30,27 @@
             world.after(named["every"] * US, lambda: self.on_sample(args, named))
 
     def on_submit(self, args: list[str], named: dict[str, Any]) -> None:
+        """submit UID [gang|service] [run=S] [apart=S] [fails=N] [by=NAME] [poll=S] [lacks=FIELD] [FIELD=VALUE ...]
+
+        A user submits it until it is answered, and polls it from then on. `run` is what each task takes, `apart` what
+        each takes more than the one before; `fails` of its starts fail.
+        """
         world, job_id = self.w(), args[0]
-        names = {
-            "tasks": "picks",
-            "cpus": "vcpus",
-            "team": "crew",
-            "memory": "memGb",
-            "spot": "loaners",
-            "zone": "yard",
-            "estimate": "expectS",
-            "checkpoint": "markEveryS",
-            "save": "markCostS",
-        }
-        run_s, by, apart_s = named.pop("run", 5), named.pop("by", ""), named.pop("apart", 0)
-        failing, poll_s, lacks = named.pop("fails", 0), named.pop("poll", 2), named.pop("lacks", "")
-        given = {names.get(k, k): v for k, v in named.items()}
-        if "after" in given:
-            given["waitsOn"] = str(given.pop("after")).split(",")
-        for key in ("vcpus", "memGb", "gpus", "dueS", "expectS", "markEveryS", "markCostS"):
-            if key in given:
-                given[key] = float(given[key])
-        if "types" in given:
-            given["builds"] = str(given.pop("types")).split(",")
-        spec = job_spec(
-            job_id, shape="standing" if "service" in args else "group" if "gang" in args else "array", **given
-        )
-        if lacks:
-            del spec[lacks]
+        run_s, apart_s, failing = named.pop("run", 5), named.pop("apart", 0), named.pop("fails", 0)
+        by, poll_s, lacking = named.pop("by", ""), named.pop("poll", 2), named.pop("lacks", "")
+        spec = read_spec(job_id, args, named)
+        waits_on = spec["waitsOn"]
+        if lacking:
+            del spec[lacking]
         if job_id in world.jobs:
-            spec = spec if lacks else world.jobs[job_id] | {k: spec[k] for k in ("picks", "vcpus")}
-        elif lacks:
+            spec = spec if lacking else world.jobs[job_id] | {key: spec[key] for key in ("picks", "vcpus")}
+        elif lacking:
             world.odd[job_id] = spec
         else:
-            world.jobs[job_id], world.run_s[job_id], world.failing[job_id] = spec, run_s, failing
-            world.apart_s[job_id] = apart_s
-        until_us = world.now_us + 60 * US
-        world.checker.asks(job_id)
-        settled = [False]
-
-        def heard(status: int, body: Any) -> None:
-            self.statuses.setdefault(job_id, []).append(status)
-            world.checker.submitted(job_id, status, body)
-            if status in (200, 201) and not settled[0]:
-                settled[0] = True
-                poll()
-            elif status in (400, 422):
-                settled[0] = True
-                self.reasons[job_id] = body
-
-        def attempt() -> None:
-            # Users name what was accepted: they wait for that, save where no such job is ever submitted.
-            if (
-                any(
-                    u in world.jobs and u != job_id and u not in world.checker.accepted and u not in self.reasons
-                    for u in given.get("waitsOn", ())
-                )
-                and world.now_us < until_us
-            ):
-                world.after(US // 5, attempt)
-            elif not settled[0] and world.now_us < until_us:
-                self.ask("submit", job_id, heard, spec, by)
-                world.after(2 * US, attempt)
-
-        def poll() -> None:
-            self.ask("poll", job_id, lambda s, b: world.checker.polled(job_id, s, b))
-            world.after(poll_s * US, poll)
-
-        attempt()
+            world.jobs[job_id], world.run_s[job_id] = spec, run_s
+            world.failing[job_id], world.apart_s[job_id] = failing, apart_s
+        world.checker.submission_attempted(job_id)
+        Submission(self, job_id, spec, waits_on, by, poll_s, world.now_us + MAX_RETRIES_US).attempt()
 
     def on_submit_many(self, args: list[str], named: dict[str, Any]) -> None:
         """submit_many FIRST COUNT [every=S] [off=S] ...: jobs of one kind, with numbers from FIRST on, at once or one
@@ -117,22 +71,23 @@
             self.on_submit([f"req-{int(args[0]) + number:06d}", *args[2:]], {**named, "team": f"t-{number + 1}"})
 
     def on_cancel_many(self, args: list[str], named: dict[str, Any]) -> None:
+        """cancel_many FIRST COUNT [step=N]: jobs by number, each or each so many"""
         for number in range(int(args[0]), int(args[0]) + int(args[1]), int(named.get("step", 1))):
             self.on_cancel([f"req-{number:06d}"], {})
 
     def on_count(self, args: list[str], named: dict[str, Any]) -> None:
         """count: what is counted from here on"""
         world = self.w()
-        starts = {task: len(times) for task, times in world.checker.starts.items()}
+        starts = {task: len(times) for task, times in world.checker.observed.starts.items()}
         self.counted = {
-            "puts": world.store.puts,
+            "puts": world.store.job_writes,
             "reports": world.heartbeats,
-            "looked": self._looked(),
+            "looked": self._workers_examined(),
             "starts": starts,
             "reads": self._reads(),
-            "asked": world.cloud.asked,
+            "asked": world.cloud.rental_requests,
             "second": world.now_us // US,
-            "grants": world.store.grants,
+            "grants": world.store.quota_writes,
         }
 
     def on_poll(self, args: list[str], named: dict[str, Any]) -> None:
@@ -142,7 +97,7 @@
         def heard(status: int, body: Any) -> None:
             self.statuses.setdefault(args[0], []).append(status)
             self.whys.setdefault(args[0], {})[by] = body.get("why", "")
-            self.w().checker.polled(args[0], status, body)
+            self.w().checker.answers.poll_answered(args[0], status, body)
 
         self.ask("poll", args[0], heard, by=by)
 
@@ -155,7 +110,7 @@
         return sum(h.actor.user_requests.read_barriers for h in self.w().controllers.values() if h.actor is not None)
 
     def check_reads_since(self, args: list[str], named: dict[str, Any]) -> None:
-        """reads_since OP N: reads of the ledger for users, since `count`"""
+        """reads_since OP N: linearizable reads of the store for users, since `count`"""
         count = self._reads() - self.counted["reads"]
         assert COMPARE[args[0]](count, int(args[1])), f"{count} reads"
 
@@ -176,13 +131,13 @@
     def on_cancel(self, args: list[str], named: dict[str, Any]) -> None:
         """cancel UID [by=NAME]: asked of that controller, or of any"""
         world, job_id = self.w(), args[0]
-        world.checker.cancel_asked.add(job_id)
+        world.checker.cancellation_requested(job_id)
         settled = [False]
 
         def heard(status: int, body: Any) -> None:
             self.statuses.setdefault(job_id, []).append(status)
             settled[0] = settled[0] or status == 200
-            world.checker.cancel_answer(job_id, status, body)
+            world.checker.answers.cancellation_answered(job_id, status, body)
 
         def attempt() -> None:
             if not settled[0]:
@@ -192,22 +147,29 @@
         attempt()
 
     def check_done(self, args: list[str], named: dict[str, Any]) -> None:
+        """done UID...: the last answer to users about each is that it is done"""
         for job_id in args:
-            assert self.w().checker.told.get(job_id) == "done", f"{job_id}: {self.w().checker.told.get(job_id)}"
+            assert self.w().checker.observed.last_status.get(job_id) == "done", (
+                f"{job_id}: {self.w().checker.observed.last_status.get(job_id)}"
+            )
 
     def check_told(self, args: list[str], named: dict[str, Any]) -> None:
-        assert self.w().checker.told.get(args[0]) == args[1]
+        """told UID STATUS: the status in the last answer to users about it"""
+        assert self.w().checker.observed.last_status.get(args[0]) == args[1]
 
     def check_status(self, args: list[str], named: dict[str, Any]) -> None:
+        """status UID CODE: some request of users for it was answered so"""
         assert int(args[1]) in self.statuses[args[0]], self.statuses[args[0]]
 
     def check_why(self, args: list[str], named: dict[str, Any]) -> None:
-        """why UID TEXT: what its user is told of a job beside its state, by the one controller that answers for it"""
+        """why UID TEXT: what answers say of a job beside its state, by the one controller that answers for it"""
         assert sum(" ".join(args[1:]) in text for text in self.whys[args[0]].values()) == 1, self.whys
 
     def check_all_done(self, args: list[str], named: dict[str, Any]) -> None:
-        told = self.w().checker.told
-        left = [u for u, spec in self.w().jobs.items() if spec["shape"] == "array" and told.get(u) != "done"]
+        """all_done: users were answered that each array is done"""
+        last_status = self.w().checker.observed.last_status
+        arrays = [job_id for job_id, spec in self.w().jobs.items() if spec["shape"] == "array"]
+        left = [job_id for job_id in arrays if last_status.get(job_id) != "done"]
         assert not left, left[:5]
 
     def check_open_jobs(self, args: list[str], named: dict[str, Any]) -> None:
@@ -216,8 +178,10 @@
         assert len(left) == int(args[0]), left[:5]
 
     def check_late_starts(self, args: list[str], named: dict[str, Any]) -> None:
-        """late_starts OP N: tasks that began after their job was confirmed as cancelled, by commands on their way"""
-        assert COMPARE[args[0]](self.w().checker.late_starts, int(args[1])), self.w().checker.late_starts
+        """late_starts OP N: tasks that began after their cancellation was answered, by commands on their way"""
+        assert COMPARE[args[0]](self.w().checker.machines.late_starts, int(args[1])), (
+            self.w().checker.machines.late_starts
+        )
 
     def check_refused_for(self, args: list[str], named: dict[str, Any]) -> None:
         """refused_for UID LEVEL RESOURCE: the 422 names them"""
@@ -227,6 +191,8 @@
     def check_running_team(self, args: list[str], named: dict[str, Any]) -> None:
         """running_team TEAM OP N"""
         there = [
-            t for t, p in self.w().checker.where.items() if p and self.w().jobs[t.rpartition("/")[0]]["crew"] == args[0]
+            t
+            for t, p in self.w().checker.observed.running_on.items()
+            if p and self.w().jobs[t.rpartition("/")[0]]["crew"] == args[0]
         ]
         assert COMPARE[args[1]](len(there), int(args[2])), f"{len(there)} tasks of {args[0]}"
--- a/tests/scenario/workers.py
+++ b/tests/scenario/workers.py
@@ -6,6 +6,7 @@
 from tests.scenario.state import RunnerState
 from tests.scenario.tools import COMPARE
 from tests.simulation.clock import US
+from tests.simulation.faults import HeartbeatCopies, SlowCommands
 
 
 class WorkerVerbs(RunnerState):
@@ -16,7 +17,7 @@
         if args[0] == "all":
             return list(world.workers.values())
         if args[0] == "busiest":
-            return sorted(world.workers.values(), key=lambda w: -sum(t["on"] for t in w.tasks.values()))[:1]
+            return sorted(world.workers.values(), key=lambda w: -w.runner.running_count())[:1]
         if args[0].startswith("zone:"):
             return [w for w in world.workers.values() if w.host["yard"] == args[0][5:]]
         if args[0] == "third":
@@ -24,7 +25,7 @@
         return [world.workers[args[0]]] if args[0] in world.workers else []
 
     def on_cut(self, args: list[str], named: dict[str, Any]) -> None:
-        """cut WORKER|... S [lost]: the network holds everything back until it ends, or loses it."""
+        """cut WORKER|... S [lost]: the network delivers everything when it ends, or loses it."""
         for worker in self._workers(args):
             worker.cut_until_us, worker.drops = self.w().trouble(float(args[1])), "lost" in args
 
@@ -33,12 +34,12 @@
         self.on_cut([f"zone:{args[0]}", args[1]], named)
 
     def on_unheard(self, args: list[str], named: dict[str, Any]) -> None:
-        """unheard WORKER|busiest|third|zone:Z|all S [lost]: reports arrive; answers, commands, questions do not."""
+        """unheard WORKER|busiest|third|zone:Z|all S [lost]: heartbeats arrive; answers, commands, questions do not."""
         for worker in self._workers(args):
             worker.unheard_until_us, worker.drops = self.w().trouble(float(args[1])), "lost" in args
 
     def on_copies(self, args: list[str], named: dict[str, Any]) -> None:
-        """copies WORKER|... S times=N late=S: each report comes again so often, a second to so long after.
+        """copies WORKER|... S times=N late=S: each heartbeat comes again so often, a second to so long after.
 
         `copies WORKER|... S for_next`: one of its latest is kept, and reaches every controller as a shard is claimed.
         """
@@ -48,7 +49,7 @@
             return
         late_s, times = float(named.get("late", 3 * self.facts["workers"]["lease_s"])), named.get("times", 1)
         for worker in self._workers(args):
-            worker.copies = (self.w().trouble(float(args[1])), times, int(late_s * US))
+            worker.copies = HeartbeatCopies(self.w().trouble(float(args[1])), times, int(late_s * US))
             self.w().trouble(float(args[1]) + late_s)
 
     def on_reboot(self, args: list[str], named: dict[str, Any]) -> None:
@@ -57,7 +58,7 @@
         for worker in self._workers(args):
             if "other" in args:
                 cloud, host = self.w().cloud, worker.host
-                cloud.gone(worker.name)
+                cloud.remove(worker.name)
                 name = cloud.start(host["build"], host["yard"], host["loaners"], 0)
                 cloud.machines[name]["endpoint"] = host["endpoint"]
             else:
@@ -69,6 +70,7 @@
             worker.mute_until_us, worker.mute_refused = self.w().trouble(float(args[1])), "refused" in args
 
     def on_hang(self, args: list[str], named: dict[str, Any]) -> None:
+        """hang WORKER|... S: the whole machine stands still"""
         for worker in self._workers(args):
             worker.hung_until_us = self.w().trouble(float(args[1]))
 
@@ -78,13 +80,13 @@
         for worker in self._workers(args):
             self.w().trouble(notice_s)
             worker.notice_us = self.w().now_us + int(notice_s * US)
-            worker.changed = True
-            self.w().after(notice_s * US + 1, partial(self.w().cloud.gone, worker.name))
+            worker.has_changed = True
+            self.w().after(notice_s * US + 1, partial(self.w().cloud.remove, worker.name))
 
     def on_token(self, args: list[str], named: dict[str, Any]) -> None:
-        """token WORKER N: the worker has seen a higher token than its owner's."""
+        """token WORKER N: the worker has seen a higher token than its leader's."""
         for worker in self._workers(args):
-            worker.fencing_token, worker.changed = int(args[1]), True
+            worker.fencing_token, worker.has_changed = int(args[1]), True
 
     def on_cloud(self, args: list[str], named: dict[str, Any]) -> None:
         """cloud capacity|never_boot|lost_answers N"""
@@ -95,39 +97,44 @@
         """slow_commands WORKER|... S there=MOST back=MOST: direct commands, or their answers, are held up alone"""
         there_s, back_s = float(named.get("there", 0)), float(named.get("back", 0))
         for worker in self._workers(args):
-            worker.slow_do = (self.w().trouble(float(args[1])), int(there_s * US), int(back_s * US))
+            worker.slow_commands = SlowCommands(self.w().trouble(float(args[1])), int(there_s * US), int(back_s * US))
             self.w().trouble(float(args[1]) + there_s)
 
     def check_nowhere(self, args: list[str], named: dict[str, Any]) -> None:
-        there = {t: p for t, p in self.w().checker.where.items() if p and t.startswith(args[0] + "/")}
+        """nowhere UID: no task of it runs"""
+        there = {t: p for t, p in self.w().checker.observed.running_on.items() if p and t.startswith(args[0] + "/")}
         assert not there, there
 
     def check_running(self, args: list[str], named: dict[str, Any]) -> None:
-        there = [t for t, p in self.w().checker.where.items() if p and t.startswith(args[0] + "/")]
+        """running UID N: so many of its tasks run"""
+        there = [t for t, p in self.w().checker.observed.running_on.items() if p and t.startswith(args[0] + "/")]
         assert len(there) == int(args[1]), there
 
     def check_starts(self, args: list[str], named: dict[str, Any]) -> None:
-        count = sum(len(s) for t, s in self.w().checker.starts.items() if t.startswith(args[0] + "/"))
+        """starts UID OP N: its tasks were started so often altogether"""
+        count = sum(len(s) for t, s in self.w().checker.observed.starts.items() if t.startswith(args[0] + "/"))
         assert COMPARE[args[1]](count, int(args[2])), f"{args[0]} was started {count} times"
 
     def check_starts_since(self, args: list[str], named: dict[str, Any]) -> None:
         """starts_since UID OP N: since `count`"""
         before: Any = self.counted["starts"]
-        starts = self.w().checker.starts
+        starts = self.w().checker.observed.starts
         count = sum(len(s) - before.get(t, 0) for t, s in starts.items() if t.startswith(args[0] + "/"))
         assert COMPARE[args[1]](count, int(args[2])), f"{args[0]} was started {count} times since"
 
     def check_services_restarted_by(self, args: list[str], named: dict[str, Any]) -> None:
         """Some replica was started again, and the last such start was by then."""
-        again = [s[-1] / US for s in self.w().checker.starts.values() if len(s) > 1]
+        again = [s[-1] / US for s in self.w().checker.observed.starts.values() if len(s) > 1]
         assert again and max(again) <= float(args[0]), again
 
     def check_started_by(self, args: list[str], named: dict[str, Any]) -> None:
-        times = [s[-1] / US for t, s in self.w().checker.starts.items() if t.startswith(args[0] + "/")]
+        """started_by UID T: the last start of any of its tasks was by that second"""
+        times = [s[-1] / US for t, s in self.w().checker.observed.starts.items() if t.startswith(args[0] + "/")]
         assert times and max(times) <= float(args[1]), times
 
     def check_together(self, args: list[str], named: dict[str, Any]) -> None:
-        times = [s[-1] for t, s in self.w().checker.starts.items() if t.startswith(args[0] + "/")]
+        """together UID: the last starts of its tasks are less than three seconds apart"""
+        times = [s[-1] for t, s in self.w().checker.observed.starts.items() if t.startswith(args[0] + "/")]
         assert max(times) - min(times) < 3 * US, times
 
     def check_killed(self, args: list[str], named: dict[str, Any]) -> None:
@@ -135,43 +142,50 @@
         assert COMPARE[args[0]](self.w().killed, int(args[1])), f"{self.w().killed} tasks killed by their lease"
 
     def check_machines(self, args: list[str], named: dict[str, Any]) -> None:
+        """machines OP N: so many are rented now"""
         count = len(self.w().cloud.machines)
         assert COMPARE[args[0]](count, int(args[1])), f"{count} machines"
 
     def check_rented(self, args: list[str], named: dict[str, Any]) -> None:
         """rented OP N: machines there ever were"""
-        count = self.w().cloud.next - 1
+        count = self.w().cloud.next_number - 1
         assert COMPARE[args[0]](count, int(args[1])), f"{count} machines rented"
 
     def check_rental_calls(self, args: list[str], named: dict[str, Any]) -> None:
-        asked = self.w().cloud.asked - self.counted["asked"]
+        """rental_calls OP N: rental requests to the cloud since `count`"""
+        asked = self.w().cloud.rental_requests - self.counted["asked"]
         assert COMPARE[args[0]](asked, int(args[1])), f"{asked} rental requests"
 
     def check_on_type(self, args: list[str], named: dict[str, Any]) -> None:
         """on_type UID TYPE: every task of it that runs does so there"""
-        places = [n for t, p in self.w().checker.where.items() if t.startswith(args[0] + "/") for n in p]
+        places = [n for t, p in self.w().checker.observed.running_on.items() if t.startswith(args[0] + "/") for n in p]
         assert places and all(self.w().workers[n].host["build"] == args[1] for n in places), places
 
     def check_kept_came(self, args: list[str], named: dict[str, Any]) -> None:
-        """kept_came N: so many old reports at least arrived as a shard got an owner"""
-        assert self.w().kept_came >= int(args[0]), self.w().kept_came
+        """kept_came N: so many old heartbeats at least arrived as a shard got a leader"""
+        assert self.w().kept_delivered >= int(args[0]), self.w().kept_delivered
 
     def check_looked_per_report(self, args: list[str], named: dict[str, Any]) -> None:
+        """looked_per_report OP N reports=LEAST: workers that placement looked at since `count`, for each heartbeat"""
         heartbeats = self.w().heartbeats - self.counted["reports"]
         assert heartbeats > int(named["reports"]), heartbeats
-        looked = self._looked() - self.counted["looked"]
-        assert COMPARE[args[0]](looked / heartbeats, float(args[1])), f"{looked} workers for {heartbeats} reports"
+        examined = self._workers_examined() - self.counted["looked"]
+        assert COMPARE[args[0]](examined / heartbeats, float(args[1])), (
+            f"{examined} workers for {heartbeats} heartbeats"
+        )
 
     def check_most_used(self, args: list[str], named: dict[str, Any]) -> None:
         """most_used LEVEL OP N: at any instant so far"""
-        used = self.w().checker.most_used[args[0]]
+        used = self.w().checker.quota.most_used[args[0]]
         assert COMPARE[args[1]](used, float(args[2])), f"{args[0]} used {used}"
 
     def check_level_at_most(self, args: list[str], named: dict[str, Any]) -> None:
         """level_at_most LEVEL N: CPUs in use beneath it now"""
-        assert self.w().checker.used_now(args[0]) <= float(args[1]), self.w().checker.used_now(args[0])
+        assert self.w().checker.quota.cpus_used_now(args[0]) <= float(args[1]), self.w().checker.quota.cpus_used_now(
+            args[0]
+        )
 
     def check_since_at_most(self, args: list[str], named: dict[str, Any]) -> None:
         """since_at_most LEVEL T N: CPUs in use beneath it at every start after T"""
-        later = [used for at_us, used in self.w().checker.history[args[0]] if at_us >= float(args[1]) * US]
+        later = [used for at_us, used in self.w().checker.quota.cpu_history[args[0]] if at_us >= float(args[1]) * US]
         assert later and max(later) <= float(args[2]), max(later)
