--- a/quinceslip/bench/capacity_simulation.py
+++ b/quinceslip/bench/capacity_simulation.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 
 from quinceslip.coordination.actor.timing import SECOND
-from quinceslip.coordination.autoscaling.capacity import CapacityObservations, Kind
-from quinceslip.coordination.controller.controller import NEWS_US
+from quinceslip.coordination.autoscaling.capacity import CapacityObservations, MachinePool
+from quinceslip.coordination.controller.peer_heartbeats import MAX_EARLY_US
 from quinceslip.protocol import frames
 
 STEP_US = SECOND // 10
@@ -32,10 +32,10 @@
     def __init__(self, count: int, draw: random.Random) -> None:
         """`count` pools, all with capacity."""
         self._draw = draw
-        self.pools: list[Kind] = [(f"type-{i}", "zone", True) for i in range(count)]
+        self.pools: list[MachinePool] = [(f"type-{i}", "zone", True) for i in range(count)]
         self._short = dict.fromkeys(self.pools, False)
         self._changes_us = {pool: self._duration_us(short=False) for pool in self.pools}
-        self._recovered_us: dict[Kind, int] = {}
+        self._recovered_us: dict[MachinePool, int] = {}
         self.short_us = 0  # summed over the pools
         self.refused_requests = 0
         self.recoveries_found_s: list[float] = []  # from each recovery to the first request that was granted
@@ -50,14 +50,14 @@
             if now_us >= self._changes_us[pool]:
                 self._change(pool, now_us)
 
-    def _change(self, pool: Kind, now_us: int) -> None:
+    def _change(self, pool: MachinePool, now_us: int) -> None:
         short = not self._short[pool]
         self._short[pool] = short
         self._changes_us[pool] = now_us + self._duration_us(short)
         if not short:
             self._recovered_us[pool] = now_us
 
-    def request(self, pool: Kind, now_us: int) -> int:
+    def request(self, pool: MachinePool, now_us: int) -> int:
         """Ask for machines; how many are granted."""
         if self._short[pool]:
             self.refused_requests += 1
@@ -87,7 +87,7 @@
 
     def heartbeat_due(self, now_us: int) -> bool:
         """Whether a heartbeat is to be sent; news is sent early."""
-        early_us = NEWS_US if self.observations.has_news else 0
+        early_us = MAX_EARLY_US if self.observations.has_news else 0
         return now_us >= self.next_heartbeat_us - early_us
 
 
--- a/quinceslip/bench/fleet/machines.py
+++ b/quinceslip/bench/fleet/machines.py
@@ -155,7 +155,7 @@
         self._schedule_extra_heartbeat(machine)
         spec = self._specs[task.rpartition("/")[0]]
         if not spec.service:
-            duration_us = spec.estimate_s * self._draw.uniform(0.5, 1.5) * SECOND
+            duration_us = spec.estimated_run_s * self._draw.uniform(0.5, 1.5) * SECOND
             self._queue.after(duration_us, lambda: self._exit(machine, task, attempt, m.CAUSE_DONE))
 
     def _exit(self, machine: SimulatedMachine, task: str, attempt: int, cause: str) -> None:
--- a/quinceslip/bench/fleet/users.py
+++ b/quinceslip/bench/fleet/users.py
@@ -106,7 +106,7 @@
         one_zone=False,
         spread=workload.service,
         spot=not workload.service,
-        estimate_s=workload.estimate_s,
-        checkpoint_s=workload.checkpoint_s,
-        save_s=0.0,
+        estimated_run_s=workload.estimate_s,
+        checkpoint_interval_s=workload.checkpoint_s,
+        checkpoint_cost_s=0.0,
     )
--- a/quinceslip/cli/common.py
+++ b/quinceslip/cli/common.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    Subcommands = argparse._SubParsersAction[argparse.ArgumentParser]
+    Subcommands = argparse._SubParsersAction[argparse.ArgumentParser]  # noqa: SLF001 - it has no public name
 else:
     Subcommands = object
 
--- a/quinceslip/cli/quota.py
+++ b/quinceslip/cli/quota.py
@@ -77,7 +77,8 @@
 
 def quota_show(arguments: argparse.Namespace) -> int:
     """Print the tree as a controller sees it."""
-    from quinceslip.quota.commands import fetch, lines
+    from quinceslip.quota.commands import lines
+    from quinceslip.quota.page_client import fetch
 
     for line in lines(fetch(arguments.address), arguments.json):
         print(line)
--- a/quinceslip/cli/service.py
+++ b/quinceslip/cli/service.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from quinceslip.cli.common import Subcommands
-from quinceslip.coordination.actor.subsystem import SubsystemFactory
+from quinceslip.coordination.controller.subsystem import SubsystemFactory
 from quinceslip.protocol.settings import (
     Settings,
     SettingsError,
--- a/quinceslip/coordination/actor/context.py
+++ b/quinceslip/coordination/actor/context.py
@@ -4,8 +4,8 @@
 
 from quinceslip.coordination.actor.compare_and_swap import CompareAndSwapCallback, StoreWriter
 from quinceslip.coordination.actor.timing import SECOND, Timing, micros
-from quinceslip.dependencies.graph import Graph
-from quinceslip.dependencies.graph import Urgency as JobUrgency
+from quinceslip.dependencies.graph import DependencyGraph
+from quinceslip.dependencies.urgency import Urgency as JobUrgency
 from quinceslip.liveness import stall_records
 from quinceslip.protocol import messages
 from quinceslip.protocol.settings import Settings, Team, Tuning
@@ -38,7 +38,7 @@
         #: the cloud's machine types by label, and those of them on which services start soon enough
         self.types: dict[str, messages.MachineType] = {}
         self.quick_types: set[str] = set()
-        self.graph = Graph(self.cache.job, self._job_urgency, self.expected_duration_us)
+        self.graph = DependencyGraph(self.cache.job, self._job_urgency, self.expected_duration_us)
         #: whether all controllers act by a level (`quinceslip.feature_gate`)
         self.feature_active: Callable[[int], bool] = lambda level: False
         #: the part of the tick that runs, for whoever sees the actor stall
@@ -85,7 +85,7 @@
         """
         rates = (machine_type.fetch_gb_per_s for machine_type in self.types.values())
         slowest = max(min(rates, default=DEFAULT_FETCH_GB_PER_S), MIN_FETCH_GB_PER_S)
-        return micros(spec.estimate_s + spec.image_gb / slowest) + JOB_OVERHEAD_US
+        return micros(spec.estimated_run_s + spec.image_gb / slowest) + JOB_OVERHEAD_US
 
     # Liveness.
 
--- a/quinceslip/coordination/actor/effects.py
+++ b/quinceslip/coordination/actor/effects.py
@@ -135,8 +135,10 @@
 
     items: list[m.Item]
     revision: int  # of the first page: the watch continues from there
-    asked_us: int  # when the first page was requested
-    until: int = 0  # revision of the last page: before the watch has reached it, the pages are not consistent
+    requested_us: int  # when the first page was requested
+    last_page_revision: int = (
+        0  # revision of the last page: before the watch has reached it, the pages are not consistent
+    )
 
 
 @dataclass(slots=True)
@@ -145,14 +147,14 @@
 
     events: list[m.Event]
     revision: int
-    asked_us: int
+    requested_us: int
 
 
 @dataclass(slots=True)
 class PeerFrameReceived:
     """A frame of another controller."""
 
-    said: frames.PeerHeartbeat | frames.PeerObservations
+    frame: frames.PeerHeartbeat | frames.PeerObservations
 
 
 Message = (
--- a/quinceslip/coordination/autoscaling/absorption.py
+++ b/quinceslip/coordination/autoscaling/absorption.py
@@ -1,7 +1,7 @@
 """How much waiting work the present machines get to before a new machine could boot: nothing is rented for that."""
 
 from quinceslip.coordination.actor.context import Context
-from quinceslip.coordination.load_balancing.queueing_model import Station, credible, credible_rate
+from quinceslip.coordination.load_balancing.mmm_queue import Station, credible, credible_rate
 from quinceslip.coordination.shard.shard import Shard
 
 #: part of the work that would be served during a boot which no machine is rented for
--- a/quinceslip/coordination/autoscaling/adoption.py
+++ b/quinceslip/coordination/autoscaling/adoption.py
@@ -3,7 +3,8 @@
 import logging
 from functools import partial
 
-from quinceslip.coordination.actor.context import CompareAndSwapDone, Context
+from quinceslip.coordination.actor.compare_and_swap import CompareAndSwapCallback
+from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.effects import NOT_SENT, Urgency
 from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.leadership.election import LeaderElection
@@ -43,7 +44,9 @@
         else:
             self.deregistered_us[name] = self.ctx.now_us
 
-    def adopt_from_heartbeat(self, heartbeat: m.WorkerHeartbeat, index: int, on_adopted: CompareAndSwapDone) -> None:
+    def adopt_from_heartbeat(
+        self, heartbeat: m.WorkerHeartbeat, index: int, on_adopted: CompareAndSwapCallback
+    ) -> None:
         """Register a worker that sends heartbeats, and that nobody expected, in a shard.
 
         Guard: only one that answers for itself now. A heartbeat may come long after its machine is gone, and a machine
@@ -105,7 +108,7 @@
             del self.probed_until_us[name]
 
     def _on_inspected(
-        self, name: str, record: records.MachineRecord, on_adopted: CompareAndSwapDone, status: int, body: bytes
+        self, name: str, record: records.MachineRecord, on_adopted: CompareAndSwapCallback, status: int, body: bytes
     ) -> None:
         if status == 200 and m.names(body, name):
             self.probed_until_us.pop(name, None)
@@ -114,7 +117,7 @@
             log.info("worker is unexpected and does not answer: not adopted worker=%s", name)
             on_adopted(status, [])
 
-    def _adopt(self, name: str, record: records.MachineRecord, on_adopted: CompareAndSwapDone) -> None:
+    def _adopt(self, name: str, record: records.MachineRecord, on_adopted: CompareAndSwapCallback) -> None:
         """Put an unexpected machine into the registry of one of our shards."""
         if not self.election.leads(record.shard):
             on_adopted(503, [])
--- a/quinceslip/coordination/autoscaling/autoscaler.py
+++ b/quinceslip/coordination/autoscaling/autoscaler.py
@@ -35,7 +35,8 @@
         self.machine_types = MachineTypeCatalog(ctx, shards)
         self.requests = ScaleOutRequests(ctx, election, shards, self._plan_soon)
         self.capacity = self.requests.capacity
-        self.headroom = ServiceHeadroom(ctx, lambda: self.quick_service_cpus())
+        # Looked up at each call: the controller sets it after this.
+        self.headroom = ServiceHeadroom(ctx, lambda: self.quick_service_cpus())  # noqa: PLW0108
         self.planner = ScaleOutPlanner(ctx, self.requests, self.headroom)
         deregistration = Deregistration(ctx, election)
         deletion = MachineDeletion(ctx, self.capacity, deregistration)
--- a/quinceslip/coordination/autoscaling/capacity.py
+++ b/quinceslip/coordination/autoscaling/capacity.py
@@ -18,7 +18,7 @@
 
 SECOND = 1_000_000
 #: a pool of the cloud: machine type, zone, spot
-Kind = tuple[str, str, bool]
+MachinePool = tuple[str, str, bool]
 #: part of the cloud's calls that may go to pools that were out of stock when they were last asked for
 RETRY_PART = 0.125
 #: a pool that was out of stock is not asked for for no less and no more than this
@@ -47,7 +47,7 @@
     @property
     def version(self) -> ObservationVersion:
         """The version that its origin gave it."""
-        return ObservationVersion(self.observation.born, self.observation.number)
+        return ObservationVersion(self.observation.process_started_ms, self.observation.number)
 
     @property
     def is_stockout(self) -> bool:
@@ -77,17 +77,17 @@
         self.sharing = sharing  # whether the controllers exchange observations at all
         self.count = 0
         #: by controller, by pool: the newest observation of each
-        self.by_origin: dict[str, dict[Kind, DatedObservation]] = {}
-        self.backoffs: dict[Kind, Backoff] = {}
+        self.by_origin: dict[str, dict[MachinePool, DatedObservation]] = {}
+        self.backoffs: dict[MachinePool, Backoff] = {}
         self.has_news = False  # something was observed that was not sent to peers yet
 
     # Observed here.
 
-    def request_answered(self, pool: Kind, asked: int, granted: int, now_us: int) -> None:
+    def request_answered(self, pool: MachinePool, asked: int, granted: int, now_us: int) -> None:
         """The cloud answered a request for so many machines."""
         self._observe(pool, asked, granted, now_us)
 
-    def machines_returned(self, pool: Kind, count: int, now_us: int) -> None:
+    def machines_returned(self, pool: MachinePool, count: int, now_us: int) -> None:
         """Machines that are returned make room for others of their pool, whoever wants them."""
         self._observe(pool, count, count, now_us)
 
@@ -102,7 +102,7 @@
         newest_first = sorted(own.values(), key=lambda known: -known.at_us)
         return [replace(known.observation, age_us=now_us - known.at_us) for known in newest_first]
 
-    def _observe(self, pool: Kind, asked: int, granted: int, now_us: int) -> None:
+    def _observe(self, pool: MachinePool, asked: int, granted: int, now_us: int) -> None:
         own = self.by_origin.setdefault(self.label, {})
         is_stockout = granted < asked
         was_stockout = pool in self.backoffs or (pool in own and own[pool].is_stockout)
@@ -132,7 +132,7 @@
 
     # Decisions.
 
-    def backs_off(self, pool: Kind, now_us: int) -> bool:
+    def backs_off(self, pool: MachinePool, now_us: int) -> bool:
         """Whether the pool should not be asked for yet."""
         backoff = self.backoffs.get(pool)
         if backoff is None:
@@ -153,11 +153,11 @@
         place = (self.labels.index(self.label) - self.labels.index(origin) - 1) % size
         return place * min(TURN_US, MAX_BACKOFF_US // 4 // size)
 
-    def all_observations(self) -> Mapping[str, Mapping[Kind, DatedObservation]]:
+    def all_observations(self) -> Mapping[str, Mapping[MachinePool, DatedObservation]]:
         """What is known, by controller: for tests, logs and whoever asks."""
         return self.by_origin
 
-    def _update_backoff(self, pool: Kind, now_us: int) -> None:
+    def _update_backoff(self, pool: MachinePool, now_us: int) -> None:
         """One backoff for each pool, counted from its latest stockout, unless capacity was observed since."""
         before = self.backoffs.pop(pool, None)
         latest = self._latest_stockout(pool)
@@ -171,7 +171,7 @@
         if until_us > now_us:
             self.backoffs[pool] = Backoff(origin, stockout.version, until_us)
 
-    def _latest_stockout(self, pool: Kind) -> tuple[str, DatedObservation] | None:
+    def _latest_stockout(self, pool: MachinePool) -> tuple[str, DatedObservation] | None:
         """The latest stockout of the pool and its origin; None where somebody was granted all at that time or since."""
         stockout: tuple[str, DatedObservation] | None = None
         granted_us: int | None = None
--- a/quinceslip/coordination/autoscaling/consolidation.py
+++ b/quinceslip/coordination/autoscaling/consolidation.py
@@ -13,7 +13,7 @@
 from quinceslip.coordination.autoscaling.resources import Resources
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.shard.shard import Shard
-from quinceslip.coordination.shard.worker import Attempt, Worker, fits
+from quinceslip.coordination.shard_state.worker import Attempt, Worker, fits
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
--- a/quinceslip/coordination/autoscaling/inventory.py
+++ b/quinceslip/coordination/autoscaling/inventory.py
@@ -1,6 +1,7 @@
 """The machines there are: what the cloud lists is compared with the workers of our shards."""
 
-from quinceslip.coordination.actor.context import CompareAndSwapDone, Context
+from quinceslip.coordination.actor.compare_and_swap import CompareAndSwapCallback
+from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.timing import SECOND, micros
 from quinceslip.coordination.autoscaling.adoption import Adoption
 from quinceslip.coordination.autoscaling.deregistration import Deregistration
@@ -50,7 +51,9 @@
         """The registry's record of a machine was written or deleted."""
         self.adoption.machine_record_changed(name)
 
-    def adopt_from_heartbeat(self, heartbeat: m.WorkerHeartbeat, index: int, on_adopted: CompareAndSwapDone) -> None:
+    def adopt_from_heartbeat(
+        self, heartbeat: m.WorkerHeartbeat, index: int, on_adopted: CompareAndSwapCallback
+    ) -> None:
         """Register a worker that sends heartbeats, and that nobody expected, in a shard."""
         self.adoption.adopt_from_heartbeat(heartbeat, index, on_adopted)
 
--- a/quinceslip/coordination/autoscaling/machine_choice.py
+++ b/quinceslip/coordination/autoscaling/machine_choice.py
@@ -11,9 +11,9 @@
 from quinceslip.coordination.autoscaling.capacity import CapacityObservations
 from quinceslip.coordination.autoscaling.resources import Resources
 from quinceslip.coordination.autoscaling.unmet_demand import MIN_TASK_CPUS
-from quinceslip.coordination.shard.partition import JobPartition
 from quinceslip.coordination.shard.shard import Shard
-from quinceslip.coordination.shard.worker import fits
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.worker import fits
 from quinceslip.protocol import messages as m
 
 #: headroom on quick machines may cost so many times as much as on the cheapest ones
@@ -112,7 +112,7 @@
         tasks_per_machine = max(1, int(min(tasks_by_cpus, tasks_by_memory, demand.tasks)))
         cpus_per_machine = max(tasks_per_machine * spec.cpus, MIN_TASK_CPUS)
         machines = max(1, math.ceil(demand.cpus / cpus_per_machine - ROUNDING))
-        if not demand.spot or machine_type.spot_price <= 0 or spec.whole:
+        if not demand.spot or machine_type.spot_price <= 0 or spec.indivisible:
             return MachineCounts(tasks_per_machine, machines, machines)
         # A dearer machine must have as much more waiting for it.
         surcharge = machine_type.price / machine_type.spot_price - 1.0
--- a/quinceslip/coordination/autoscaling/reachability.py
+++ b/quinceslip/coordination/autoscaling/reachability.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 
 from quinceslip.coordination.actor.timing import SECOND
-from quinceslip.coordination.reconciliation.delivery import MAX_UNANSWERED_PROBES
 from quinceslip.coordination.shard.shard import Shard
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.delivery import MAX_UNANSWERED_PROBES
+from quinceslip.coordination.shard_state.worker import Worker
 
 #: a silent worker is probed so much later than it may be at the most: two checks are half a second apart
 PROBE_DELAY_US = SECOND
--- a/quinceslip/coordination/autoscaling/scale_in.py
+++ b/quinceslip/coordination/autoscaling/scale_in.py
@@ -18,9 +18,9 @@
 from quinceslip.coordination.autoscaling.reachability import ShardReachability, shard_reachability
 from quinceslip.coordination.autoscaling.service_headroom import ServiceHeadroom, SpareSlots
 from quinceslip.coordination.leadership.election import LeaderElection
-from quinceslip.coordination.reconciliation.delivery import MAX_UNANSWERED_PROBES
 from quinceslip.coordination.shard.shard import Shard
-from quinceslip.coordination.shard.worker import Worker, fits
+from quinceslip.coordination.shard_state.delivery import MAX_UNANSWERED_PROBES
+from quinceslip.coordination.shard_state.worker import Worker, fits
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
--- a/quinceslip/coordination/autoscaling/service_headroom.py
+++ b/quinceslip/coordination/autoscaling/service_headroom.py
@@ -7,7 +7,7 @@
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.shard.shard import Shard
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.worker import Worker
 
 #: services that came in this window tell how many to expect
 ARRIVAL_WINDOW_US = 120 * SECOND
@@ -46,7 +46,7 @@
             return ExpectedServices(0, 0.0)
         since_us = self.ctx.wall_us - ARRIVAL_WINDOW_US
         recent = [job.tasks for job in jobs if job.at_us > since_us]
-        task_cpus = max(max(job.spec.cpus for job in jobs if job.spec is not None), MIN_SERVICE_CPUS)
+        task_cpus = max(MIN_SERVICE_CPUS, *(job.spec.cpus for job in jobs if job.spec is not None))
         boot_s = min((machine_type.boot_s for machine_type in self.ctx.types.values()), default=0.0)
         # Where none has come for so long, one slot is enough to begin the next one with.
         typical = sum(job.tasks for job in jobs) / len(jobs) if recent else 1.0
--- a/quinceslip/coordination/autoscaling/unmet_demand.py
+++ b/quinceslip/coordination/autoscaling/unmet_demand.py
@@ -7,9 +7,9 @@
 from quinceslip.coordination.actor.timing import micros
 from quinceslip.coordination.autoscaling.resources import Resources
 from quinceslip.coordination.autoscaling.scale_out_requests import ScaleOutRequests
-from quinceslip.coordination.shard.partition import JobPartition
 from quinceslip.coordination.shard.shard import Shard
-from quinceslip.coordination.shard.worker import Worker, fits
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.worker import Worker, fits
 from quinceslip.protocol import messages as m
 
 #: a boot that takes so many times as long as usual is not counted on: boots take up to half as long again, and one
--- a/quinceslip/coordination/leadership/connectivity.py
+++ b/quinceslip/coordination/connectivity/connectivity.py
@@ -13,8 +13,8 @@
 
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.timing import SECOND
-from quinceslip.coordination.leadership.misrouted import MIN_SILENT_WORKERS, MisroutedWorkers
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.connectivity.misrouted import MIN_SILENT_WORKERS, MisroutedWorkers
+from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
@@ -85,21 +85,3 @@
             log.info("yielding ended")
             self.yielding = False
             self.last_contact_us = self.ctx.now_us
-
-    # Names from before the split, for callers elsewhere.
-
-    def misrouted_counts(self) -> list[tuple[int, int]]:
-        """See `MisroutedWorkers.counts`."""
-        return self.misrouted.counts()
-
-    def write_misrouted_record(self) -> None:
-        """See `MisroutedWorkers.write_record`."""
-        self.misrouted.write_record()
-
-    def peer_record_changed(self, label: str) -> None:
-        """See `MisroutedWorkers.peer_record_changed`."""
-        self.misrouted.peer_record_changed(label)
-
-    def recorded_misrouted(self, shard: int) -> int:
-        """See `MisroutedWorkers.recorded_by_peers`."""
-        return self.misrouted.recorded_by_peers(shard)
--- a/quinceslip/coordination/controller/controller.py
+++ b/quinceslip/coordination/controller/controller.py
@@ -18,20 +18,20 @@
     Tick,
     UserRequest,
 )
-from quinceslip.coordination.actor.subsystem import SubsystemFactory
 from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.autoscaling.autoscaler import Autoscaler
-from quinceslip.coordination.controller.peer_heartbeats import MAX_EARLY_US, PeerHeartbeats
+from quinceslip.coordination.connectivity.connectivity import WorkerConnectivity
+from quinceslip.coordination.controller.peer_heartbeats import PeerHeartbeats
 from quinceslip.coordination.controller.periodic_work import PeriodicPart, PeriodicWork
 from quinceslip.coordination.controller.record_changes import RecordChanges
 from quinceslip.coordination.controller.shard_hand_over import ShardHandOver
+from quinceslip.coordination.controller.subsystem import SubsystemFactory
 from quinceslip.coordination.controller.user_requests import UserRequests
 from quinceslip.coordination.controller.worker_heartbeats import WorkerHeartbeats
-from quinceslip.coordination.leadership.connectivity import WorkerConnectivity
+from quinceslip.coordination.jobs.cancellation_propagation import CancellationPropagator
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.load_balancing.load_balancer import LoadBalancer
 from quinceslip.coordination.shard.shard import Shard
-from quinceslip.dependencies.cancellation import CancellationPropagator
 from quinceslip.feature_gate.gate import FeatureGate
 from quinceslip.protocol import frames
 from quinceslip.protocol.settings import Settings, Tuning
@@ -39,8 +39,6 @@
 log = logging.getLogger(__name__)
 
 SUMMARY_PERIOD_US = 30 * SECOND
-#: `peer_heartbeats.MAX_EARLY_US` by its former name, for the benchmark that imports it from here
-NEWS_US = MAX_EARLY_US
 
 
 class Controller:
@@ -166,18 +164,20 @@
         self.ctx.reply(message.request, 404, {"error": "no such path"})
 
     def _handle_store_changes(self, message: StoreChanges) -> None:
-        self.election.watch_sent_us = max(self.election.watch_sent_us, message.asked_us)
+        self.election.lease.watch_answered(message.requested_us)
         self.ctx.store_ok_us = self.ctx.now_us
         self.record_changes.apply(self.ctx.cache.apply_changes(message.events, message.revision))
         self.user_requests.cache_advanced()
 
     def _handle_store_listing(self, message: StoreListing) -> None:
-        self.election.watch_sent_us = max(self.election.watch_sent_us, message.asked_us)
-        self.record_changes.apply(self.ctx.cache.apply_listing(message.items, message.revision, message.until))
+        self.election.lease.watch_answered(message.requested_us)
+        self.record_changes.apply(
+            self.ctx.cache.apply_listing(message.items, message.revision, message.last_page_revision)
+        )
         self.user_requests.cache_advanced()
 
     def _handle_peer_frame(self, message: PeerFrameReceived) -> None:
-        frame = message.said
+        frame = message.frame
         if isinstance(frame, frames.PeerObservations):
             self.autoscaler.capacity.observations_received(frame.label, frame.observations, self.ctx.now_us)
         else:
@@ -213,7 +213,7 @@
         self._log_summary()
         self.shard_hand_over.tick()
         if self.election.may_launch():
-            self.connectivity.write_misrouted_record()
+            self.connectivity.misrouted.write_record()
         self.connectivity.tick()
         self.election.yielding = self.connectivity.yielding
 
--- a/quinceslip/coordination/controller/peer_heartbeats.py
+++ b/quinceslip/coordination/controller/peer_heartbeats.py
@@ -4,7 +4,7 @@
 from quinceslip.coordination.actor.effects import ToPeers
 from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.autoscaling.capacity import CapacityObservations
-from quinceslip.coordination.leadership.connectivity import WorkerConnectivity
+from quinceslip.coordination.connectivity.connectivity import WorkerConnectivity
 from quinceslip.coordination.load_balancing.load_balancer import LoadBalancer
 from quinceslip.protocol import frames
 
@@ -44,7 +44,7 @@
             self.ctx.cache.revision,
             self.load_balancer.loads(),
             self.connectivity.yielding,
-            self.connectivity.misrouted_counts(),
+            self.connectivity.misrouted.counts(),
         )
         packed = frames.pack_heartbeat(heartbeat)
         observations = self.capacity.own_observations(self.ctx.now_us)
--- a/quinceslip/coordination/controller/record_changes.py
+++ b/quinceslip/coordination/controller/record_changes.py
@@ -4,9 +4,9 @@
 from functools import partial
 
 from quinceslip.coordination.actor.context import Context
-from quinceslip.coordination.actor.subsystem import Subsystem
 from quinceslip.coordination.autoscaling.autoscaler import Autoscaler
-from quinceslip.coordination.leadership.connectivity import WorkerConnectivity
+from quinceslip.coordination.connectivity.connectivity import WorkerConnectivity
+from quinceslip.coordination.controller.subsystem import Subsystem
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.load_balancing.load_balancer import LoadBalancer
 from quinceslip.coordination.shard.shard import Shard
@@ -43,7 +43,7 @@
             "part": self._partition_changed,
             "roster": self._machine_changed,
             "shard": self._shard_changed,
-            "stray": connectivity.peer_record_changed,
+            "stray": connectivity.misrouted.peer_record_changed,
             "types": self._types_changed,
         }
 
--- a/quinceslip/coordination/controller/shard_hand_over.py
+++ b/quinceslip/coordination/controller/shard_hand_over.py
@@ -4,11 +4,11 @@
 
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.timing import SECOND
-from quinceslip.coordination.leadership.connectivity import WorkerConnectivity
+from quinceslip.coordination.connectivity.connectivity import WorkerConnectivity
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.load_balancing.peers import Peers
 from quinceslip.coordination.shard.shard import Shard
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.worker import Worker
 
 CHECK_PERIOD_US = SECOND
 #: home controller and present leader have been steady for this many worker leases before a shard goes home
@@ -81,7 +81,7 @@
         heard = 0
         for peer in self.peers.alive():
             heard += sum(count for index, count in peer.heartbeat.misrouted if index == shard)
-        return heard + self.connectivity.recorded_misrouted(shard)
+        return heard + self.connectivity.misrouted.recorded_by_peers(shard)
 
 
 def _is_settled(worker: Worker) -> bool:
--- a/quinceslip/coordination/controller/submission_checks.py
+++ b/quinceslip/coordination/controller/submission_checks.py
@@ -3,8 +3,8 @@
 from collections.abc import Sequence
 
 from quinceslip.coordination.actor.context import Context
-from quinceslip.coordination.actor.subsystem import Subsystem
 from quinceslip.coordination.controller.job_status import JobStatusReader
+from quinceslip.coordination.controller.subsystem import Subsystem
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 
@@ -34,9 +34,9 @@
 
     def dependency_error(self, spec: m.JobSpec) -> str | None:
         """Why a job can never start for what it depends on; None if it can, as far as this controller knows."""
-        if spec.job_id in spec.waits_on:
+        if spec.job_id in spec.dependencies:
             return f"{spec.job_id} waits on itself"
-        for job_id in spec.waits_on:
+        for job_id in spec.dependencies:
             job = self.ctx.cache.job(job_id)
             if job is None:
                 return f"waits on {job_id}, which was never accepted"
@@ -46,7 +46,7 @@
 
     def depends_on_cancelled(self, spec: m.JobSpec) -> bool:
         """Whether a job that it depends on is cancelled already."""
-        for job_id in spec.waits_on:
+        for job_id in spec.dependencies:
             job = self.ctx.cache.job(job_id)
             if job is not None and job.state != m.DONE and self.status.is_final(job_id, job):
                 return True
--- a/quinceslip/coordination/controller/submissions.py
+++ b/quinceslip/coordination/controller/submissions.py
@@ -5,11 +5,11 @@
 
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.effects import Urgency
-from quinceslip.coordination.actor.subsystem import Subsystem
 from quinceslip.coordination.controller.job_status import JobStatusReader
 from quinceslip.coordination.controller.polls import Polls
 from quinceslip.coordination.controller.replies import reply_error, reply_unavailable
 from quinceslip.coordination.controller.submission_checks import SubmissionChecks
+from quinceslip.coordination.controller.subsystem import Subsystem
 from quinceslip.coordination.load_balancing.load_balancer import LoadBalancer
 from quinceslip.feature_gate import PIPELINES
 from quinceslip.protocol import messages as m
@@ -47,13 +47,13 @@
         if not ctx.cache.synced or not ctx.types or not ctx.store_available():
             reply_unavailable(ctx, request)
             return
-        spec = m.waiting_on(spec, list(dict.fromkeys(spec.waits_on)))  # each dependency once
+        spec = m.waiting_on(spec, list(dict.fromkeys(spec.dependencies)))  # each dependency once
         job = self._new_record(spec)
         reason = self.checks.never_runs_reason(job, spec)
         if reason is not None:
             self.polls.poll_or_error(request, spec.job_id, 422, reason)
             return
-        if spec.waits_on:
+        if spec.dependencies:
             if not ctx.feature_active(PIPELINES):
                 reply_unavailable(ctx, request)  # some controller may still run a version without dependencies
                 return
@@ -83,7 +83,7 @@
     def _without_done_dependencies(self, spec: m.JobSpec) -> m.JobSpec:
         """What is done stays done and needs no place in the record; a cancelled dependency does."""
         unfinished = []
-        for job_id in spec.waits_on:
+        for job_id in spec.dependencies:
             job = self.ctx.cache.job(job_id)
             if job is None or job.state != m.DONE:
                 unfinished.append(job_id)
@@ -110,7 +110,7 @@
         self.ctx.compare_and_swap({key: 0}, {key: (job, None)}, [], on_written, Urgency.USER)
 
     def _accepted(self, request: int, spec: m.JobSpec, shard: int) -> None:
-        if not spec.waits_on:
+        if not spec.dependencies:
             self.load_balancer.tasks_arrived(spec)
         log.debug("job accepted job=%s tasks=%d class=%s shard=%d", spec.job_id, spec.tasks, spec.job_class, shard)
         state = m.CANCELLED if self.checks.depends_on_cancelled(spec) else m.QUEUED
--- a/quinceslip/coordination/controller/user_requests.py
+++ b/quinceslip/coordination/controller/user_requests.py
@@ -5,12 +5,12 @@
 
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.effects import UserRequest
-from quinceslip.coordination.actor.subsystem import Subsystem
 from quinceslip.coordination.controller.cancellations import Cancellations
 from quinceslip.coordination.controller.job_status import JobStatusReader
 from quinceslip.coordination.controller.polls import Polls
 from quinceslip.coordination.controller.read_barrier import ReadBarrier
 from quinceslip.coordination.controller.submissions import Submissions
+from quinceslip.coordination.controller.subsystem import Subsystem
 from quinceslip.coordination.load_balancing.load_balancer import LoadBalancer
 from quinceslip.coordination.shard.shard import Shard
 
--- a/quinceslip/coordination/controller/worker_heartbeats.py
+++ b/quinceslip/coordination/controller/worker_heartbeats.py
@@ -3,7 +3,7 @@
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.effects import HeartbeatReceived
 from quinceslip.coordination.autoscaling.inventory import MachineInventory
-from quinceslip.coordination.leadership.connectivity import WorkerConnectivity
+from quinceslip.coordination.connectivity.connectivity import WorkerConnectivity
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.shard.shard import Shard
 from quinceslip.protocol import messages as m
--- a/quinceslip/dependencies/cancellation.py
+++ b/quinceslip/coordination/jobs/cancellation_propagation.py
@@ -11,7 +11,7 @@
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.effects import Urgency
 from quinceslip.coordination.actor.timing import SECOND
-from quinceslip.dependencies.graph import Graph
+from quinceslip.dependencies.graph import DependencyGraph
 from quinceslip.protocol.messages import CANCELLED
 from quinceslip.storage import records
 
@@ -22,7 +22,7 @@
 class CancellationPropagator:
     """Records cancellations one after the other; `leads` tells whether this controller leads a shard."""
 
-    def __init__(self, ctx: Context, graph: Graph, leads: Callable[[int], bool]) -> None:
+    def __init__(self, ctx: Context, graph: DependencyGraph, leads: Callable[[int], bool]) -> None:
         self.ctx = ctx
         self.graph = graph
         self.leads = leads
--- a/quinceslip/coordination/jobs/completion.py
+++ b/quinceslip/coordination/jobs/completion.py
@@ -2,8 +2,8 @@
 
 from quinceslip.coordination.actor.effects import Urgency
 from quinceslip.coordination.jobs.fenced_write import FencedWriter
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 from quinceslip.storage.records import JobRecord
--- a/quinceslip/coordination/jobs/partition_loader.py
+++ b/quinceslip/coordination/jobs/partition_loader.py
@@ -3,8 +3,8 @@
 from quinceslip.coordination.jobs.completion import JobCompletion
 from quinceslip.coordination.jobs.result_writer import ResultWriter
 from quinceslip.coordination.jobs.urgency import UrgencyCalculator
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
 from quinceslip.crash_loops.detector import CrashLoopDetector
 from quinceslip.protocol import messages as m
 from quinceslip.storage import task_sets
@@ -82,7 +82,7 @@
         self._forget_tasks(partition, removed | newly_done)
         self._settle_move(partition)
         # More that is done frees nothing by itself: the worker's heartbeat did.
-        if added or removed or partition.spec.whole or state.quota is not None:
+        if added or removed or partition.spec.indivisible or state.quota is not None:
             state.needs_placement = True
 
     def _forget_tasks(self, partition: JobPartition, indices: set[int]) -> None:
--- a/quinceslip/coordination/jobs/partition_mover.py
+++ b/quinceslip/coordination/jobs/partition_mover.py
@@ -10,8 +10,8 @@
 
 from quinceslip.coordination.actor.effects import NOT_SENT, Urgency
 from quinceslip.coordination.jobs.result_writer import ResultWriter
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records, task_sets
 from quinceslip.storage.records import JobRecord, PartitionRecord
@@ -85,7 +85,7 @@
         # A job that is suspected of a crash loop stays where that is known.
         if _is_unsettled(partition) or partition.crash_loop.suspected:
             return []
-        if partition.spec.whole and not _is_untouched(partition):
+        if partition.spec.indivisible and not _is_untouched(partition):
             return []
         return list(partition.pending)
 
--- a/quinceslip/coordination/jobs/persistence.py
+++ b/quinceslip/coordination/jobs/persistence.py
@@ -18,9 +18,9 @@
 from quinceslip.coordination.jobs.partition_mover import PartitionMover, ZoneSplit
 from quinceslip.coordination.jobs.result_writer import ResultWriter
 from quinceslip.coordination.jobs.urgency import UrgencyCalculator
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Attempt
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Attempt
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 
--- a/quinceslip/coordination/jobs/result_writer.py
+++ b/quinceslip/coordination/jobs/result_writer.py
@@ -6,8 +6,8 @@
 from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.jobs.completion import JobCompletion
 from quinceslip.coordination.jobs.fenced_write import RETRY_US, FencedWriter
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
 from quinceslip.protocol import messages as m
 from quinceslip.storage import task_sets
 from quinceslip.storage.records import JobRecord, PartitionRecord
--- a/quinceslip/coordination/leadership/claims.py
+++ b/quinceslip/coordination/leadership/claims.py
@@ -57,7 +57,7 @@
         if shard in self.led.mod_revisions:
             return False
         record = self.ctx.cache.shard(shard)
-        if record is not None and record.owner != self.ctx.settings.label:
+        if record is not None and record.leader != self.ctx.settings.label:
             self._leaderless_since_us.pop(shard, None)
             return False
         since_us = self._leaderless_since_us.setdefault(shard, self.ctx.now_us)
@@ -111,7 +111,7 @@
 
     def _previous_own_term(self, shard: int) -> int:
         record = self.ctx.cache.shard(shard)
-        return record.term if record is not None and record.owner == self.ctx.settings.label else 0
+        return record.term if record is not None and record.leader == self.ctx.settings.label else 0
 
     def _claimed(self, shard: int, term: int, previous_own_term: int) -> None:
         raised = shard in self.led.mod_revisions
--- a/quinceslip/coordination/leadership/election.py
+++ b/quinceslip/coordination/leadership/election.py
@@ -59,7 +59,7 @@
     def leader(self, shard: int) -> str | None:
         """The label of the controller that leads a shard by its record; None if it has no leader."""
         record = self.ctx.cache.shard(shard)
-        return record.owner if record else None
+        return record.leader if record else None
 
     def fencing_condition(self, shard: int) -> dict[str, int]:
         """The condition of every write for a shard that this controller leads; raises KeyError for other shards."""
@@ -85,41 +85,3 @@
     def hand_over(self, shard: int) -> None:
         """Give up a shard to its home, which is alive again, or to a peer that reaches its workers."""
         self._hand_overs.hand_over(shard)
-
-    # Names from before the split, for callers that set them.
-
-    @property
-    def leader_lease(self) -> int | None:
-        """The number of the lease."""
-        return self.lease.lease_id
-
-    @leader_lease.setter
-    def leader_lease(self, lease_id: int | None) -> None:
-        self.lease.lease_id = lease_id
-
-    @property
-    def lease_sent_us(self) -> int:
-        """When the last renewal that was answered was sent."""
-        return self.lease.renewal_sent_us
-
-    @lease_sent_us.setter
-    def lease_sent_us(self, sent_us: int) -> None:
-        self.lease.renewal_sent_us = sent_us
-
-    @property
-    def watch_sent_us(self) -> int:
-        """When the last request of the watch that was answered was sent."""
-        return self.lease.watch_sent_us
-
-    @watch_sent_us.setter
-    def watch_sent_us(self, sent_us: int) -> None:
-        self.lease.watch_sent_us = sent_us
-
-    @property
-    def claiming(self) -> bool:
-        """Whether a claim or a hand-over is pending."""
-        return self.led.write_pending
-
-    @claiming.setter
-    def claiming(self, pending: bool) -> None:
-        self.led.write_pending = pending
--- a/quinceslip/coordination/leadership/leader_lease.py
+++ b/quinceslip/coordination/leadership/leader_lease.py
@@ -84,7 +84,7 @@
             if status != 200:
                 self._next_attempt_us = self.ctx.now_us + CREATE_RETRY_US
                 return
-            self.lease_id = msgspec.json.decode(body, type=messages.LeaseAnswer).hold
+            self.lease_id = msgspec.json.decode(body, type=messages.LeaseAnswer).lease_id
             self.renewal_sent_us = sent_us
             log.info("leader lease created lease=%d", self.lease_id)
 
--- a/quinceslip/coordination/leadership/led_shards.py
+++ b/quinceslip/coordination/leadership/led_shards.py
@@ -59,9 +59,9 @@
         if shard not in self.mod_revisions or not self._is_replaced(shard):
             return
         record = self.ctx.cache.shard(shard)
-        if self.write_pending and record is not None and record.owner == self.ctx.settings.label:
+        if self.write_pending and record is not None and record.leader == self.ctx.settings.label:
             return
-        log.info("leadership lost shard=%d leader=%s", shard, record.owner if record else None)
+        log.info("leadership lost shard=%d leader=%s", shard, record.leader if record else None)
         self.drop(shard)
 
     def _is_replaced(self, shard: int) -> bool:
--- a/quinceslip/coordination/load_balancing/load_balancer.py
+++ b/quinceslip/coordination/load_balancing/load_balancer.py
@@ -10,8 +10,8 @@
 from quinceslip.coordination.load_balancing.shard_loads import ShardLoadCollector
 from quinceslip.coordination.load_balancing.task_moves import TaskMover
 from quinceslip.coordination.load_balancing.workload_levels import WorkloadLevelSolver
-from quinceslip.coordination.shard.partition import JobPartition
 from quinceslip.coordination.shard.shard import Shard
+from quinceslip.coordination.shard_state.partition import JobPartition
 from quinceslip.protocol import frames
 from quinceslip.protocol import messages as m
 
@@ -71,7 +71,7 @@
         """CPUs in every shard that services could have on machines that start quickly enough for them."""
         cpus = {shard.index: shard.quick_room() for shard in self.shards.values()}
         for load in self.peers.loads():
-            cpus.setdefault(load.shard, load.quick_room)
+            cpus.setdefault(load.shard, load.quick_service_cpus)
         return list(cpus.values())
 
     def shard_for(self) -> int | None:
--- a/quinceslip/coordination/load_balancing/peers.py
+++ b/quinceslip/coordination/load_balancing/peers.py
@@ -54,4 +54,4 @@
         for status in self.by_label.values():
             for load in status.heartbeat.loads:
                 if load.shard == shard:
-                    load.room = max(0, load.room - tasks)
+                    load.free_slots = max(0, load.free_slots - tasks)
--- a/quinceslip/coordination/load_balancing/queueing_model.py
+++ b/quinceslip/coordination/load_balancing/queueing_model.py
@@ -10,48 +10,20 @@
 from collections.abc import Sequence
 
 from quinceslip.coordination.load_balancing.mmm_queue import (
-    EMPTY_STATION,
     MAX_LOG_ODDS,
     Station,
     credible,
-    credible_rate,
-    marginal_cost,
     mean_queue_length_at,
-    mean_wait,
     taken_part,
-    wait_probability,
 )
 from quinceslip.coordination.load_balancing.share_search import (
-    HALVINGS,
-    MAX_SERIES_TERMS,
-    NARROWINGS,
     TOLERANCE,
     ShareSearch,
 )
 
-__all__ = [
-    "EMPTY_STATION",
-    "HALVINGS",
-    "MAX_SERIES_TERMS",
-    "NARROWINGS",
-    "ROUNDING",
-    "Station",
-    "choose_shard",
-    "credible",
-    "credible_rate",
-    "fair_levels",
-    "load",
-    "marginal_cost",
-    "mean_wait",
-    "shares",
-    "wait_probability",
-]
-
 #: rates added up from the records of many shards are known to this part: closer to capacity, they are at it
 ROUNDING = 1e-12
 
-_Search = ShareSearch  # its former name, for the tests that import it from here
-
 
 def shares(stations: Sequence[Station], total: float) -> list[float]:
     """The shares of Algorithm 1, 0 where a record is not credible.
--- a/quinceslip/coordination/load_balancing/service_moves.py
+++ b/quinceslip/coordination/load_balancing/service_moves.py
@@ -6,8 +6,8 @@
 from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.load_balancing.peers import Peers
-from quinceslip.coordination.shard.partition import JobPartition
 from quinceslip.coordination.shard.shard import Shard
+from quinceslip.coordination.shard_state.partition import JobPartition
 from quinceslip.protocol import frames
 from quinceslip.protocol import messages as m
 
@@ -61,7 +61,7 @@
             return
         # The room that the target reported is counted as taken until its next heartbeat.
         needed_cpus = math.ceil(partition.spec.cpus * len(partition.pending))
-        target.service_room = [max(0, room - needed_cpus) for room in target.service_room]
+        target.service_cpus = [max(0, room - needed_cpus) for room in target.service_cpus]
         shard.moved_us[partition.job_id] = self.ctx.now_us
         shard.persistence.move(partition, sorted(partition.pending), target.shard, split)
 
@@ -85,5 +85,5 @@
 
     def _allowed_rooms(self, spec: m.JobSpec, allowed_zones: set[str], load: frames.ShardLoad) -> list[int]:
         """CPUs that services could have in each zone where this one may run."""
-        rooms_by_zone = zip(self.ctx.settings.facts.zones, load.service_room, strict=False)
+        rooms_by_zone = zip(self.ctx.settings.facts.zones, load.service_cpus, strict=False)
         return [room for zone, room in rooms_by_zone if zone in allowed_zones and spec.zone in (None, zone)]
--- a/quinceslip/coordination/load_balancing/shard_loads.py
+++ b/quinceslip/coordination/load_balancing/shard_loads.py
@@ -4,7 +4,7 @@
 
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.leadership.election import LeaderElection
-from quinceslip.coordination.load_balancing import queueing_model
+from quinceslip.coordination.load_balancing import mmm_queue
 from quinceslip.coordination.load_balancing.peers import Peers
 from quinceslip.coordination.shard.shard import Shard
 from quinceslip.protocol import frames
@@ -15,7 +15,7 @@
 class ShardLoads:
     """Loads by shard. Free slots are known only from a shard's leader, not from its load record."""
 
-    stations: dict[int, queueing_model.Station] = field(default_factory=dict)
+    stations: dict[int, mmm_queue.Station] = field(default_factory=dict)
     waiting_tasks: dict[int, int] = field(default_factory=dict)
     free_slots: dict[int, int] = field(default_factory=dict)
 
@@ -41,10 +41,10 @@
                 self._add_reported(loads, int(name), record)
         for load in self.peers.loads():
             if self._add_reported(loads, load.shard, load):
-                loads.free_slots[load.shard] = load.room
+                loads.free_slots[load.shard] = load.free_slots
         for shard in self.shards.values():
             slots, rate = shard.queueing_station()
-            loads.stations[shard.index] = queueing_model.Station(slots, rate)
+            loads.stations[shard.index] = mmm_queue.Station(slots, rate)
             loads.waiting_tasks[shard.index] = shard.waiting_tasks()
             loads.free_slots[shard.index] = shard.free_slots()
         return loads
@@ -56,9 +56,9 @@
         """
         if not 0 <= shard < self.election.size:
             return False
-        station = queueing_model.Station(reported.slots, reported.rate)
-        credible = reported.slots == 0 or queueing_model.credible(station)
-        loads.stations[shard] = station if credible else queueing_model.EMPTY_STATION
+        station = mmm_queue.Station(reported.slots, reported.rate)
+        credible = reported.slots == 0 or mmm_queue.credible(station)
+        loads.stations[shard] = station if credible else mmm_queue.EMPTY_STATION
         loads.waiting_tasks[shard] = max(0, reported.waiting) if credible else 0
         return credible
 
--- a/quinceslip/coordination/load_balancing/task_moves.py
+++ b/quinceslip/coordination/load_balancing/task_moves.py
@@ -2,8 +2,8 @@
 
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.load_balancing.peers import Peers
-from quinceslip.coordination.shard.partition import JobPartition
 from quinceslip.coordination.shard.shard import Shard
+from quinceslip.coordination.shard_state.partition import JobPartition
 
 #: moves out of one shard at a time; more follow once the target's heartbeat reports what is still free
 MAX_MOVES_PER_SHARD = 2
@@ -55,6 +55,6 @@
 
 def _tasks_that_fit(partition: JobPartition, indices: list[int], free_slots: int) -> list[int]:
     """The first tasks that find a slot; all or none of a gang."""
-    if not partition.spec.whole:
+    if not partition.spec.indivisible:
         return indices[:free_slots]
     return indices if free_slots >= len(indices) else []
--- a/quinceslip/coordination/load_balancing/workload_levels.py
+++ b/quinceslip/coordination/load_balancing/workload_levels.py
@@ -3,7 +3,7 @@
 import logging
 
 from quinceslip.coordination.actor.context import Context
-from quinceslip.coordination.load_balancing import queueing_model
+from quinceslip.coordination.load_balancing import mmm_queue, queueing_model
 
 log = logging.getLogger(__name__)
 
@@ -18,7 +18,7 @@
         self.ctx = ctx
         self.suspended = False
 
-    def solve(self, stations: dict[int, queueing_model.Station]) -> dict[int, int] | None:
+    def solve(self, stations: dict[int, mmm_queue.Station]) -> dict[int, int] | None:
         """The level of each shard; None where there is nothing to solve yet."""
         # Before the first listing it is not known whether solving is suspended.
         if not stations or not self.ctx.cache.synced:
@@ -46,5 +46,5 @@
     def _total_arrival_rate(self) -> float:
         """Tasks a second that arrive at all controllers, by the load records that are credible."""
         load_records = self.ctx.cache.by_kind["load"].values()
-        rates: list[float] = [r.arrivals for r in load_records if queueing_model.credible_rate(r.arrivals)]
+        rates: list[float] = [r.arrivals for r in load_records if mmm_queue.credible_rate(r.arrivals)]
         return sum(rates)
--- a/quinceslip/coordination/reconciliation/adoption.py
+++ b/quinceslip/coordination/reconciliation/adoption.py
@@ -3,8 +3,8 @@
 import logging
 
 from quinceslip.coordination.reconciliation.local_tasks import LocalTask, find_local_task
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
--- a/quinceslip/coordination/reconciliation/attempt_outcomes.py
+++ b/quinceslip/coordination/reconciliation/attempt_outcomes.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 
 from quinceslip.coordination.actor.timing import SECOND
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
@@ -36,7 +36,7 @@
         """Take the reported state of an attempt; nothing changes one that has ended."""
         if attempt.end_cause:
             return
-        if status.state != m.PULLING and status.state != m.EXITED:
+        if status.state not in (m.PULLING, m.EXITED):
             if not attempt.running_us:
                 attempt.running_us = self.ctx.now_us
             self.on_started(worker, attempt)
@@ -83,7 +83,7 @@
     def _blame(self, worker: Worker, attempt: Attempt, partition: JobPartition, failures: int) -> None:
         """Count an error against the machine or the job; a job that is suspected of a crash loop is put on hold."""
         crash_loop = partition.crash_loop
-        if crash_loop.sound and worker.name in crash_loop.blamed_machines:
+        if crash_loop.cleared and worker.name in crash_loop.blamed_machines:
             worker.task_failures += 1
         ran_us = self.ctx.now_us - attempt.running_us if attempt.running_us else 0
         if crash_loop.task_failed(worker.name, failures, ran_us) and not partition.spec.gang:
--- a/quinceslip/coordination/reconciliation/attempts.py
+++ b/quinceslip/coordination/reconciliation/attempts.py
@@ -4,8 +4,8 @@
 
 from quinceslip.coordination.reconciliation.adoption import TaskAdoption
 from quinceslip.coordination.reconciliation.attempt_outcomes import AttemptOutcomes
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
--- a/quinceslip/coordination/reconciliation/commands.py
+++ b/quinceslip/coordination/reconciliation/commands.py
@@ -5,8 +5,8 @@
 from quinceslip.coordination.reconciliation.direct_replies import DirectReplies, HeartbeatReceiver
 from quinceslip.coordination.reconciliation.heartbeat_commands import HeartbeatCommands
 from quinceslip.coordination.reconciliation.probes import WorkerProber
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.protocol import messages as m
 
 
--- a/quinceslip/coordination/reconciliation/direct_commands.py
+++ b/quinceslip/coordination/reconciliation/direct_commands.py
@@ -5,8 +5,8 @@
 
 from quinceslip.coordination.actor.effects import NOT_SENT
 from quinceslip.coordination.reconciliation.direct_replies import DirectReplies
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
--- a/quinceslip/coordination/reconciliation/direct_replies.py
+++ b/quinceslip/coordination/reconciliation/direct_replies.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
--- a/quinceslip/coordination/reconciliation/heartbeat_commands.py
+++ b/quinceslip/coordination/reconciliation/heartbeat_commands.py
@@ -5,8 +5,8 @@
 from quinceslip.coordination.reconciliation.launch_safety import LaunchSafety
 from quinceslip.coordination.reconciliation.stop_commands import StopCommands
 from quinceslip.coordination.reconciliation.unknown_tasks import UnknownTasks
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 
 
--- a/quinceslip/coordination/reconciliation/inherited_workers.py
+++ b/quinceslip/coordination/reconciliation/inherited_workers.py
@@ -7,8 +7,8 @@
 """
 
 from quinceslip.coordination.actor.timing import HEARTBEAT_TIMEOUT_US
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Worker
 
 
 class InheritedWorkers:
--- a/quinceslip/coordination/reconciliation/launch_safety.py
+++ b/quinceslip/coordination/reconciliation/launch_safety.py
@@ -10,8 +10,8 @@
 """
 
 from quinceslip.coordination.jobs.persistence import JobPersistence
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 
 
 class LaunchSafety:
--- a/quinceslip/coordination/reconciliation/local_tasks.py
+++ b/quinceslip/coordination/reconciliation/local_tasks.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
 
 
 @dataclass(frozen=True, slots=True)
--- a/quinceslip/coordination/reconciliation/probes.py
+++ b/quinceslip/coordination/reconciliation/probes.py
@@ -3,11 +3,11 @@
 from http import HTTPStatus
 
 from quinceslip.coordination.actor.timing import SECOND
-from quinceslip.coordination.reconciliation.delivery import MAX_UNANSWERED_PROBES
 from quinceslip.coordination.reconciliation.direct_commands import DirectCommandSender
 from quinceslip.coordination.reconciliation.direct_replies import DirectReplies
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.delivery import MAX_UNANSWERED_PROBES
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.protocol import messages as m
 
 #: least time between two probes of a worker
--- a/quinceslip/coordination/reconciliation/reconciler.py
+++ b/quinceslip/coordination/reconciliation/reconciler.py
@@ -20,9 +20,9 @@
 from quinceslip.coordination.reconciliation.attempts import AttemptReconciler
 from quinceslip.coordination.reconciliation.inherited_workers import InheritedWorkers
 from quinceslip.coordination.reconciliation.worker_leases import WorkerLeases
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
@@ -128,9 +128,9 @@
         worker.draining = DRAINING_RECLAIM_NOTICE
         for attempt in worker.live_attempts():
             spec = attempt.spec
-            saves_in_time = spec.checkpoint_s > 0 and spec.save_s <= notice_s
+            saves_in_time = spec.checkpoint_interval_s > 0 and spec.checkpoint_cost_s <= notice_s
             if spec.service or saves_in_time:
-                self.stop(attempt, spec.save_s)
+                self.stop(attempt, spec.checkpoint_cost_s)
 
     # Ends of workers.
 
--- a/quinceslip/coordination/reconciliation/stop_commands.py
+++ b/quinceslip/coordination/reconciliation/stop_commands.py
@@ -9,8 +9,8 @@
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.reconciliation.command_batch import CommandBatch
 from quinceslip.coordination.reconciliation.launch_safety import LaunchSafety
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 
--- a/quinceslip/coordination/reconciliation/unknown_tasks.py
+++ b/quinceslip/coordination/reconciliation/unknown_tasks.py
@@ -3,8 +3,8 @@
 from quinceslip.coordination.reconciliation.command_batch import CommandBatch
 from quinceslip.coordination.reconciliation.local_tasks import find_local_task, job_id_of
 from quinceslip.coordination.reconciliation.stop_commands import is_job_final
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.protocol import messages as m
 
 
--- a/quinceslip/coordination/reconciliation/worker_leases.py
+++ b/quinceslip/coordination/reconciliation/worker_leases.py
@@ -7,8 +7,8 @@
 not renew the lease gets no answer. No I/O, no clock but the actor's.
 """
 
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.protocol import messages as m
 
 
--- a/quinceslip/coordination/scheduling/ageing.py
+++ b/quinceslip/coordination/scheduling/ageing.py
@@ -12,7 +12,7 @@
 
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.timing import SECOND, micros
-from quinceslip.coordination.shard.partition import NOT, OLD, ONE, WHOLE, JobPartition
+from quinceslip.coordination.shard_state.partition import NOT, OLD, ONE, WHOLE, JobPartition
 
 #: users: the largest jobs of a class too begin within this long of their submission
 START_BOUND_US = 240 * SECOND
--- a/quinceslip/coordination/scheduling/candidates.py
+++ b/quinceslip/coordination/scheduling/candidates.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from quinceslip.coordination.scheduling.machine_eligibility import MachineEligibility
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.worker import Worker
 
 
 def having_free_cpus(workers: Iterable[Worker], cpus: float) -> list[Worker]:
--- a/quinceslip/coordination/scheduling/deadline_order.py
+++ b/quinceslip/coordination/scheduling/deadline_order.py
@@ -9,7 +9,7 @@
 import heapq
 
 from quinceslip.coordination.actor.timing import SECOND, micros
-from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard_state.partition import JobPartition
 
 #: estimates are often wrong by half: a job is late only when this fraction of its run time takes too long
 CERTAIN_RUN_FRACTION = 0.5
@@ -75,7 +75,7 @@
 
     def _defer_if_late(self, partition: JobPartition, due_us: int) -> None:
         """If the partition would be late, defer it, or the largest so far if that lets it be on time."""
-        run_us = micros(CERTAIN_RUN_FRACTION * partition.spec.estimate_s)
+        run_us = micros(CERTAIN_RUN_FRACTION * partition.spec.estimated_run_s)
         wait_us = int(self.cpus_ahead / self.cpus_per_s * SECOND)
         if self.wall_us + run_us > due_us:
             # Late whatever goes before it.
--- a/quinceslip/coordination/scheduling/failed_searches.py
+++ b/quinceslip/coordination/scheduling/failed_searches.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard_state.partition import JobPartition
 
 
 class FailedSearch(NamedTuple):
--- a/quinceslip/coordination/scheduling/gangs.py
+++ b/quinceslip/coordination/scheduling/gangs.py
@@ -5,9 +5,9 @@
 from quinceslip.coordination.scheduling.machine_preference import MachinePreference
 from quinceslip.coordination.scheduling.task_launcher import TaskLauncher
 from quinceslip.coordination.scheduling.zone_constraints import eligible_zones
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 
 
 @dataclass(slots=True)
--- a/quinceslip/coordination/scheduling/independent_tasks.py
+++ b/quinceslip/coordination/scheduling/independent_tasks.py
@@ -7,9 +7,9 @@
 from quinceslip.coordination.scheduling.preemption import Preemption
 from quinceslip.coordination.scheduling.quota_gate import QuotaGate
 from quinceslip.coordination.scheduling.task_launcher import TaskLauncher
-from quinceslip.coordination.shard.partition import ONE, JobPartition
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Worker, fits
+from quinceslip.coordination.shard_state.partition import ONE, JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Worker, fits
 
 
 @dataclass(slots=True)
--- a/quinceslip/coordination/scheduling/machine_eligibility.py
+++ b/quinceslip/coordination/scheduling/machine_eligibility.py
@@ -1,7 +1,7 @@
 """Whether a machine can be given tasks at all, and whether it meets the constraints of a task."""
 
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.protocol import messages as m
 
 
--- a/quinceslip/coordination/scheduling/machine_preference.py
+++ b/quinceslip/coordination/scheduling/machine_preference.py
@@ -4,9 +4,9 @@
 from collections.abc import Iterable
 
 from quinceslip.coordination.scheduling.machine_eligibility import satisfies_constraints
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Worker, fits
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Worker, fits
 from quinceslip.protocol import messages as m
 
 #: fetches may be a third slower than the rate of their machine type, and a start takes a moment besides
--- a/quinceslip/coordination/scheduling/machine_room.py
+++ b/quinceslip/coordination/scheduling/machine_room.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from quinceslip.coordination.shard.worker import Worker, fits
+from quinceslip.coordination.shard_state.worker import Worker, fits
 from quinceslip.protocol import messages as m
 
 #: sums of decimal amounts drift: so little less than a whole task still counts as one
--- a/quinceslip/coordination/scheduling/pass_context.py
+++ b/quinceslip/coordination/scheduling/pass_context.py
@@ -6,7 +6,7 @@
 
 from quinceslip.coordination.scheduling.candidates import CandidateMachines
 from quinceslip.coordination.scheduling.failed_searches import FailedSearches
-from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard_state.partition import JobPartition
 
 
 @dataclass(slots=True)
--- a/quinceslip/coordination/scheduling/placement.py
+++ b/quinceslip/coordination/scheduling/placement.py
@@ -11,9 +11,9 @@
 from quinceslip.coordination.scheduling.machine_preference import MachinePreference
 from quinceslip.coordination.scheduling.placement_pass import PlacementPass
 from quinceslip.coordination.scheduling.reservation import MachineReservation
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import EPSILON, Worker
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import EPSILON, Worker
 from quinceslip.protocol import messages as m
 
 
@@ -64,7 +64,7 @@
             return
         self.reservation.release_stale(state.partitions)
         machines = CandidateMachines(self.eligibility, state.workers.values(), self.examined)
-        for round_queue in [queue] if quota is None else quota.rounds(queue, machines.all()):
+        for round_queue in [queue] if quota is None else quota.fair_share_rounds(queue, machines.all()):
             self.passes.run(round_queue, machines, whole_shard=True)
 
     def place_on(self, worker: Worker) -> None:
--- a/quinceslip/coordination/scheduling/placement_pass.py
+++ b/quinceslip/coordination/scheduling/placement_pass.py
@@ -16,9 +16,9 @@
 from quinceslip.coordination.scheduling.task_launcher import TaskLauncher
 from quinceslip.coordination.scheduling.zone_bound_tasks import ZoneBoundTaskPlacer
 from quinceslip.coordination.scheduling.zone_constraints import eligible_zones
-from quinceslip.coordination.shard.partition import NOT, ONE, JobPartition
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import EPSILON, Worker
+from quinceslip.coordination.shard_state.partition import NOT, ONE, JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import EPSILON, Worker
 
 
 class PlacementPass:
--- a/quinceslip/coordination/scheduling/preemption.py
+++ b/quinceslip/coordination/scheduling/preemption.py
@@ -13,10 +13,10 @@
 from quinceslip.coordination.scheduling.machine_eligibility import MachineEligibility, satisfies_constraints
 from quinceslip.coordination.scheduling.machine_preference import MachinePreference
 from quinceslip.coordination.scheduling.machine_room import MachineRoom
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.policies import PreemptionPolicy
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import EPSILON, Attempt, Worker
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.policies import PreemptionPolicy
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import EPSILON, Attempt, Worker
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
@@ -121,7 +121,7 @@
     def _work_at_risk_s(self, attempt: Attempt) -> float:
         """Seconds of work that are lost if the attempt is stopped: those since its last checkpoint, at most."""
         ran_s = (self.state.ctx.now_us - attempt.running_us) / SECOND if attempt.running_us else 0.0
-        checkpoint_s = attempt.spec.checkpoint_s
+        checkpoint_s = attempt.spec.checkpoint_interval_s
         return min(ran_s, checkpoint_s) if checkpoint_s else ran_s
 
     def _carry_out(self, plan: PreemptionPlan, partition: JobPartition) -> None:
@@ -156,5 +156,5 @@
         for attempt in worker.live_attempts()
         if attempt.observed and not attempt.stopping and policy.may_preempt(attempt)
     ]
-    victims.sort(key=lambda attempt: (-attempt.priority, attempt.spec.checkpoint_s == 0, -attempt.running_us))
+    victims.sort(key=lambda attempt: (-attempt.priority, attempt.spec.checkpoint_interval_s == 0, -attempt.running_us))
     return victims
--- a/quinceslip/coordination/scheduling/quota_gate.py
+++ b/quinceslip/coordination/scheduling/quota_gate.py
@@ -5,9 +5,9 @@
 from quinceslip.coordination.scheduling.candidates import CandidateMachines
 from quinceslip.coordination.scheduling.machine_eligibility import satisfies_constraints
 from quinceslip.coordination.scheduling.pass_context import PassContext
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.protocol import messages as m
 
 
--- a/quinceslip/coordination/scheduling/reservation.py
+++ b/quinceslip/coordination/scheduling/reservation.py
@@ -15,8 +15,8 @@
 from quinceslip.coordination.scheduling.ageing import Ageing
 from quinceslip.coordination.scheduling.machine_room import MachineRoom
 from quinceslip.coordination.scheduling.zone_constraints import max_tasks_per_zone
-from quinceslip.coordination.shard.partition import OLD, JobPartition
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.partition import OLD, JobPartition
+from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
@@ -178,4 +178,4 @@
 
 def _remaining_us(started_us: int, spec: m.JobSpec, now_us: int) -> int:
     """What is left of the estimated run time."""
-    return max(0, started_us + micros(spec.estimate_s) - now_us)
+    return max(0, started_us + micros(spec.estimated_run_s) - now_us)
--- a/quinceslip/coordination/scheduling/task_launcher.py
+++ b/quinceslip/coordination/scheduling/task_launcher.py
@@ -2,9 +2,9 @@
 
 import logging
 
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 
 log = logging.getLogger(__name__)
 
--- a/quinceslip/coordination/scheduling/zone_bound_tasks.py
+++ b/quinceslip/coordination/scheduling/zone_bound_tasks.py
@@ -8,9 +8,9 @@
 from quinceslip.coordination.scheduling.quota_gate import QuotaGate
 from quinceslip.coordination.scheduling.task_launcher import TaskLauncher
 from quinceslip.coordination.scheduling.zone_constraints import eligible_zones
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Worker
 
 
 @dataclass(slots=True)
--- a/quinceslip/coordination/scheduling/zone_constraints.py
+++ b/quinceslip/coordination/scheduling/zone_constraints.py
@@ -1,7 +1,7 @@
 """In which zones the next task of a job may run, where its tasks are bound together by zones."""
 
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
 from quinceslip.protocol import messages as m
 from quinceslip.storage import task_sets
 from quinceslip.storage.records import PartitionRecord
--- a/quinceslip/coordination/shard/capacity.py
+++ b/quinceslip/coordination/shard/capacity.py
@@ -80,7 +80,7 @@
             if not partition.spec.service:
                 count = len(partition.assigned) - len(partition.done)
                 cpus += partition.spec.cpus * count
-                run_s += partition.spec.estimate_s * count
+                run_s += partition.spec.estimated_run_s * count
                 weight += count
         if weight:
             cpus, run_s = cpus / weight, run_s / weight
--- a/quinceslip/coordination/shard/heartbeats.py
+++ b/quinceslip/coordination/shard/heartbeats.py
@@ -3,7 +3,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.protocol import messages as m
 
 if TYPE_CHECKING:
--- a/quinceslip/coordination/shard/log_summary.py
+++ b/quinceslip/coordination/shard/log_summary.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.worker import Worker
 
 if TYPE_CHECKING:
     from quinceslip.coordination.shard.shard import Shard
--- a/quinceslip/coordination/shard/registration.py
+++ b/quinceslip/coordination/shard/registration.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from quinceslip.coordination.actor.effects import Urgency
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.storage import records
 
 if TYPE_CHECKING:
--- a/quinceslip/coordination/shard/shard.py
+++ b/quinceslip/coordination/shard/shard.py
@@ -13,10 +13,10 @@
 from quinceslip.coordination.shard.capacity import CapacityFigures, CapacitySummary, MeanTask, QueueingStation
 from quinceslip.coordination.shard.heartbeats import HeartbeatReceiver
 from quinceslip.coordination.shard.log_summary import log_machines, machine_statuses, summarize
-from quinceslip.coordination.shard.partition import JobPartition
 from quinceslip.coordination.shard.registration import MachineRegistration
 from quinceslip.coordination.shard.silence import SilenceCheck
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
--- a/quinceslip/coordination/shard/silence.py
+++ b/quinceslip/coordination/shard/silence.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from quinceslip.coordination.actor.timing import SECOND
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.worker import Worker
 
 if TYPE_CHECKING:
     from quinceslip.coordination.shard.shard import Shard
--- a/quinceslip/coordination/shard/partition.py
+++ b/quinceslip/coordination/shard_state/partition.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from quinceslip.coordination.shard.task_queue import TaskQueue
-from quinceslip.coordination.shard.worker import Attempt
+from quinceslip.coordination.shard_state.task_queue import TaskQueue
+from quinceslip.coordination.shard_state.worker import Attempt
 from quinceslip.crash_loops.detector import CrashLoopDetector
 from quinceslip.protocol import messages as m
 
--- a/quinceslip/coordination/shard/policies.py
+++ b/quinceslip/coordination/shard_state/policies.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable, Iterator, Sequence
 from typing import Protocol
 
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 
 
@@ -51,7 +51,9 @@
         """No task waits."""
         ...
 
-    def rounds(self, queue: Sequence[JobPartition], workers: Sequence[Worker]) -> Iterator[list[JobPartition]]:
+    def fair_share_rounds(
+        self, queue: Sequence[JobPartition], workers: Sequence[Worker]
+    ) -> Iterator[list[JobPartition]]:
         """The queue in fair-share order, in as many rounds as the pass needs."""
         ...
 
--- a/quinceslip/coordination/shard/state.py
+++ b/quinceslip/coordination/shard_state/state.py
@@ -10,9 +10,9 @@
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.leadership.election import LeaderElection
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.policies import QuotaPolicy
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.policies import QuotaPolicy
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 
 log = logging.getLogger(__name__)
 
--- a/quinceslip/coordination/shard/worker.py
+++ b/quinceslip/coordination/shard_state/worker.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from quinceslip.coordination.reconciliation.delivery import DeliveryTracker
+from quinceslip.coordination.shard_state.delivery import DeliveryTracker
 from quinceslip.protocol import messages as m
 
 #: differences of resource amounts below this come from rounding
--- a/quinceslip/crash_loops/detector.py
+++ b/quinceslip/crash_loops/detector.py
@@ -24,7 +24,7 @@
     """Owned by a job partition: how its tasks ended so far."""
 
     enabled: bool = True  # whether jobs are suspected at all
-    sound: bool = False  # cleared for ever: some task of it has completed, or ran for long
+    cleared: bool = False  # cleared for ever: some task of it has completed, or ran for long
     blamed_machines: set[str] = field(default_factory=set)  # workers on which tasks of it failed
     failures: int = 0
     most_task_failures: int = 0  # most failures of one task
@@ -34,7 +34,7 @@
     @property
     def suspected(self) -> bool:
         """Whether one task is tried at a time."""
-        if not self.enabled or self.sound:
+        if not self.enabled or self.cleared:
             return False
         return len(self.blamed_machines) >= MIN_BLAMED_MACHINES or self.most_task_failures >= MIN_TASK_FAILURES
 
@@ -53,7 +53,7 @@
 
     def clear(self) -> set[int]:
         """The failures were not the job's own; returns the tasks that were on hold."""
-        self.sound = True
+        self.cleared = True
         released, self.on_hold = self.on_hold, set()
         return released
 
--- a/quinceslip/dependencies/graph.py
+++ b/quinceslip/dependencies/graph.py
@@ -11,8 +11,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from quinceslip.dependencies.urgency import JobNode, UrgencyPropagation
-from quinceslip.dependencies.urgency import Urgency as Urgency
+from quinceslip.dependencies.urgency import JobNode, Urgency, UrgencyPropagation
 from quinceslip.protocol.messages import CANCELLED, DONE, QUEUED, JobSpec
 from quinceslip.storage.records import JobRecord
 
@@ -27,7 +26,7 @@
     urgency_changed: list[str] = field(default_factory=list)
 
 
-class Graph:
+class DependencyGraph:
     """The dependencies of open jobs.
 
     `job` returns the newest known record of a job, `urgency` the urgency that a job has by itself from its
@@ -97,7 +96,7 @@
     def _open_job_changed(self, job_id: str, record: JobRecord) -> None:
         node = self.nodes.get(job_id)
         # Guard: it may be known already, as what another one needs. A listing brings them in any order.
-        if record.spec is not None and record.spec.waits_on and (node is None or not node.needs):
+        if record.spec is not None and record.spec.dependencies and (node is None or not node.needs):
             self._add_waiting_job(job_id, record)
         elif node is None and job_id in self.dependents:
             self._node_for(job_id, record)
@@ -116,7 +115,7 @@
     def _add_waiting_job(self, job_id: str, record: JobRecord) -> None:
         assert record.spec is not None
         node = self._node_for(job_id, record)
-        node.needs = frozenset(record.spec.waits_on)
+        node.needs = frozenset(record.spec.dependencies)
         for needed_id in node.needs:
             self._add_dependency(job_id, node, needed_id)
 
--- a/quinceslip/liveness/stall_records.py
+++ b/quinceslip/liveness/stall_records.py
@@ -26,12 +26,12 @@
     return lease_us << min(times, MAX_DOUBLINGS)
 
 
-def next_end_us(record: StallRecord | None, lease_us: int) -> int:
+def next_exit_us(record: StallRecord | None, lease_us: int) -> int:
     """Wall clock before which this controller does not end itself again; 0 where it never did."""
     return record.at_us + pause_us(record.times, lease_us) if record is not None else 0
 
 
-def following(record: StallRecord | None, part: str, wall_us: int, lease_us: int) -> StallRecord:
+def next_record(record: StallRecord | None, part: str, wall_us: int, lease_us: int) -> StallRecord:
     """The record of one more end, in `part`; ends are in a row while the last pause is not twice over."""
     if record is None or wall_us >= record.at_us + 2 * pause_us(record.times, lease_us):
         return StallRecord(part, 1, wall_us)
@@ -42,4 +42,4 @@
     """Whether a part is suspended for now, since this controller was stalled in it."""
     if record is None or part not in SUSPENDABLE_PARTS or record.part != part:
         return False
-    return wall_us < next_end_us(record, lease_us)
+    return wall_us < next_exit_us(record, lease_us)
--- a/quinceslip/models/gap.py
+++ b/quinceslip/models/gap.py
@@ -43,14 +43,14 @@
     # Bound: the states there are, since ages count up to a bound.
     while unexplored:
         state = unexplored.popleft()
-        for event, following in steps.following(state):
-            if following in origins or following.task_ended:
+        for event, next_record in steps.next_record(state):
+            if next_record in origins or next_record.task_ended:
                 continue
-            origins[following] = (state, event)
-            if following.cancelled_age > cancel:
-                return _breach(origins, following)
-            longest = max(longest, following.cancelled_age)
-            unexplored.append(following)
+            origins[next_record] = (state, event)
+            if next_record.cancelled_age > cancel:
+                return _breach(origins, next_record)
+            longest = max(longest, next_record.cancelled_age)
+            unexplored.append(next_record)
     return SearchResult(len(origins), longest)
 
 
--- a/quinceslip/models/gap_leader.py
+++ b/quinceslip/models/gap_leader.py
@@ -9,8 +9,8 @@
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.reconciliation.commands import CommandSender
 from quinceslip.coordination.reconciliation.reconciler import Reconciler
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.models.gap_state import GapState
 from quinceslip.models.job import JOB_ID, SPEC
 from quinceslip.protocol import messages as m
--- a/quinceslip/models/gap_steps.py
+++ b/quinceslip/models/gap_steps.py
@@ -32,7 +32,7 @@
         """Steps of `leader` and a worker whose lease has `lease` units."""
         self.leader, self.lease = leader, lease
 
-    def following(self, state: GapState) -> Iterator[Transition]:
+    def next_record(self, state: GapState) -> Iterator[Transition]:
         """Every step that may happen next, with the state that it leads to."""
         if not state.cancelled:
             yield GapEvent.CANCELLED, replace(state, cancelled_age=0)
--- a/quinceslip/models/job.py
+++ b/quinceslip/models/job.py
@@ -19,9 +19,9 @@
     one_zone=False,
     spread=False,
     spot=True,
-    estimate_s=1.0,
-    checkpoint_s=0.0,
-    save_s=0.0,
+    estimated_run_s=1.0,
+    checkpoint_interval_s=0.0,
+    checkpoint_cost_s=0.0,
 )
 
 
--- a/quinceslip/models/result.py
+++ b/quinceslip/models/result.py
@@ -12,7 +12,7 @@
     task: int = 0  # index of a task in its job
 
 
-class Breach(Exception):
+class Breach(Exception):  # noqa: N818 - what a model looks for, no fault of the program
     """A safety or liveness property does not hold in a state; the text says which."""
 
 
--- a/quinceslip/models/takeover/enabled_steps.py
+++ b/quinceslip/models/takeover/enabled_steps.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Iterator
 
-from quinceslip.coordination.reconciliation.delivery import MAX_UNANSWERED_PROBES
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.delivery import MAX_UNANSWERED_PROBES
+from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.models.job import task_index, task_name
 from quinceslip.models.result import Step
 from quinceslip.models.takeover.steps import StepKind
--- a/quinceslip/models/takeover/leader.py
+++ b/quinceslip/models/takeover/leader.py
@@ -5,8 +5,8 @@
 
 from quinceslip.coordination.reconciliation.commands import CommandSender
 from quinceslip.coordination.reconciliation.reconciler import Reconciler
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.models.job import JOB_ID, SPEC
 from quinceslip.models.takeover.network import Network
 from quinceslip.models.takeover.store import ResultStore
--- a/quinceslip/models/takeover/search.py
+++ b/quinceslip/models/takeover/search.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from quinceslip.coordination.shard.state import ALL_GUARDS
+from quinceslip.coordination.shard_state.state import ALL_GUARDS
 from quinceslip.models.result import Breach, SearchResult, Step, check_guard
 from quinceslip.models.takeover.enabled_steps import enabled_steps
 from quinceslip.models.takeover.recovery import check_recovery
--- a/quinceslip/models/takeover/state_key.py
+++ b/quinceslip/models/takeover/state_key.py
@@ -6,8 +6,8 @@
 
 from collections.abc import Iterable, Iterator
 
-from quinceslip.coordination.reconciliation.delivery import MAX_UNACKNOWLEDGED, MAX_UNANSWERED_PROBES
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.delivery import MAX_UNACKNOWLEDGED, MAX_UNANSWERED_PROBES
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.models.takeover.network import CommandsInFlight, DelayedHeartbeat
 from quinceslip.models.takeover.workers import ModelWorker
 from quinceslip.models.takeover.world import World
--- a/quinceslip/models/takeover/steps.py
+++ b/quinceslip/models/takeover/steps.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 
 from quinceslip.coordination.actor.effects import CallOutcome
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.models.job import task_name
 from quinceslip.models.result import Step
 from quinceslip.models.takeover.network import DelayedHeartbeat
--- a/quinceslip/models/takeover/world.py
+++ b/quinceslip/models/takeover/world.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard_state.partition import JobPartition
 from quinceslip.models.takeover.leader import LeaderUnderTest
 from quinceslip.models.takeover.network import Network
 from quinceslip.models.takeover.store import ResultStore
--- a/quinceslip/protocol/frames.py
+++ b/quinceslip/protocol/frames.py
@@ -49,10 +49,10 @@
     shard: int
     waiting: int
     slots: int
-    room: int
+    free_slots: int
     rate: float
-    service_room: list[int]  # CPUs that services could have in each zone, in the order of the settings
-    quick_room: int = 0  # the part of it on machines that fetch a usual image in time
+    service_cpus: list[int]  # CPUs that services could have in each zone, in the order of the settings
+    quick_service_cpus: int = 0  # the part of it on machines that fetch a usual image in time
 
 
 @dataclass(slots=True)
@@ -74,7 +74,7 @@
     """What one controller has seen itself of the cloud's capacity."""
 
     kind: tuple[str, str, bool]  # machine type, zone, spot
-    born: int  # start of the controller's process, milliseconds of wall clock
+    process_started_ms: int  # start of the controller's process, milliseconds of wall clock
     number: int  # counted by that process: a newer observation has a higher one
     age_us: int
     asked: int  # machines
@@ -139,12 +139,12 @@
         load.shard,
         _u32(load.waiting),
         _u32(load.slots),
-        _u32(load.room),
+        _u32(load.free_slots),
         load.rate,
-        _u32(load.quick_room),
-        len(load.service_room),
+        _u32(load.quick_service_cpus),
+        len(load.service_cpus),
     )
-    return packed + b"".join(ZONE.pack(_u32(cpus)) for cpus in load.service_room)
+    return packed + b"".join(ZONE.pack(_u32(cpus)) for cpus in load.service_cpus)
 
 
 def read_heartbeat(body: bytes) -> PeerHeartbeat:
@@ -181,7 +181,7 @@
     """The frame of a controller's own observations; the newest come first, and what does not fit is left out."""
     fitting = [observation for observation in sent.observations if _names_fit(observation)]
     fitting = fitting[: (MAX_PAYLOAD - OBSERVATIONS.size) // OBSERVATION.size]
-    started_ms = fitting[0].born if fitting else 0
+    started_ms = fitting[0].process_started_ms if fitting else 0
     payload = OBSERVATIONS.pack(sent.label.encode()[:LABEL_BYTES], started_ms, len(fitting))
     payload += b"".join(map(_pack_observation, fitting))
     return _frame(KIND_OBSERVATIONS, payload)
--- a/quinceslip/protocol/messages/store.py
+++ b/quinceslip/protocol/messages/store.py
@@ -18,7 +18,7 @@
 class LeaseAnswer(Struct):
     """The id of a lease that was created."""
 
-    hold: int = field(name="hold")
+    lease_id: int = field(name="hold")
 
 
 class CompareAndSwapAnswer(Struct):
--- a/quinceslip/protocol/messages/users.py
+++ b/quinceslip/protocol/messages/users.py
@@ -35,8 +35,8 @@
 class JobSpec(Struct, frozen=True, kw_only=True, omit_defaults=True):
     """What a user submits: a job array, a gang or a service, and what each of its tasks needs.
 
-    Amounts are of one task; times are in seconds. `estimate_s` is the user's guess of a task's run time,
-    `checkpoint_s` the interval between checkpoints (0: none are made), `save_s` what one checkpoint takes.
+    Amounts are of one task; times are in seconds. `estimated_run_s` is the user's guess of a task's run
+    time; `checkpoint_interval_s` is 0 where no checkpoints are made; `checkpoint_cost_s` is what one of them takes.
     """
 
     job_id: JobId = field(name="uid")
@@ -55,12 +55,12 @@
     one_zone: bool = field(name="together")
     spread: bool
     spot: bool = field(name="loaners")
-    estimate_s: Amount = field(name="expectS")
-    checkpoint_s: Amount = field(name="markEveryS")
-    save_s: Amount = field(name="markCostS")
+    estimated_run_s: Amount = field(name="expectS")
+    checkpoint_interval_s: Amount = field(name="markEveryS")
+    checkpoint_cost_s: Amount = field(name="markCostS")
     deadline_s: Amount | None = field(name="dueS", default=None)
     #: jobs that have to be done before any task of this one starts (DAG dependencies)
-    waits_on: list[JobId] = field(name="waitsOn", default=[])
+    dependencies: list[JobId] = field(name="waitsOn", default=[])
 
     @property
     def service(self) -> bool:
@@ -73,7 +73,7 @@
         return self.kind == "group"
 
     @property
-    def whole(self) -> bool:
+    def indivisible(self) -> bool:
         """Kept in one shard: zones, or starting together, bind the tasks to each other."""
         return self.service or self.gang or self.spread or self.one_zone
 
@@ -92,7 +92,7 @@
 
 def waiting_on(spec: JobSpec, job_ids: list[str]) -> JobSpec:
     """The same job, to be started once these are done."""
-    return spec if spec.waits_on == job_ids else msgspec.structs.replace(spec, waits_on=job_ids)
+    return spec if spec.dependencies == job_ids else msgspec.structs.replace(spec, dependencies=job_ids)
 
 
 class _IdentifiedJob(Struct):
@@ -116,9 +116,9 @@
     "gpus",
     "memory_gb",
     "image_gb",
-    "estimate_s",
-    "checkpoint_s",
-    "save_s",
+    "estimated_run_s",
+    "checkpoint_interval_s",
+    "checkpoint_cost_s",
     "deadline_s",
 )
 _WIRE_NAMES = {f.name: f.encode_name for f in msgspec.structs.fields(JobSpec)}
--- a/quinceslip/quota/admission.py
+++ b/quinceslip/quota/admission.py
@@ -4,7 +4,7 @@
 `shard_quota.py`.
 """
 
-from quinceslip.coordination.shard.state import ShardState
+from quinceslip.coordination.shard_state.state import ShardState
 from quinceslip.protocol import messages as m
 from quinceslip.quota.allocations import Allocations
 from quinceslip.quota.amounts import (
--- a/quinceslip/quota/allocation_manager.py
+++ b/quinceslip/quota/allocation_manager.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from quinceslip.coordination.actor.context import Context
-from quinceslip.coordination.actor.subsystem import Subsystem, SubsystemFactory
+from quinceslip.coordination.controller.subsystem import Subsystem, SubsystemFactory
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.coordination.shard.shard import Shard
 from quinceslip.protocol import messages as m
--- a/quinceslip/quota/allocations.py
+++ b/quinceslip/quota/allocations.py
@@ -4,16 +4,10 @@
 from urllib.parse import unquote
 
 from quinceslip.quota.allocation import Allocation
-from quinceslip.quota.quota_records import GRANT as GRANT
-from quinceslip.quota.quota_records import TREE_KEY as TREE_KEY
-from quinceslip.quota.quota_records import AmountKind, GrantRecord, grant_key
-from quinceslip.quota.quota_records import grant_name as grant_name
-from quinceslip.quota.quota_records import want_key as want_key
+from quinceslip.quota.quota_records import GRANT, AmountKind, GrantRecord, grant_key, grant_name
 from quinceslip.quota.tree import Tree
 from quinceslip.storage.cache import StoreCache
 
-#: used by tests under this name
-CAP = AmountKind.CAP
 _AMOUNT_KINDS = frozenset(AmountKind)
 
 
--- a/quinceslip/quota/bench.py
+++ b/quinceslip/quota/bench.py
@@ -11,9 +11,9 @@
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.scheduling.placement import Placement
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import Settings, Tuning
 from quinceslip.quota.allocation_manager import AllocationManager
@@ -100,7 +100,7 @@
         self.state.add_pending(partition, range(tasks))
         return partition
 
-    def pass_(self) -> PassResult:
+    def run_pass(self) -> PassResult:
         """One pass; machines obey at once."""
         self.state.needs_placement = True
         before = set(self.running())
@@ -166,7 +166,7 @@
         one_zone=False,
         spread=False,
         spot=True,
-        estimate_s=1.0,
-        checkpoint_s=0.0,
-        save_s=0.0,
+        estimated_run_s=1.0,
+        checkpoint_interval_s=0.0,
+        checkpoint_cost_s=0.0,
     )
--- a/quinceslip/quota/commands.py
+++ b/quinceslip/quota/commands.py
@@ -14,7 +14,7 @@
 from quinceslip.quota.config import load_tree
 from quinceslip.quota.level_reader import SECTION, level_of
 from quinceslip.quota.model import STEPS, explore
-from quinceslip.quota.page_client import fetch as fetch
+from quinceslip.quota.page_client import fetch
 from quinceslip.quota.pass_cost import PassCost, measure
 from quinceslip.quota.plots import record
 from quinceslip.quota.status_page import table
--- a/quinceslip/quota/fair_share_order.py
+++ b/quinceslip/quota/fair_share_order.py
@@ -8,9 +8,9 @@
 from collections.abc import Iterable, Iterator, Sequence
 from itertools import groupby, islice
 
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.quota.allocations import Allocations
 from quinceslip.quota.amounts import (
     UNLIMITED,
@@ -63,7 +63,9 @@
 
     # A whole pass.
 
-    def rounds(self, queue: Sequence[JobPartition], workers: Sequence[Worker]) -> Iterator[list[JobPartition]]:
+    def fair_share_rounds(
+        self, queue: Sequence[JobPartition], workers: Sequence[Worker]
+    ) -> Iterator[list[JobPartition]]:
         """The queue in rounds: priority by priority; first each level within its share, then what is left over.
 
         Without a second round, room would stay empty that nobody entitled to it can use.
--- a/quinceslip/quota/model_world.py
+++ b/quinceslip/quota/model_world.py
@@ -296,10 +296,11 @@
         other.transactions = [
             Transaction(t.controller, _copy_move(t.move, moves), t.state, t.ended) for t in self.transactions
         ]
-        other.controllers = [other._copy_controller(controller, moves) for controller in self.controllers]
+        other.controllers = [other.copy_controller(controller, moves) for controller in self.controllers]
         return other
 
-    def _copy_controller(self, controller: ModelController, moves: dict[int, Move]) -> ModelController:
+    def copy_controller(self, controller: ModelController, moves: dict[int, Move]) -> ModelController:
+        """A copy whose moves are those of `moves`, so that a move shared with a transaction stays shared."""
         allocation = self._new_allocation()
         allocation.record, allocation.mod_revision = controller.allocation.record, controller.allocation.mod_revision
         if controller.allocation.move is not None:
--- a/quinceslip/quota/pass_cost.py
+++ b/quinceslip/quota/pass_cost.py
@@ -63,5 +63,5 @@
 
 def _time_pass(bed: Bed) -> int:
     started_ns = time.perf_counter_ns()
-    bed.pass_()
+    bed.run_pass()
     return (time.perf_counter_ns() - started_ns) // 1000
--- a/quinceslip/quota/preemption.py
+++ b/quinceslip/quota/preemption.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from quinceslip.coordination.shard.worker import EPSILON, Attempt, Worker, fits
+from quinceslip.coordination.shard_state.worker import EPSILON, Attempt, Worker, fits
 from quinceslip.protocol import messages as m
 from quinceslip.quota.amounts import ZERO, Amounts, accumulate, positive, subtract, within
 from quinceslip.quota.usage import UsageMeter
@@ -211,4 +211,4 @@
 
 def preemption_order(attempt: Attempt) -> tuple[int, bool, int, str]:
     """Sort key of victims: lowest priority first, then what saves checkpoints, then what has run shortest."""
-    return (-attempt.spec.priority, attempt.spec.checkpoint_s == 0, -attempt.running_us, attempt.name)
+    return (-attempt.spec.priority, attempt.spec.checkpoint_interval_s == 0, -attempt.running_us, attempt.name)
--- a/quinceslip/quota/shard_quota.py
+++ b/quinceslip/quota/shard_quota.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterable, Sequence
 
 from quinceslip.coordination.actor.timing import SECOND
-from quinceslip.coordination.shard.partition import JobPartition
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.partition import JobPartition
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.quota.admission import QuotaAdmission
 from quinceslip.quota.allocations import Allocations
--- a/quinceslip/quota/tree.py
+++ b/quinceslip/quota/tree.py
@@ -12,6 +12,7 @@
     KINDS,
     RESOURCES,
     SCALE,
+    UNLIMITED,
     UNLIMITED_AMOUNTS,
     ZERO,
     Amounts,
@@ -20,7 +21,6 @@
     task_amounts,
     times,
 )
-from quinceslip.quota.amounts import UNLIMITED as UNLIMITED
 
 _DIGEST_CHARACTERS = 16
 
--- a/quinceslip/quota/usage.py
+++ b/quinceslip/quota/usage.py
@@ -6,8 +6,8 @@
 from collections.abc import Container
 from dataclasses import dataclass, field
 
-from quinceslip.coordination.shard.state import ShardState
-from quinceslip.coordination.shard.worker import Attempt, Worker
+from quinceslip.coordination.shard_state.state import ShardState
+from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 from quinceslip.quota.allocation import may_start
 from quinceslip.quota.allocations import Allocations
--- a/quinceslip/service.py
+++ b/quinceslip/service.py
@@ -5,11 +5,10 @@
 from collections.abc import Sequence
 
 from quinceslip.coordination.actor.effects import Call, Effect, PeerFrameReceived, Reply
-from quinceslip.coordination.actor.subsystem import SubsystemFactory
 from quinceslip.coordination.actor.timing import SECOND, Timing
 from quinceslip.coordination.controller.controller import Controller
+from quinceslip.coordination.controller.subsystem import SubsystemFactory
 from quinceslip.protocol.settings import Settings, Tuning, split_address
-from quinceslip.storage.watch import Watch
 from quinceslip.transport import capacity
 from quinceslip.transport.actor import ActorThread
 from quinceslip.transport.clients import Budget, Pool
@@ -17,6 +16,7 @@
 from quinceslip.transport.http_server import ApiServer
 from quinceslip.transport.peers import PeerFrame, PeerLink, PeerServer
 from quinceslip.transport.replies import Replies
+from quinceslip.transport.watch import Watch
 
 log = logging.getLogger(__name__)
 
--- a/quinceslip/storage/records.py
+++ b/quinceslip/storage/records.py
@@ -124,7 +124,7 @@
 class ShardRecord(msgspec.Struct):
     """The leader of a shard, by its label, and its term."""
 
-    owner: str = msgspec.field(name="owner")
+    leader: str = msgspec.field(name="owner")
     term: int
 
 
--- a/quinceslip/subsystems.py
+++ b/quinceslip/subsystems.py
@@ -2,7 +2,7 @@
 
 import configparser
 
-from quinceslip.coordination.actor.subsystem import SubsystemFactory
+from quinceslip.coordination.controller.subsystem import SubsystemFactory
 from quinceslip.protocol.settings import Settings
 
 #: sections of the operators' file whose first word is this one name a quota level
--- a/quinceslip/transport/actor.py
+++ b/quinceslip/transport/actor.py
@@ -30,7 +30,7 @@
     ) -> None:
         self.handle = handle
         self.carry_out = carry_out
-        self.beat_us = tick_period_us
+        self.tick_period_us = tick_period_us
         self.max_inbox = max_inbox
         # Answers are a few for each call, and calls are bounded; only requests can come without end.
         self.inbox: queue.SimpleQueue[Any] = queue.SimpleQueue()
@@ -68,7 +68,7 @@
         """The next message: a tick that is due, the end of a batch, or one from the inbox; None where none came."""
         now_us = steady_us()
         if now_us >= self._next_tick_us:
-            self._next_tick_us = now_us + self.beat_us
+            self._next_tick_us = now_us + self.tick_period_us
             return Tick()
         if self._batch_messages >= MAX_BATCH_MESSAGES:
             return BatchEnd()
--- a/quinceslip/transport/connections.py
+++ b/quinceslip/transport/connections.py
@@ -138,6 +138,7 @@
         self._connection = connection
 
     def writable(self) -> bool:
+        """For `io`: it can be written to."""
         return True
 
     def write(self, data: bytes) -> int:  # type: ignore[override]
--- a/quinceslip/transport/request_handler.py
+++ b/quinceslip/transport/request_handler.py
@@ -62,7 +62,7 @@
 
     def log_message(self, format: str, *args: Any) -> None:
         """For `http.server`: what it has to say is of use for debugging only."""
-        log.debug("%s: " + format, self.client_address[0], *args)
+        log.debug("http.server client=%s message=%r", self.client_address[0], format % args)
 
     def _send(self, status: int, body: Any = None, headers: dict[str, str] | None = None) -> None:
         data = b"" if body is None else msgspec.json.encode(body)
@@ -203,4 +203,5 @@
         m.PATH_JOBS: _submit,
     }
 
-    do_GET = do_POST = do_PUT = do_DELETE = do_HEAD = do_PATCH = do_OPTIONS = _serve
+    # Names that `http.server` looks for.
+    do_GET = do_POST = do_PUT = do_DELETE = do_HEAD = do_PATCH = do_OPTIONS = _serve  # noqa: N815
--- a/quinceslip/transport/stall_journal.py
+++ b/quinceslip/transport/stall_journal.py
@@ -41,12 +41,12 @@
             return self._wait_without_record()
         item = msgspec.json.decode(body, type=m.Item) if status == 200 else None
         last = msgspec.json.decode(item.value, type=StallRecord) if item is not None else None
-        wait_us = stall_records.next_end_us(last, self._lease_us) - now_us
+        wait_us = stall_records.next_exit_us(last, self._lease_us) - now_us
         if wait_us > 0:
             return wait_us
         # Of two processes of one controller the later one's record stays, however late the other's is written.
         revision = item.mod_revision if item is not None else 0
-        record = stall_records.following(last, part, now_us, self._lease_us)
+        record = stall_records.next_record(last, part, now_us, self._lease_us)
         request = m.compare_and_swap_request({self._key: revision}, {self._key: (record, None)}, [])
         status, _ = exchange(connection, "POST", m.PATH_TXN, request, CALL_TIMEOUT_S)
         return 0 if status == 200 else self._wait_without_record()
--- a/quinceslip/transport/watchdog.py
+++ b/quinceslip/transport/watchdog.py
@@ -57,7 +57,7 @@
             time.sleep(self._detector.period_us / 1e6)
             try:
                 turns = self._watch(turns)
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001 - whoever watches must go on
                 self._log(partial(log.error, "watchdog", exc_info=error))
 
     def _watch(self, last_turns: int) -> int:
@@ -76,7 +76,7 @@
 
     def _frame(self) -> FrameType | None:
         """The innermost frame of the thread; None where it has ended."""
-        return sys._current_frames().get(self._thread.ident or 0)
+        return sys._current_frames().get(self._thread.ident or 0)  # noqa: SLF001 - the documented way
 
     def _cpu_us(self) -> int | None:
         """Processor time of the thread; None where the system does not tell."""
--- a/tests/scenario/components.py
+++ b/tests/scenario/components.py
@@ -11,7 +11,7 @@
     Urgency,
 )
 from quinceslip.coordination.scheduling.deadline_order import order_by_deadline
-from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard_state.partition import JobPartition
 from quinceslip.protocol import messages as m
 from quinceslip.storage import task_sets
 from quinceslip.storage.cache import StoreCache
--- a/tests/scenario/liveness_checks.py
+++ b/tests/scenario/liveness_checks.py
@@ -48,10 +48,10 @@
         """standstills_in HOURS lease=S back=S ends=N: a process that stands still at once, each time it is started"""
         lease_us, now_us, ends = int(named["lease"] * US), 0, 0
         note: StallRecord | None = None
-        while (now_us := max(now_us + int(named["back"] * US), stall_records.next_end_us(note, lease_us))) < float(
+        while (now_us := max(now_us + int(named["back"] * US), stall_records.next_exit_us(note, lease_us))) < float(
             plain[0]
         ) * 3600 * US:
-            note, ends = stall_records.following(note, "levels", now_us, lease_us), ends + 1
+            note, ends = stall_records.next_record(note, "levels", now_us, lease_us), ends + 1
             assert stall_records.rests(note, "levels", now_us + lease_us, lease_us)
             assert not stall_records.rests(note, "moves", now_us, lease_us)
             for part in ("moves", "rights", "machines", "Tick"):
@@ -60,7 +60,7 @@
         assert ends <= named["ends"], ends
         assert note is not None and note.times == ends
         later_us = now_us + 3 * stall_records.pause_us(ends, lease_us)
-        assert stall_records.following(note, "levels", later_us, lease_us).times == 1  # long ago: it starts anew
+        assert stall_records.next_record(note, "levels", later_us, lease_us).times == 1  # long ago: it starts anew
 
     def do_loopback_standstill(self, plain: list[str], named: dict[str, Any]) -> None:
         """loopback_standstill: a process whose actor stands still ends itself"""
@@ -81,4 +81,4 @@
             while len(seen) < 20 or actor.turns < 20:
                 time.sleep(0.01)
         assert actor.thread.is_alive()
-        actor.handle, actor.beat_us = lambda message, now_us: [], 10**12  # it sleeps from here on
+        actor.handle, actor.tick_period_us = lambda message, now_us: [], 10**12  # it sleeps from here on
--- a/tests/scenario/queueing_checks.py
+++ b/tests/scenario/queueing_checks.py
@@ -5,17 +5,14 @@
 
 import pytest
 
-from quinceslip.coordination.load_balancing.queueing_model import (
+from quinceslip.coordination.load_balancing.mmm_queue import (
     Station,
-    choose_shard,
     credible,
-    fair_levels,
-    load,
     marginal_cost,
     mean_wait,
-    shares,
     wait_probability,
 )
+from quinceslip.coordination.load_balancing.queueing_model import choose_shard, fair_levels, load, shares
 from tests.scenario.state import RunnerState
 from tests.scenario.tools import at_once
 
--- a/tests/simulation/checks/controllers.py
+++ b/tests/simulation/checks/controllers.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from quinceslip.coordination.controller.controller import Controller
-from quinceslip.coordination.shard.partition import JobPartition
+from quinceslip.coordination.shard_state.partition import JobPartition
 from tests.simulation.checks.observations import Observations
 
 if TYPE_CHECKING:
@@ -52,10 +52,10 @@
             own = {} if peer is None else peer.autoscaler.capacity.all_observations().get(origin, {})
             for kind, known in observations.items():
                 original = own.get(kind)
-                known_version = (known.observation.born, known.observation.number)
+                known_version = (known.observation.process_started_ms, known.observation.number)
                 is_wrong = known.at_us > self.observed.now_us
                 if original is not None:
-                    original_version = (original.observation.born, original.observation.number)
+                    original_version = (original.observation.process_started_ms, original.observation.number)
                     latest_us = original.at_us + MAX_FRAME_DELAY_US + self.observed.world.link_delay_us
                     is_wrong |= known_version > original_version
                     is_wrong |= known_version == original_version and not original.at_us <= known.at_us <= latest_us
--- a/tests/simulation/store_connection.py
+++ b/tests/simulation/store_connection.py
@@ -76,7 +76,9 @@
         """A listing, and the watch from there on: what comes of one connection after another comes in order."""
         controller, world = self.controller, self.world
         arrives_us, next_us = world.latency(), world.latency() + WATCH_GAP_US
-        controller.write_trace("in", "state", "listing", arrives_us, listing.revision, listing.until, listing.items)
+        controller.write_trace(
+            "in", "state", "listing", arrives_us, listing.revision, listing.last_page_revision, listing.items
+        )
         world.after(arrives_us, lambda: controller.deliver(listing, life))
         world.after(max(next_us, arrives_us + 1), lambda: self._watch(life, listing.revision))
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -534,7 +534,12 @@
 
 def test_a_pool_takes_a_call_to_every_worker_of_a_fleet() -> None:
     refused: list[CallResult] = []
-    pool = Pool("test", 0, lambda answer: bool(refused.append(answer)))
+
+    def post(answer: CallResult) -> bool:
+        refused.append(answer)
+        return False
+
+    pool = Pool("test", 0, post)
     for number in range(2 * FLEET):
         pool.submit(Call("10.0.0.1:1", number, "GET", "/inspect"), "10.0.0.1:1")
     assert not refused
--- a/tests/test_golden_samples.py
+++ b/tests/test_golden_samples.py
@@ -31,7 +31,7 @@
 from quinceslip.protocol import frames
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import SettingsError, load_settings, load_tuning, read_operator_file
-from quinceslip.quota import allocations
+from quinceslip.quota import allocations, quota_records
 from quinceslip.quota.allocation_manager import AllocationManager
 from quinceslip.quota.commands import lines as quota_table
 from quinceslip.quota.config import load_tree
@@ -80,7 +80,7 @@
 def following_note(previous: Any, part: str, wall_us: int, lease_us: int) -> Any:
     """The standstill record that is written after `previous`."""
     note = None if previous is None else msgspec.convert(previous, RECORD_TYPES["standstill"])
-    return stall_records.following(note, part, wall_us, lease_us)
+    return stall_records.next_record(note, part, wall_us, lease_us)
 
 
 #: functions that make messages, records, keys and paths; called with the arguments of a sample, in order
@@ -115,8 +115,8 @@
     "key of supports": records.supports_key,
     "key of load": records.load_key,
     "key of standstill": stall_records.key,
-    "key of want": allocations.want_key,
-    "name of grant": allocations.grant_name,
+    "key of want": quota_records.want_key,
+    "name of grant": quota_records.grant_name,
     "kind and name of key": StoreCache.split,
     "other keys": lambda: [
         records.PREFIX,
@@ -124,7 +124,7 @@
         records.TYPES,
         records.ROLLOUT,
         records.NOTHING,
-        allocations.TREE_KEY,
+        quota_records.TREE_KEY,
     ],
     "paths": lambda: [
         m.PATH_JOBS,
@@ -214,8 +214,8 @@
     cache.register_kind(AllocationManager.kinds)
     grant = {"version": 1, "total": [9000, 0, 0, 0], "parts": {"0": [4000, 0, 0, 0], "2": [6000, 0, 0, 0]}}
     cache.store(
-        f"{records.PREFIX}{allocations.GRANT}/{allocations.grant_name('guild', allocations.CAP)}",
-        msgspec.convert(grant, RECORD_TYPES[allocations.GRANT]),
+        f"{records.PREFIX}{quota_records.GRANT}/{quota_records.grant_name('guild', quota_records.AmountKind.CAP)}",
+        msgspec.convert(grant, RECORD_TYPES[quota_records.GRANT]),
         5,
     )
     page = quota_page(tree, allocations.Allocations(tree, cache), {}, "", "")
--- a/tests/test_hearing.py
+++ b/tests/test_hearing.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quinceslip.coordination.reconciliation.delivery import MAX_UNACKNOWLEDGED, DeliveryTracker
+from quinceslip.coordination.shard_state.delivery import MAX_UNACKNOWLEDGED, DeliveryTracker
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 from tests.scenario.runner import Runner
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -14,8 +14,10 @@
         return
     files = sorted({node_id.partition("::")[0] for node_id in listed})
     command = [sys.executable, "-m", "pytest", "-o", "addopts=", "--collect-only", "-q", *files]
-    output = subprocess.run(command, cwd=KNOWN_RED_PATH.parent, capture_output=True, text=True, timeout=120).stdout
-    unknown = listed - set(output.splitlines())
+    collected = subprocess.run(
+        command, cwd=KNOWN_RED_PATH.parent, capture_output=True, text=True, timeout=120, check=True
+    )
+    unknown = listed - set(collected.stdout.splitlines())
     assert not unknown, unknown
 
 
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -10,18 +10,9 @@
 from hypothesis import assume, given, settings
 from hypothesis import strategies as st
 
-from quinceslip.coordination.load_balancing.queueing_model import (
-    HALVINGS,
-    MAX_SERIES_TERMS,
-    NARROWINGS,
-    ROUNDING,
-    Station,
-    _Search,
-    credible,
-    fair_levels,
-    marginal_cost,
-    shares,
-)
+from quinceslip.coordination.load_balancing.mmm_queue import Station, credible, marginal_cost
+from quinceslip.coordination.load_balancing.queueing_model import ROUNDING, fair_levels, shares
+from quinceslip.coordination.load_balancing.share_search import HALVINGS, MAX_SERIES_TERMS, NARROWINGS, ShareSearch
 
 settings.register_profile("levels-ci", max_examples=40, derandomize=True)
 settings.register_profile("levels-long", max_examples=20_000)
@@ -68,7 +59,7 @@
     if not whole * ROUNDING < total < whole * (1.0 - ROUNDING):
         assert fair_levels(of, total) == [s.slots for s in of]
         return
-    search = _Search(of, total)
+    search = ShareSearch(of, total)
     search.run()
     assert search.evaluations <= min(USUAL_STEPS, (HALVINGS + 2) * NARROWINGS) * len(of)
     assert search.terms <= MAX_SERIES_TERMS + 10_000
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -12,7 +12,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quinceslip.dependencies.graph import Graph, Urgency
+from quinceslip.dependencies.graph import DependencyGraph
+from quinceslip.dependencies.urgency import Urgency
 from quinceslip.protocol import messages as m
 from quinceslip.storage.records import JobRecord, PartitionRecord, final_record
 from tests.simulation.inputs import job_spec
@@ -26,7 +27,7 @@
 
     def __init__(self) -> None:
         self.records: dict[str, JobRecord] = {}
-        self.graph = Graph(
+        self.graph = DependencyGraph(
             self.records.get,
             lambda spec, at_us: Urgency(
                 spec.priority, () if spec.deadline_s is None else (at_us + int(spec.deadline_s),)
@@ -48,20 +49,24 @@
 
     def cancelled(job_id: str) -> bool:
         return records[job_id].state == m.CANCELLED or (
-            records[job_id].state != m.DONE and any(cancelled(u) for u in specs[job_id].waits_on)
+            records[job_id].state != m.DONE and any(cancelled(u) for u in specs[job_id].dependencies)
         )
 
     def urgency(job_id: str) -> tuple[int, int]:
         spec, at_us = specs[job_id], records[job_id].at_us
         found = (spec.priority, 10**9 if spec.deadline_s is None else at_us + int(spec.deadline_s))
         for other, record in records.items():
-            if record.state == m.QUEUED and job_id in specs[other].waits_on and not cancelled(other):
+            if record.state == m.QUEUED and job_id in specs[other].dependencies and not cancelled(other):
                 priority_class, due = urgency(other)
                 found = (min(found[0], priority_class), min(found[1], due - RUN_US if due < 10**9 else due))
         return found
 
     return {
-        job_id: (any(records[u].state != m.DONE for u in specs[job_id].waits_on), cancelled(job_id), urgency(job_id))
+        job_id: (
+            any(records[u].state != m.DONE for u in specs[job_id].dependencies),
+            cancelled(job_id),
+            urgency(job_id),
+        )
         for job_id, record in records.items()
         if record.state == m.QUEUED
     }
@@ -110,7 +115,7 @@
             news = [(job_id, JobRecord(m.QUEUED, 1, spec, 0, PartitionRecord("0"), turn))]
         elif what == "end" and open_:
             # Only what is ready by the records can end.
-            able = [u for u in open_ if all(truth[n].state == m.DONE for n in specs[u].waits_on)]
+            able = [u for u in open_ if all(truth[n].state == m.DONE for n in specs[u].dependencies)]
             news = [(u, final_record(truth[u], m.DONE, 1, turn)) for u in able[:1]]
         elif what == "cancel" and open_ and chance.random() < 0.5:
             job_id = chance.choice(open_)
--- a/tests/test_quota_properties.py
+++ b/tests/test_quota_properties.py
@@ -7,9 +7,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from quinceslip.quota.amounts import UNLIMITED
 from quinceslip.quota.bench import Bed
 from quinceslip.quota.max_min import divide, fill
-from quinceslip.quota.tree import UNLIMITED, Level, Tree
+from quinceslip.quota.tree import Level, Tree
 
 REST = (UNLIMITED, UNLIMITED, UNLIMITED)
 
@@ -90,7 +91,7 @@
     for team, tasks, cpus, priority_class, kind, ends in jobs:
         bed.submit(teams[team % len(teams)], tasks, cpus, priority_class, kind)
         for _ in range(30):
-            moved = bed.pass_()
+            moved = bed.run_pass()
             used = used_from_scratch(tree, bed)
             for level in tree.levels:
                 assert used[level.name] <= level.cap[0], (level.name, used)
@@ -128,10 +129,10 @@
     for other in teams:
         if other != name:
             bed.submit(other, 60)
-    bed.pass_()
+    bed.run_pass()
     bed.submit(name, wanted)
-    bed.pass_()  # whatever must stop for it is stopped in this one
-    bed.pass_()
+    bed.run_pass()  # whatever must stop for it is stopped in this one
+    bed.run_pass()
     mine = [a for a in bed.running() if a.spec.team == name]
     assert len(mine) >= min(wanted, guarantee), (guarantee, used_from_scratch(tree, bed))
 
@@ -200,7 +201,7 @@
         for i, (_, most) in enumerate(leaves):
             if most:
                 bed.submit(f"g{g}t{i}", most)
-    bed.pass_()
+    bed.run_pass()
     parts = exact(cpus, [(weight, sum(d)) for (weight, _), d in zip(groups, demands, strict=True)])
     for g, (_, leaves) in enumerate(groups):
         for i, part in enumerate(_scaled(parts[g], leaves)):
@@ -234,10 +235,10 @@
         bed.submit(f"t{team % len(weights)}", tasks)
         there = sorted(bed.running(), key=lambda a: a.name)
         chance.shuffle(there)
-        bed.pass_()
+        bed.run_pass()
         for attempt in there:
             bed.finish(attempt)
-            bed.pass_()
+            bed.run_pass()
         used, wants = [0] * len(weights), [0] * len(weights)
         for attempt in bed.running():
             used[int(attempt.spec.team[1:])] += round(attempt.spec.cpus)
--- a/tests/test_shard_summary.py
+++ b/tests/test_shard_summary.py
@@ -14,7 +14,7 @@
     machine_state,
     summarize,
 )
-from quinceslip.coordination.shard.worker import Worker
+from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.protocol import messages as m
 from tests.scenario.runner import Runner
 
@@ -34,9 +34,9 @@
     one_zone=False,
     spread=False,
     spot=True,
-    estimate_s=60.0,
-    checkpoint_s=0.0,
-    save_s=0.0,
+    estimated_run_s=60.0,
+    checkpoint_interval_s=0.0,
+    checkpoint_cost_s=0.0,
 )
 SERVICE = msgspec.structs.replace(BATCH, kind="standing", cpus=2.0)
 #: a line of the log stays readable up to this length
--- a/tests/test_supply_properties.py
+++ b/tests/test_supply_properties.py
@@ -15,12 +15,12 @@
     MIN_BACKOFF_US,
     TURN_US,
     CapacityObservations,
-    Kind,
+    MachinePool,
 )
 from quinceslip.protocol import frames
 
 many = settings(max_examples=100, deadline=None, database=None, derandomize=True)
-KINDS: list[Kind] = [("mid", zone, spot) for zone in "abcdefghi" for spot in (True, False)]
+KINDS: list[MachinePool] = [("mid", zone, spot) for zone in "abcdefghi" for spot in (True, False)]
 VERBS = ["short"] * 6 + ["room"] * 3 + ["beat"] * 9 + ["late"] * 6 + ["again"] * 2 + ["wait"] * 2 + ["restart"]
 PLACES = st.integers(0, 63)
 STEPS = st.lists(
@@ -40,7 +40,7 @@
         self.said: list[tuple[int, bytes]] = []
         self.lives = 0
         #: by hearer, whom it is from, and kind: the newest version that came there, and its earliest moment
-        self.reference: dict[tuple[int, str, Kind], tuple[tuple[int, int], int]] = {}
+        self.reference: dict[tuple[int, str, MachinePool], tuple[tuple[int, int], int]] = {}
 
     def made(self, label: str) -> CapacityObservations:
         return CapacityObservations(label, self.labels, 1.0, self.now_us // 1000)
@@ -54,13 +54,13 @@
         told = frames.read_observations(data[frames.HEADER.size :])
         self.nodes[node].observations_received(told.label, told.observations, self.now_us)
         for observation in told.observations if told.label != self.labels[node] else []:
-            place, version = (node, told.label, observation.kind), (observation.born, observation.number)
+            place, version = (node, told.label, observation.kind), (observation.process_started_ms, observation.number)
             newest, at_us = self.reference.get(place, ((0, 0), 0))
             if version >= newest:
                 came_us = self.now_us - observation.age_us
                 self.reference[place] = (version, min(at_us, came_us) if version == newest else came_us)
 
-    def step(self, verb: str, one: int, other: int, kind: Kind, amount: int) -> None:
+    def step(self, verb: str, one: int, other: int, kind: MachinePool, amount: int) -> None:
         one, other = one % len(self.nodes), other % len(self.nodes)
         if verb == "short":
             self.nodes[one].request_answered(kind, amount + 1, amount, self.now_us)
@@ -86,7 +86,7 @@
 
 @given(st.integers(1, 64), STEPS)
 @many
-def test_no_rest_outlives_what_was_seen(size: int, steps: list[tuple[str, int, int, Kind, int]]) -> None:
+def test_no_rest_outlives_what_was_seen(size: int, steps: list[tuple[str, int, int, MachinePool, int]]) -> None:
     fleet = Fleet(size)
     for step in steps:
         fleet.step(*step)
@@ -106,10 +106,12 @@
 
 @given(st.integers(2, 4), STEPS)
 @many
-def test_what_is_known_is_the_newest_at_its_earliest(size: int, steps: list[tuple[str, int, int, Kind, int]]) -> None:
+def test_what_is_known_is_the_newest_at_its_earliest(
+    size: int, steps: list[tuple[str, int, int, MachinePool, int]]
+) -> None:
     """Repeats and frames that were late move nothing: no sighting grows younger by being heard again."""
     fleet = Fleet(size)
-    ends: dict[tuple[int, int, Kind, str, tuple[int, int]], int] = {}
+    ends: dict[tuple[int, int, MachinePool, str, tuple[int, int]], int] = {}
     for step in steps:
         fleet.step(*step)
         for place, supply in enumerate(fleet.nodes):
@@ -119,7 +121,7 @@
                 ends[of] = rest.until_us
         for (node, origin, kind), (version, at_us) in fleet.reference.items():
             known = fleet.nodes[node].all_observations()[origin][kind]
-            assert (known.observation.born, known.observation.number) == version
+            assert (known.observation.process_started_ms, known.observation.number) == version
             assert known.at_us == at_us
 
 
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -79,8 +79,8 @@
     ctx: Any = SimpleNamespace(timing=found, now_us=now_us, settings=SimpleNamespace(facts=SimpleNamespace(size=1)))
     rights = LeaderElection(ctx, 0, lambda *_: None, lambda _: None)
     assert not rights.may_answer()  # one that has just started knows of no contact
-    rights.leader_lease, rights.lease_sent_us = 7, now_us - renewed_s * SECOND
-    rights.watch_sent_us = now_us - watched_s * SECOND
+    rights.lease.lease_id, rights.lease.renewal_sent_us = 7, now_us - renewed_s * SECOND
+    rights.lease.watch_sent_us = now_us - watched_s * SECOND
     ago_us = max(renewed_s, watched_s) * SECOND
     assert rights.may_launch() == (ago_us < int(found.leader_lease_us * 0.95) - 50_000)
     assert rights.may_answer() == (ago_us < found.leader_lease_us + found.grace_us)
