--- a/quinceslip/coordination/controller/subsystem.py
+++ b/quinceslip/coordination/controller/subsystem.py
@@ -40,7 +40,7 @@
         """A batch of messages was handled and every shard has placed what it can."""
 
     def never_runs_reason(self, spec: m.JobSpec) -> str | None:
-        """Why a job can never run, as its user is told with the 422; None if it may run."""
+        """Why a job can never run, for the 422 to its user; None if it may run."""
         return None
 
     def answer(self, question: str, after: str) -> Any:
--- a/quinceslip/crash_loops/detector.py
+++ b/quinceslip/crash_loops/detector.py
@@ -1,7 +1,7 @@
 """Whether the failures of a job are its own, and which of its tasks may be tried. No I/O, no clock.
 
 A faulty job fails on every machine until its user cancels it. Tried in full, again and again, it takes the machines,
-launches and scale out of others. A faulty machine fails every job. The two are told apart by where a job fails: on
+launches and scale out of others. A faulty machine fails every job. The two differ in where a job fails: on
 several machines, without any task of it ever completed, it is the job. Then one task is tried at a time, with the
 pause of a task that fails again and again; the others are *on hold*: they wait, and nothing is rented, moved or
 preempted for them. The first that completes, or a replica that runs for much longer than those that failed did,
