--- a/quinceslip/coordination/jobs/__init__.py
+++ b/quinceslip/coordination/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Job state against the records in the key-value store."""
+"""Keeps job state consistent with the records in the key-value store."""
--- a/quinceslip/coordination/jobs/cancellation_propagation.py
+++ b/quinceslip/coordination/jobs/cancellation_propagation.py
@@ -1,9 +1,9 @@
-"""Writes the final record of jobs that are cancelled because one before them is.
+"""Writes the final records of jobs that are cancelled because a job they depend on was cancelled.
 
-Every controller says so already, derived from the records; this makes each job's own record final, so that what is kept
-of it is small and the derivation ends. Any such write may be made twice or late: its condition is the open record, and
-the outcome is the same whoever writes it. One write for each job, never one for a whole graph; few at a time, behind
-what users wait for.
+Every controller already derives such a cancellation from the records; the write makes each job's own record final, so
+that the stored record is small and the derivation ends. A write may be repeated or arrive late: it is conditional on
+the open record, and every writer writes the same outcome. There is one write for each job, never one for a whole graph;
+few are made at a time, behind the writes that users wait for.
 """
 
 from collections.abc import Callable
@@ -15,25 +15,25 @@
 from quinceslip.protocol.messages import CANCELLED
 from quinceslip.storage import records
 
-#: what may go into these writes, as a part of the write budget of this controller
-CANCELLATION_WRITE_PART = 0.25
+#: fraction of this controller's write budget that these writes may use
+CANCELLATION_WRITE_FRACTION = 0.25
 
 
 class CancellationPropagator:
-    """Records cancellations one after the other; `leads` tells whether this controller leads a shard."""
+    """Records cancellations one after another; `leads` tells whether this controller leads a shard."""
 
     def __init__(self, ctx: Context, graph: DependencyGraph, leads: Callable[[int], bool]) -> None:
         self.ctx = ctx
         self.graph = graph
         self.leads = leads
-        #: jobs whose write was not answered yet
+        #: jobs whose write has not been answered yet
         self.writing: set[str] = set()
-        all_writes_per_s = CANCELLATION_WRITE_PART * ctx.limits.write_rps
-        self.write_period_us = int(SECOND * ctx.settings.facts.size / all_writes_per_s)
+        total_writes_per_s = CANCELLATION_WRITE_FRACTION * ctx.limits.write_rps
+        self.write_period_us = int(SECOND * ctx.settings.facts.size / total_writes_per_s)
         self.next_write_us = 0
 
     def tick(self) -> None:
-        """Write the next one, of those whose home shard this controller leads."""
+        """Write the next cancellation of a job whose home shard this controller leads."""
         now_us = self.ctx.now_us
         if now_us < self.next_write_us or not self.graph.cancelled or not self.ctx.store_available():
             return
--- a/quinceslip/coordination/jobs/completion.py
+++ b/quinceslip/coordination/jobs/completion.py
@@ -1,4 +1,4 @@
-"""The end of a job: its record becomes final once all its tasks are recorded as done."""
+"""Job completion: a job's record becomes final once all its tasks are recorded as done."""
 
 from quinceslip.coordination.actor.effects import Urgency
 from quinceslip.coordination.jobs.fenced_write import FencedWriter
@@ -10,7 +10,7 @@
 
 
 class JobCompletion:
-    """Finishes jobs whose home shard this is."""
+    """Finishes the jobs whose home shard this is."""
 
     def __init__(self, state: ShardState, writer: FencedWriter) -> None:
         self.state = state
@@ -18,7 +18,7 @@
         self.writer = writer
 
     def finish_if_complete(self, job_id: str) -> None:
-        """Finish a job with several partitions when all of them are done; its home shard does so."""
+        """Finish a job with several partitions once all of them are done; only its home shard does this."""
         job, partition = self.ctx.cache.job(job_id), self.state.partitions.get(job_id)
         if job is None or partition is None or not job.parts or job.shard != self.state.index or partition.writing:
             return
@@ -29,14 +29,14 @@
             self.finish(partition, job, done_count)
 
     def finish(self, partition: JobPartition, job: JobRecord, done_count: int) -> None:
-        """Write the final record of a job, under the condition that no record of its partitions has changed."""
+        """Write the final record of a job, provided that its record and those of its partitions are unchanged."""
         cache, job_id = self.ctx.cache, partition.job_id
         job_key = records.job_key(job_id)
         partition_keys = [records.partition_key(shard, job_id) for shard in job.parts]
         mod_revisions = {key: cache.mod_revision(key) for key in [job_key, *partition_keys]}
         existing = [key for key in partition_keys if cache.mod_revision(key)]
         final = records.final_record(job, m.DONE, done_count, self.ctx.wall_us)
-        # Nobody reads the partitions of a finished job: what the transaction has no room for is deleted later.
+        # Nothing reads the partitions of a finished job, so those that do not fit into the transaction go later.
         max_deletions = self.ctx.limits.txn_ops - 1
         self.writer.write(
             partition,
--- a/quinceslip/coordination/jobs/fenced_write.py
+++ b/quinceslip/coordination/jobs/fenced_write.py
@@ -13,9 +13,9 @@
 
 log = logging.getLogger(__name__)
 
-#: pause before a partition whose write was answered, applied or not, is written again
+#: pause between writes of a partition after a write that was answered, whether applied or not
 RETRY_US = 250_000
-#: the same where the write failed in another way
+#: pause after a write that failed in any other way
 ERROR_RETRY_US = SECOND
 
 
@@ -36,9 +36,9 @@
         delete: Sequence[str] = (),
         delete_later: Sequence[str] = (),
     ) -> None:
-        """Write `value` and delete the keys `delete` if the shard's record and `mod_revisions` still hold.
+        """Write `value` and delete the keys `delete` if the shard's record and `mod_revisions` are unchanged.
 
-        `delete_later` names records that nobody needs once the job is done.
+        `delete_later`: keys that are not needed once the job is done, and are deleted after this write.
         """
         partition.writing = True
 
--- a/quinceslip/coordination/jobs/partition_loader.py
+++ b/quinceslip/coordination/jobs/partition_loader.py
@@ -12,7 +12,7 @@
 
 
 class PartitionLoader:
-    """Creates, changes and removes partitions as their records in the store cache say."""
+    """Creates, changes and removes partitions according to their records in the store cache."""
 
     def __init__(
         self, state: ShardState, urgency: UrgencyCalculator, results: ResultWriter, completion: JobCompletion
@@ -24,11 +24,11 @@
         self.completion = completion
 
     def load(self, job_id: str, inherited: bool = False) -> None:
-        """Bring the partition of a job in line with its record; `inherited`: another leader may have started it."""
+        """Bring the partition of a job in line with its record; `inherited`: another leader may have started tasks."""
         state, cache = self.state, self.ctx.cache
         record = cache.partition(state.index, job_id)
         job = cache.job(job_id)
-        # Guard: what waits for other jobs is no partition at all, so nothing here can count, order, move or start it.
+        # Guard: a job that waits for other jobs has no partition, so nothing here can count, order, move or start it.
         if record is None or job is None or job.spec is None or self.ctx.graph.is_waiting(job_id):
             self._unload(job_id)
             return
@@ -56,8 +56,8 @@
                 self.state.stop(attempt, 0.0)
 
     def _create(self, job_id: str, job: JobRecord, spec: m.JobSpec) -> JobPartition:
-        """A partition without tasks."""
-        urgency = self.urgency.effective(job_id, job, spec)
+        """Create a partition without tasks."""
+        urgency = self.urgency.calculate(job_id, job, spec)
         return JobPartition(
             job_id,
             urgency.spec,
@@ -67,7 +67,7 @@
         )
 
     def _apply(self, partition: JobPartition, record: PartitionRecord, inherited: bool) -> None:
-        """Take the tasks that a record assigns to the partition, and those that it says are done."""
+        """Apply a record to the partition: the tasks that it assigns, and those that it lists as done."""
         state = self.state
         assigned, done = task_sets.decode(record.assigned), task_sets.decode(record.done)
         added = assigned - partition.assigned - done
@@ -80,26 +80,26 @@
         else:
             state.add_pending(partition, added)
         self._forget_tasks(partition, removed | newly_done)
-        self._settle_move(partition)
-        # More that is done frees nothing by itself: the worker's heartbeat did.
+        self._resolve_indeterminate_move(partition)
+        # Recording a result frees no room: that happened when the worker's heartbeat reported the end of the task.
         if added or removed or partition.spec.indivisible or state.quota is not None:
             state.needs_placement = True
 
     def _forget_tasks(self, partition: JobPartition, indices: set[int]) -> None:
-        """Tasks that are done or another shard's by now wait here no more."""
+        """Stop waiting for tasks that are done, or that belong to another shard by now."""
         on_hold = partition.crash_loop.on_hold
         for index in indices:
             partition.pending.discard(index)
             partition.unreconciled.discard(index)
             on_hold.discard(index)
         if on_hold and not partition.pending and not partition.attempts:
-            # The task that was tried is here no more: the next one is.
+            # The one task that was being tried has left this partition: the next one is tried.
             self.state.add_pending(partition, sorted(on_hold))
 
-    def _settle_move(self, partition: JobPartition) -> None:
-        """Resolve a move with indeterminate outcome if the record has changed since.
+    def _resolve_indeterminate_move(self, partition: JobPartition) -> None:
+        """Resolve a move of unknown outcome if the record has changed since.
 
-        The move was then either applied or never can be; what is still assigned here waits again.
+        By then the move has been applied or can no longer be; tasks that are still assigned here wait again.
         """
         if not partition.indeterminate:
             return
--- a/quinceslip/coordination/jobs/persistence.py
+++ b/quinceslip/coordination/jobs/persistence.py
@@ -1,15 +1,15 @@
-"""How job state gets into the store and back: the entry point for the other parts of a shard.
+"""Stores and loads job state: the interface for the other parts of a shard.
 
 ======================  =============================================================================
-`PartitionLoader`       records to partitions: tasks that are assigned, done, inherited
-`UrgencyCalculator`     priority and due times that a partition is treated with
-`ResultWriter`          finished tasks to records, as often as the write budget allows
-`JobCompletion`         the final record of a job
-`PartitionMover`        waiting tasks to another shard's partition
-`FencedWriter`          the write that `ResultWriter` and `JobCompletion` share
+`PartitionLoader`       applies records to partitions: tasks that are assigned, done, inherited
+`UrgencyCalculator`     calculates the priority and due times that a partition is scheduled with
+`ResultWriter`          records finished tasks, as often as the write budget allows
+`JobCompletion`         writes the final record of a job
+`PartitionMover`        moves waiting tasks to another shard's partition
+`FencedWriter`          makes the conditional writes of `ResultWriter` and `JobCompletion`
 ======================  =============================================================================
 
-Every write has the shard's record and the records that it changes as conditions: one that is applied late does no harm.
+Every write is conditional on the shard's record and on the records that it changes, so a late one does no harm.
 """
 
 from quinceslip.coordination.jobs.completion import JobCompletion
@@ -26,7 +26,7 @@
 
 
 class JobPersistence:
-    """Keeps the partitions of one shard and their records in the key-value store in line with each other."""
+    """Keeps the partitions of one shard consistent with their records in the key-value store."""
 
     def __init__(self, state: ShardState) -> None:
         self.state = state
@@ -39,24 +39,24 @@
         self.mover = PartitionMover(state, self.results)
 
     def load(self, job_id: str, inherited: bool = False) -> None:
-        """Bring the partition of a job in line with its record; `inherited`: another leader may have started it."""
+        """Bring the partition of a job in line with its record; `inherited`: another leader may have started tasks."""
         self.loader.load(job_id, inherited)
 
     def urgency_changed(self, job_id: str) -> None:
-        """What depends on a job has changed: it is treated accordingly from here on; what runs of it stays."""
+        """Recalculate the urgency of a job, after a change of its dependents or with time; running tasks stay."""
         partition, job = self.state.partitions.get(job_id), self.ctx.cache.job(job_id)
         if partition is not None and job is not None and job.spec is not None:
-            urgency = self.urgency.effective(job_id, job, job.spec)
+            urgency = self.urgency.calculate(job_id, job, job.spec)
             partition.set_urgency(urgency.spec, urgency.due_us)
             self.state.reorder()
             self.state.needs_placement = True
 
     def task_completed(self, partition: JobPartition) -> None:
-        """A task of the partition was added to `unrecorded_done`."""
+        """Note that a task of the partition was added to `unrecorded_done`."""
         self.results.mark_dirty(partition.job_id)
 
     def is_recorded(self, attempt: Attempt) -> bool:
-        """Whether the result of an attempt is safe in the records, so that its worker may forget it."""
+        """Whether the result of an attempt is stored durably, so that its worker may forget it."""
         if attempt.end_cause != m.CAUSE_DONE:
             return True
         partition = self.state.partitions.get(attempt.job_id)
@@ -66,17 +66,17 @@
         return job is not None and records.is_final(job)
 
     def write_due(self) -> None:
-        """Record finished tasks as they are due, after jobs whose urgency has risen were looked at."""
-        for job_id in self.urgency.take_risen():
+        """Record the finished tasks that are due, after updating the jobs whose urgency has risen."""
+        for job_id in self.urgency.pop_risen():
             self.urgency_changed(job_id)
         self.results.write_due()
 
     def movable(self, partition: JobPartition) -> list[int]:
-        """Tasks that may be moved to another shard (`PartitionMover.movable`)."""
+        """Return the tasks that may be moved to another shard (`PartitionMover.movable`)."""
         return self.mover.movable(partition)
 
     def split_zones(self, partition: JobPartition) -> ZoneSplit | None:
-        """How a spread service may be split between two shards (`PartitionMover.split_zones`)."""
+        """Return how a spread service may be split between two shards (`PartitionMover.split_zones`)."""
         return self.mover.split_zones(partition)
 
     def move(self, partition: JobPartition, indices: list[int], target: int, split: ZoneSplit | None = None) -> None:
