--- a/quinceslip/coordination/jobs/partition_mover.py
+++ b/quinceslip/coordination/jobs/partition_mover.py
@@ -18,11 +18,11 @@
 
 log = logging.getLogger(__name__)
 
-#: a transaction takes so many conditions for each of its operations (PROTOCOL)
+#: conditions that a transaction may have for each of its operations (PROTOCOL)
 CONDITIONS_PER_TXN_OP = 4
-#: conditions of a job's end besides those on its moved partitions: the records of the shard and of the job
-OTHER_CONDITIONS_OF_AN_END = 2
-#: outcomes of a write that surely was not applied
+#: conditions of a job's final write besides those on its moved partitions: the records of the shard and of the job
+FIXED_COMPLETION_CONDITIONS = 2
+#: outcomes of a write that was certainly not applied
 NOT_APPLIED = frozenset(
     {
         NOT_SENT,
@@ -43,13 +43,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MovePlan:
-    """The records as a move leaves them: the job's, and the partitions of both shards, the source first."""
+    """The records after a move: that of the job, and the partitions of both shards, the source first."""
 
     job: JobRecord
     partitions: dict[int, PartitionRecord]
 
-    def values(self) -> Iterator[JobRecord | PartitionRecord]:
-        """Every record that this move or a later result writes: as it is now, and with all tasks done."""
+    def record_variants(self) -> Iterator[JobRecord | PartitionRecord]:
+        """Yield each record that this move or later results write: as it is now, and with all tasks done."""
         done = {
             shard: msgspec.structs.replace(partition, done=partition.assigned)
             for shard, partition in self.partitions.items()
@@ -60,7 +60,7 @@
         yield from done.values()
 
     def puts(self, job_id: str) -> dict[str, tuple[Any, int | None]]:
-        """What is written, by key; the home partition is part of the job's record."""
+        """Return the records to write, by key; the home partition is part of the job's record."""
         puts: dict[str, tuple[Any, int | None]] = {
             records.partition_key(shard, job_id): (partition, None)
             for shard, partition in self.partitions.items()
@@ -71,32 +71,32 @@
 
 
 class PartitionMover:
-    """Hands waiting tasks to other shards."""
+    """Moves waiting tasks to other shards."""
 
     def __init__(self, state: ShardState, results: ResultWriter) -> None:
         self.state = state
         self.ctx = state.ctx
         self.results = results
 
-    # What may move.
+    # Which tasks may be moved.
 
     def movable(self, partition: JobPartition) -> list[int]:
-        """Tasks certain not to be running; all or nothing where zones bind the tasks together."""
-        # A job that is suspected of a crash loop stays where that is known.
-        if _is_unsettled(partition) or partition.crash_loop.suspected:
+        """Return the tasks that are certainly not running; all or none if the job must stay in one shard."""
+        # A job suspected of a crash loop stays in the shard that knows of the suspicion.
+        if _is_unresolved(partition) or partition.crash_loop.suspected:
             return []
-        if partition.spec.indivisible and not _is_untouched(partition):
+        if partition.spec.indivisible and not _all_unfinished_waiting(partition):
             return []
         return list(partition.pending)
 
     def split_zones(self, partition: JobPartition) -> ZoneSplit | None:
-        """How a spread service may be split between this shard and another; None: not at all.
+        """Return how a spread service may be split between this shard and another; None if it may not be.
 
-        The zones of both never meet, so each shard can keep to the spread by counting its own tasks.
+        The zones of the two never overlap, so each shard can enforce the spread by counting its own tasks.
         """
         spec = partition.spec
         may_split = spec.service and spec.spread and not spec.one_zone and not spec.zone
-        if not may_split or _is_unsettled(partition) or not partition.pending:
+        if not may_split or _is_unresolved(partition) or not partition.pending:
             return None
         allowed = partition.zones or set(self.ctx.settings.facts.zones)
         used = self._used_zones(partition.job_id)
@@ -104,17 +104,17 @@
         return split if split.staying and split.moving else None
 
     def _used_zones(self, job_id: str) -> set[str]:
-        """Zones of the workers that may have tasks of a job."""
+        """Return the zones of the workers that may have tasks of a job."""
         attempts = self.state.attempts_by_job.get(job_id, ())
         workers = (self.state.worker_of(attempt) for attempt in attempts)
         return {worker.zone for worker in workers if worker is not None}
 
-    # The move.
+    # Moving them.
 
     def move(self, partition: JobPartition, indices: list[int], target: int, split: ZoneSplit | None = None) -> None:
-        """Move waiting tasks to the shard `target`; not where records would become too large.
+        """Move waiting tasks to the shard `target`, unless a record would become too large.
 
-        The tasks are indeterminate until the outcome is known: they wait in neither shard meanwhile.
+        The tasks are indeterminate until the outcome is known; until then they wait in neither shard.
         """
         job = self.ctx.cache.job(partition.job_id)
         if job is None or job.state != m.QUEUED or not indices:
@@ -128,10 +128,10 @@
     def _plan(
         self, partition: JobPartition, job: JobRecord, moved: set[int], target: int, split: ZoneSplit
     ) -> MovePlan:
-        there = self.ctx.cache.partition(target, partition.job_id) or PartitionRecord("")
-        zones_there = split.moving
-        if there.assigned and there.zones and split.moving:
-            zones_there = split.moving | set(there.zones)
+        target_record = self.ctx.cache.partition(target, partition.job_id) or PartitionRecord("")
+        target_zones = split.moving
+        if target_record.assigned and target_record.zones and split.moving:
+            target_zones = split.moving | set(target_record.zones)
         partitions = {
             self.state.index: PartitionRecord(
                 task_sets.encode(partition.assigned - moved),
@@ -139,22 +139,24 @@
                 sorted(split.staying),
             ),
             target: PartitionRecord(
-                task_sets.encode(task_sets.decode(there.assigned) | moved), there.done, sorted(zones_there)
+                task_sets.encode(task_sets.decode(target_record.assigned) | moved),
+                target_record.done,
+                sorted(target_zones),
             ),
         }
-        away = {*job.parts, *(shard for shard in partitions if shard != job.shard)}
+        other_shards = {*job.parts, *(shard for shard in partitions if shard != job.shard)}
         home_partition = partitions.get(job.shard, job.partition)
-        return MovePlan(msgspec.structs.replace(job, parts=sorted(away), partition=home_partition), partitions)
+        return MovePlan(msgspec.structs.replace(job, parts=sorted(other_shards), partition=home_partition), partitions)
 
     def _is_recordable(self, plan: MovePlan) -> bool:
-        """Whether the store takes this move and all that follows from it.
+        """Whether the store accepts this move and every write that follows from it.
 
-        Guard: what moves must be recordable, now and to the last result; a job's end has a condition on each partition.
+        Guard: the records must fit now and with all results; a job's final write has a condition on each partition.
         """
-        conditions = len(plan.job.parts) + OTHER_CONDITIONS_OF_AN_END
+        conditions = len(plan.job.parts) + FIXED_COMPLETION_CONDITIONS
         if conditions > CONDITIONS_PER_TXN_OP * self.ctx.limits.txn_ops:
             return False
-        return all(map(self.ctx.fits_record, plan.values()))
+        return all(map(self.ctx.fits_record, plan.record_variants()))
 
     def _mark_moving(self, partition: JobPartition, moved: set[int]) -> None:
         for index in moved:
@@ -175,7 +177,7 @@
             elif status in NOT_APPLIED:
                 indeterminate, partition.indeterminate = partition.indeterminate, set()
                 self.state.add_pending(partition, indeterminate)
-            # Otherwise the outcome is open: the tasks stay indeterminate until the record changes.
+            # Otherwise the outcome is unknown: the tasks stay indeterminate until the record changes.
 
         puts = plan.puts(job_id)
         conditions = dict(self.state.election.fencing_condition(self.state.index))
@@ -184,12 +186,12 @@
         self.ctx.compare_and_swap(conditions, puts, [], on_written, urgency)
 
 
-def _is_unsettled(partition: JobPartition) -> bool:
-    """Whether a write of the partition is open, or tasks of it are not yet known to be anywhere."""
+def _is_unresolved(partition: JobPartition) -> bool:
+    """Whether a write of the partition is in flight, or the location of some of its tasks is not known yet."""
     return bool(partition.writing or partition.moving or partition.indeterminate or partition.unreconciled)
 
 
-def _is_untouched(partition: JobPartition) -> bool:
-    """Whether all tasks that are not recorded as done wait."""
-    waiting = len(partition.pending) == len(partition.assigned) - len(partition.done)
-    return waiting and not partition.unrecorded_done
+def _all_unfinished_waiting(partition: JobPartition) -> bool:
+    """Whether every task that is not recorded as done is waiting."""
+    all_waiting = len(partition.pending) == len(partition.assigned) - len(partition.done)
+    return all_waiting and not partition.unrecorded_done
--- a/quinceslip/coordination/jobs/result_writer.py
+++ b/quinceslip/coordination/jobs/result_writer.py
@@ -12,19 +12,19 @@
 from quinceslip.storage import task_sets
 from quinceslip.storage.records import JobRecord, PartitionRecord
 
-#: a result that completes nothing may wait this long at least, so that others join it
+#: shortest pause between writes of results that do not complete a partition, so that one write holds several
 MIN_RESULT_PAUSE_US = SECOND
-#: pause before a complete partition looks again whether its whole job is done
+#: pause before a complete partition checks again whether its whole job is done
 COMPLETION_CHECK_US = SECOND
-#: what may go into such results, as a part of the write budget of this controller
-RESULT_WRITE_PART = 0.25
+#: fraction of this controller's write budget that such results may use
+RESULT_WRITE_FRACTION = 0.25
 
 
 class ResultWriter:
-    """Writes the results of finished tasks, one write for each partition at a time.
+    """Writes the results of finished tasks, one write at a time for each partition.
 
-    What completes a partition is written at once, since a user waits for it. Other results wait on their workers and
-    are lost only together with these, so they are written as seldom as the write budget asks.
+    A result that completes a partition is written at once, since a user waits for it. Other results stay on their
+    workers and are lost only together with these, so they are written as rarely as the write budget requires.
     """
 
     def __init__(self, state: ShardState, writer: FencedWriter, completion: JobCompletion) -> None:
@@ -34,18 +34,18 @@
         self.completion = completion
         #: jobs whose partitions may have something to record
         self.dirty_jobs: set[str] = set()
-        self.writes_per_s = RESULT_WRITE_PART * self.ctx.limits.write_rps / self.ctx.settings.facts.size
+        self.writes_per_s = RESULT_WRITE_FRACTION * self.ctx.limits.write_rps / self.ctx.settings.facts.size
 
     def mark_dirty(self, job_id: str) -> None:
-        """Look at a job's partition at the next `write_due`."""
+        """Check a job's partition at the next `write_due`."""
         self.dirty_jobs.add(job_id)
 
     def clear_dirty(self, job_id: str) -> None:
-        """The partition has nothing to record."""
+        """Note that a job's partition has nothing to record."""
         self.dirty_jobs.discard(job_id)
 
     def write_due(self) -> None:
-        """Record what is due of the dirty partitions."""
+        """Record the results of dirty partitions that are due."""
         partitions = self._dirty_partitions()
         pause_us = self._result_pause_us(partitions)
         for partition in partitions:
@@ -57,7 +57,7 @@
         return [partition for partition in found if partition is not None]
 
     def _result_pause_us(self, partitions: list[JobPartition]) -> int:
-        """Pause between two writes of one partition, so that all of them keep to the write budget."""
+        """Return the pause between two writes of one partition that keeps all writes within the budget."""
         with_results = sum(1 for partition in partitions if partition.unrecorded_done)
         return max(MIN_RESULT_PAUSE_US, int(with_results / self.writes_per_s * SECOND))
 
@@ -67,7 +67,7 @@
         if partition.unrecorded_done and (complete or now_us >= partition.next_result_us):
             self._write(partition, pause_us, complete)
         elif partition.indeterminate and not partition.moving:
-            # The same record under a new revision settles a move with indeterminate outcome.
+            # Writing the same record under a new revision resolves a move of unknown outcome.
             self._write(partition, pause_us, False)
         elif complete and not partition.unrecorded_done:
             partition.next_write_us = now_us + COMPLETION_CHECK_US
@@ -76,7 +76,7 @@
             self.clear_dirty(partition.job_id)
 
     def _write(self, partition: JobPartition, pause_us: int, complete: bool) -> None:
-        """Write the partition's record, or the final record of the job where that was the last of it."""
+        """Write the partition's record, or the final record of the job if its last tasks are done."""
         cache, job_id = self.ctx.cache, partition.job_id
         job = cache.job(job_id)
         if job is None or job.state != m.QUEUED:
@@ -96,21 +96,21 @@
         self.writer.write(partition, key, value, urgency, {key: cache.mod_revision(key)})
 
     def _record(self, partition: JobPartition, job: JobRecord, done: set[int]) -> JobRecord | PartitionRecord:
-        """The record that contains the partition, with these tasks done: at the home shard that of the job."""
+        """Return the record that contains the partition, with these tasks done: at the home shard that of the job."""
         record = PartitionRecord(task_sets.encode(partition.assigned), task_sets.encode(done), sorted(partition.zones))
         return msgspec.structs.replace(job, partition=record) if job.shard == self.state.index else record
 
     def _largest_fitting_record(self, partition: JobPartition, job: JobRecord) -> JobRecord | PartitionRecord | None:
-        """The partition's record with its results, or with as many as fit; the others wait on their workers.
+        """Return the partition's record with its results, or with as many as fit; the others wait on their workers.
 
-        None where none fits and nothing else is to be settled: the last result may make the set short again.
+        None if no result fits and no move has to be resolved: further results may make the encoded set shorter again.
         """
         record = self._record(partition, job, partition.done | partition.unrecorded_done)
         if self.ctx.fits_record(record):
             return record
         results = sorted(partition.unrecorded_done)
         fitting, too_many = 0, len(results)
-        # Bound: the logarithm of the results; each turn halves what is between.
+        # Bound: the logarithm of the number of results; each iteration halves the interval.
         while fitting + 1 < too_many:
             middle = (fitting + too_many) // 2
             if self.ctx.fits_record(self._record(partition, job, partition.done | set(results[:middle]))):
