--- a/quinceslip/coordination/scheduling/gangs.py
+++ b/quinceslip/coordination/scheduling/gangs.py
@@ -19,24 +19,24 @@
     launcher: TaskLauncher
 
     def place(self, partition: JobPartition, offered: list[Worker]) -> None:
-        """Place all tasks or none; nothing is sent before all have a place, so launches can be taken back."""
+        """Place all tasks or none; nothing is sent before all have a machine, so launches can be undone."""
         if not self._ready(partition):
             return
         placed: list[Attempt] = []
         for index in list(partition.pending):
             zones = eligible_zones(self.state, partition)
-            worker = self.preference.best(partition, offered, zones, index)
+            worker = self.preference.best_machine(partition, offered, zones, index)
             if worker is None:
                 self.launcher.undo(partition, placed)
                 return
-            # Tasks of a gang know each other by their attempt, so they share its number.
+            # The tasks of a gang identify each other by the attempt number, so they share one.
             number = placed[0].number if placed else 0
             placed.append(self.launcher.launch(partition, index, worker, number))
         for attempt in placed:
             partition.pending.discard(attempt.index)
 
     def _ready(self, partition: JobPartition) -> bool:
-        """Whether every task that is not done waits: none of an earlier attempt is left, none pauses."""
+        """Whether every unfinished task is waiting: no earlier attempt is left, and no retry is delayed."""
         unfinished = len(partition.assigned) - len(partition.done) - len(partition.unrecorded_done)
         if len(partition.pending) != unfinished:
             return False
--- a/quinceslip/coordination/scheduling/independent_tasks.py
+++ b/quinceslip/coordination/scheduling/independent_tasks.py
@@ -1,8 +1,8 @@
-"""Placement of tasks that nothing binds together: the machines in order of preference, each filled in turn."""
+"""Placement of tasks that do not depend on each other: fills the machines in order of preference."""
 
 from dataclasses import dataclass
 
-from quinceslip.coordination.scheduling.machine_preference import MachinePreference, has_remains_of
+from quinceslip.coordination.scheduling.machine_preference import MachinePreference, has_attempt_of
 from quinceslip.coordination.scheduling.pass_context import PassContext, delayed_retries_withheld
 from quinceslip.coordination.scheduling.preemption import Preemption
 from quinceslip.coordination.scheduling.quota_gate import QuotaGate
@@ -19,14 +19,14 @@
     context: PassContext
     partition: JobPartition
     withheld: list[int]  # tasks that do not start in this turn; returned to the queue after it
-    launched_before: int  # count of the launcher when the turn began
+    launched_before: int  # the launcher's count when the turn began
 
 
 @dataclass(slots=True)
 class IndependentTaskPlacer:
     """Places the tasks of job arrays and of services without zone constraints.
 
-    Of two machines best fit takes the fuller one, and it stays the best as it fills up.
+    Best fit prefers the fuller of two machines, so the best machine stays the best as it fills up.
     """
 
     state: ShardState
@@ -50,8 +50,8 @@
             context.failed_searches.record(partition, None)
 
     def _fill_machines(self, turn: _Turn, offered: list[Worker]) -> bool:
-        """Fill the machines in order of preference; whether all were tried, and tasks may still want more."""
-        for worker in self.preference.ordered(turn.partition, offered):
+        """Fill the machines in order of preference; return whether all were tried and tasks still wait."""
+        for worker in self.preference.ordered_machines(turn.partition, offered):
             if not self._fill_machine(turn, worker):
                 return False
             if not turn.partition.pending:
@@ -59,30 +59,30 @@
         return True
 
     def _fill_machine(self, turn: _Turn, worker: Worker) -> bool:
-        """Launch on that machine what has room there; whether more of the partition may start in this pass."""
+        """Launch the tasks that fit on the machine; return whether more of the partition may start in this pass."""
         partition = turn.partition
-        # Bound: the tasks that wait; each turn takes one out of them, and those withheld come back after the loop.
+        # Bound: the waiting tasks; each iteration removes one, and withheld ones are returned after the loop.
         while partition.pending and fits(worker.free(), partition.spec):
             if not self.quota_gate.admits_one(turn.context, partition) or self._single_start_made(turn):
                 return False
             index = partition.pending.peek()
             partition.pending.discard(index)
-            if has_remains_of(worker, f"{partition.job_id}/{index}"):
+            if has_attempt_of(worker, f"{partition.job_id}/{index}"):
                 turn.withheld.append(index)
                 continue
             self.launcher.launch(partition, index, worker)
         return True
 
     def _preempt_for_rest(self, turn: _Turn) -> bool:
-        """Stop other work for the tasks that still wait; whether there is none left to stop."""
+        """Preempt other work for the tasks that still wait; return whether there is none left to preempt."""
         context, partition = turn.context, turn.partition
-        # Bound: the tasks that wait; each turn launches one.
+        # Bound: the waiting tasks; each iteration launches one.
         while (
             partition.pending
             and self.quota_gate.admits_one(context, partition, context.machines, machines_full=True)
             and not self._single_start_made(turn)
         ):
-            worker = self.preemption.make_room(partition, context.machines, None, quick_only=False)
+            worker = self.preemption.make_room(partition, context.machines, None, exclude_slow_fetch=False)
             if worker is None:
                 return True
             index = partition.pending.peek()
@@ -91,5 +91,5 @@
         return False
 
     def _single_start_made(self, turn: _Turn) -> bool:
-        """Whether the partition goes before others with one task only, and that one has started."""
+        """Whether the partition has precedence for its first task only, and that task has started."""
         return turn.partition.precedence == ONE and self.launcher.launched > turn.launched_before
--- a/quinceslip/coordination/scheduling/machine_eligibility.py
+++ b/quinceslip/coordination/scheduling/machine_eligibility.py
@@ -6,7 +6,7 @@
 
 
 def satisfies_constraints(worker: Worker, spec: m.JobSpec, zones: set[str] | None) -> bool:
-    """Whether type, zone and kind (spot or not) of the machine suit the task; `zones`: the eligible ones, None: any."""
+    """Whether the machine's type, zone and kind (spot or not) suit the task; `zones`: eligible zones, None for any."""
     return (
         worker.type is not None
         and (spec.types is None or worker.type.label in spec.types)
@@ -17,7 +17,7 @@
 
 
 class MachineEligibility:
-    """Which machines of a shard can be given tasks now."""
+    """Tells which machines of a shard can be given tasks now."""
 
     def __init__(self, state: ShardState) -> None:
         timing = state.ctx.timing
--- a/quinceslip/coordination/scheduling/machine_preference.py
+++ b/quinceslip/coordination/scheduling/machine_preference.py
@@ -1,4 +1,4 @@
-"""Bin packing: which of the machines that have room for a task it is given."""
+"""Bin packing: which of the machines that have room for a task is used."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -9,37 +9,38 @@
 from quinceslip.coordination.shard_state.worker import Worker, fits
 from quinceslip.protocol import messages as m
 
-#: fetches may be a third slower than the rate of their machine type, and a start takes a moment besides
+#: fraction of the acceptable wait that a fetch may take: it may be a third slower than the rate of the machine type,
+#: and the start itself takes time as well
 USABLE_FETCH_FRACTION = 0.7
-#: a machine so many times as large as what services would have of it is not used for them if another will do
+#: services avoid a machine that is more than this many times as large as what they would use of it
 OVERSIZED_FACTOR = 6.0
-#: a machine on which more tasks than this have failed is used last
+#: machines on which more tasks than this have failed are used last
 MAX_TRUSTED_FAILURES = 1
 
 
-def has_remains_of(worker: Worker, task: str) -> bool:
-    """Whether an attempt of that task, though it may have ended, is still known or reported on the machine."""
+def has_attempt_of(worker: Worker, task: str) -> bool:
+    """Whether an attempt of that task, even an ended one, is still known or reported on the machine."""
     return task in worker.attempts or task in worker.reported_tasks
 
 
 class MachinePreference:
-    """The order in which a task tries machines."""
+    """The order in which machines are tried for a task."""
 
     def __init__(self, state: ShardState) -> None:
         self.state = state
         objectives = state.ctx.settings.facts.objectives
         self._max_wait_s = {o.job_class: o.within_s for o in objectives if o.kind == "wait"}
-        self._order_by_task_shape: dict[tuple[object, ...], deque[Worker]] = {}  # of this pass
+        self._order_by_task_shape: dict[tuple[object, ...], deque[Worker]] = {}  # for this pass
 
     def start_pass(self) -> None:
-        """Forget the orders of the last pass."""
+        """Discard the orders of the last pass."""
         self._order_by_task_shape.clear()
 
-    def ordered(self, partition: JobPartition, workers: Iterable[Worker]) -> Iterable[Worker]:
-        """The machines with room for a task, the best first.
+    def ordered_machines(self, partition: JobPartition, workers: Iterable[Worker]) -> Iterable[Worker]:
+        """Return the machines with room for a task, best first.
 
-        Where quotas give few tasks to many teams the order is found once a pass for all partitions of one shape: the
-        machine that was best stays so as it fills up; the order of the others is that of the first look.
+        With quotas, many teams get a few tasks each, so the order is sorted once a pass for all partitions of one
+        shape: the best machine stays the best as it fills up, and the others keep the order they were first sorted in.
         """
         if self.state.quota is None or partition.crash_loop.blamed_machines:
             return self._sorted(partition, workers)
@@ -47,15 +48,15 @@
         order = self._order_by_task_shape.get(shape)
         if order is None:
             order = self._order_by_task_shape[shape] = deque(self._sorted(partition, workers))
-        # Bound: the machines in order; each turn drops one.
+        # Bound: the machines in order; each iteration drops one.
         while order and not fits(order[0].free(), partition.spec):
             order.popleft()
         return order
 
-    def best(
+    def best_machine(
         self, partition: JobPartition, workers: Iterable[Worker], zones: set[str] | None, index: int
     ) -> Worker | None:
-        """The best machine in those zones on which nothing of that task is left; None: no machine has room."""
+        """Return the best machine in those zones that has no attempt of the task; None if no machine has room."""
         spec = partition.spec
         task = f"{partition.job_id}/{index}"
         suitable = (
@@ -63,23 +64,23 @@
             for worker in workers
             if fits(worker.free(), spec)
             and satisfies_constraints(worker, spec, zones)
-            and not has_remains_of(worker, task)
+            and not has_attempt_of(worker, task)
         )
         return min(suitable, key=lambda worker: self._sort_key(partition, worker), default=None)
 
     def slow_fetch(self, worker: Worker, spec: m.JobSpec) -> bool:
-        """Whether the fetch of its image alone takes longer than users want to wait for a start."""
+        """Whether fetching the task's image there takes longer than users accept to wait for a start."""
         if worker.type is None or spec.image in worker.images:
             return False
         return not self.quick_type(worker.type, spec)
 
     def quick_type(self, machine_type: m.MachineType, spec: m.JobSpec) -> bool:
-        """Whether a machine of that type fetches the image of the task within the wait that users accept."""
+        """Whether machines of that type fetch the image of the task within the wait that users accept."""
         max_wait_s = self._max_wait_s.get(spec.job_class)
         return max_wait_s is None or spec.image_gb <= USABLE_FETCH_FRACTION * max_wait_s * machine_type.fetch_gb_per_s
 
     def _sorted(self, partition: JobPartition, workers: Iterable[Worker]) -> list[Worker]:
-        """Best fit among the machines that have room, those with the image first."""
+        """Return the machines that have room, best fit first, after the preferences of `_sort_key`."""
         found = [
             (self._sort_key(partition, worker), worker)
             for worker in workers
@@ -89,26 +90,25 @@
         return [worker for _, worker in found]
 
     def _sort_key(self, partition: JobPartition, worker: Worker) -> tuple[object, ...]:
-        """Smaller is better: machines that fail tasks come last, then best fit decides, then the name."""
+        """Sort key, smaller is better: machines on which tasks fail come last, then best fit decides, then the name."""
         spec = partition.spec
         free_cpus, _, free_memory_gb = worker.free()
         return (
             worker.task_failures > MAX_TRUSTED_FAILURES,
             worker.name in partition.crash_loop.blamed_machines,
-            *self._before_best_fit(worker, spec),
+            *self._keys_before_best_fit(worker, spec),
             free_cpus - spec.cpus,
             free_memory_gb - spec.memory_gb,
             worker.name,
         )
 
-    def _before_best_fit(self, worker: Worker, spec: m.JobSpec) -> tuple[float, ...]:
-        """What comes before best fit. Smaller is better."""
+    def _keys_before_best_fit(self, worker: Worker, spec: m.JobSpec) -> tuple[float, ...]:
+        """Return the parts of the sort key that take precedence over best fit; smaller is better."""
         uncached = float(spec.image not in worker.images)
         service_cpus = worker.service_cpus
         if spec.service:
-            # Services stay for long: where they leave least besides themselves, whatever else
-            # runs there now, the other machines can be returned. But not where the fetch alone
-            # takes longer than users want to wait.
+            # Services run for long. They go where services leave the least room, whatever else runs there now, so that
+            # the other machines can be returned; but not where the image fetch takes longer than users accept to wait.
             size = worker.type.cpus if worker.type else 0.0
             return (
                 float(self.slow_fetch(worker, spec)),
@@ -116,9 +116,8 @@
                 float(size > OVERSIZED_FACTOR * (service_cpus + spec.cpus)),
                 size - service_cpus - spec.cpus,
             )
-        # Work that may use spot machines leaves the others to work that may not, and of those
-        # prefers the ones that services keep rented anyway. Idle machines stay idle while others
-        # have room, so that they can be returned.
+        # Work that may use spot machines leaves the others to work that may not, and among these prefers the ones that
+        # services keep rented anyway. Idle machines stay idle while others have room, so that they can be returned.
         return (
             float(spec.spot and not worker.spot),
             float(not service_cpus and not worker.spot),
@@ -128,7 +127,7 @@
 
 
 def _task_shape(spec: m.JobSpec) -> tuple[object, ...]:
-    """All of a task that the order of machines depends on."""
+    """Return all properties of a task that the order of machines depends on."""
     return (
         spec.image,
         spec.cpus,
--- a/quinceslip/coordination/scheduling/placement_pass.py
+++ b/quinceslip/coordination/scheduling/placement_pass.py
@@ -1,9 +1,9 @@
 """One pass over the queue: each partition in turn is offered the machines that have room.
 
-No task is looked for again that is as large as one that found no place in the same pass.
+Once no machine was found for a task, the pass does not search for tasks that are as large.
 """
 
-from quinceslip.coordination.scheduling.candidates import CandidateMachines, having_free_cpus
+from quinceslip.coordination.scheduling.candidates import CandidateMachines, filter_by_free_cpus
 from quinceslip.coordination.scheduling.failed_searches import FailedSearches
 from quinceslip.coordination.scheduling.gangs import GangPlacer
 from quinceslip.coordination.scheduling.independent_tasks import IndependentTaskPlacer
@@ -22,7 +22,7 @@
 
 
 class PlacementPass:
-    """Runs passes over queues of a shard, and places each partition the way its job needs."""
+    """Runs passes over queues of a shard, placing each partition as its job requires."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self.all_zones = set(state.ctx.settings.facts.zones)
 
     def run(self, queue: list[JobPartition], machines: CandidateMachines, whole_shard: bool) -> None:
-        """Place what the queue holds, in its order."""
+        """Place the partitions of the queue, in its order."""
         if not queue:
             return
         self.preference.start_pass()
@@ -57,31 +57,31 @@
                 continue
             if not whole_shard and not with_room:
                 return
-            if not self.quota_gate.admits_whole(context, partition):
+            if not self.quota_gate.admits_whole_job(context, partition):
                 continue
             self._place(context, partition, with_room)
-            if self._found_no_place(context, partition):
+            if self._is_unplaceable(context, partition):
                 unplaceable_shapes.add(partition.shape)
             if partition.priority > 0 and with_room and self.launcher.launched != launched:
                 launched = self.launcher.launched
-                with_room = having_free_cpus(with_room, smallest_cpus)
+                with_room = filter_by_free_cpus(with_room, smallest_cpus)
 
     def _place(self, context: PassContext, partition: JobPartition, with_room: list[Worker]) -> None:
-        """Offer the machines to one partition, and note what became of it."""
+        """Offer the machines to one partition, and handle the outcome."""
         launched_before = self.launcher.launched
         offered = with_room
         if self.reservation.machines:
-            offered = [worker for worker in with_room if not self.reservation.is_reserved_from(worker, partition)]
+            offered = [worker for worker in with_room if not self.reservation.is_withheld_from(worker, partition)]
         self._place_by_kind(context, partition, offered)
         if not context.whole_shard:
             return
         if partition.pending and self.state.quota is not None:
             self.state.quota.not_placed(partition)
         if partition.precedence:
-            self._after_precedence(context, partition, started=self.launcher.launched != launched_before)
+            self._handle_precedence(context, partition, started=self.launcher.launched != launched_before)
 
     def _place_by_kind(self, context: PassContext, partition: JobPartition, offered: list[Worker]) -> None:
-        """Place the partition in the way its tasks need; gangs in passes over the whole shard only."""
+        """Place the partition according to the kind of its job; gangs only in passes over the whole shard."""
         if partition.spec.gang:
             if context.whole_shard:
                 self.gangs.place(partition, offered)
@@ -90,16 +90,16 @@
         else:
             self.independent.place(context, partition, offered)
 
-    def _found_no_place(self, context: PassContext, partition: JobPartition) -> bool:
-        """Whether tasks still wait for which no zone has a machine."""
+    def _is_unplaceable(self, context: PassContext, partition: JobPartition) -> bool:
+        """Whether the partition has waiting tasks for which no zone has a machine."""
         return (
             bool(partition.pending) and not partition.spec.gang and context.failed_searches.covers_all_zones(partition)
         )
 
-    def _after_precedence(self, context: PassContext, partition: JobPartition, started: bool) -> None:
-        """What went first has begun, or machines are reserved for it."""
+    def _handle_precedence(self, context: PassContext, partition: JobPartition, started: bool) -> None:
+        """Reset the precedence of an array whose first task has started, or reserve machines if nothing has started."""
         if partition.precedence == ONE and started:
-            # The others of its tasks wait their turn again, in the next pass.
+            # Its other tasks wait for their regular turn, in the next pass.
             partition.precedence = NOT
             self.state.reorder()
             self.state.needs_placement = True
@@ -107,7 +107,7 @@
             self._reserve_machines(context, partition)
 
     def _reserve_machines(self, context: PassContext, partition: JobPartition) -> None:
-        """Reserve machines in the zones that it may use, if any."""
+        """Reserve machines in the zones that the partition may use, if any."""
         zones = eligible_zones(self.state, partition)
         if zones is not None and not zones:
             return
--- a/quinceslip/coordination/scheduling/preemption.py
+++ b/quinceslip/coordination/scheduling/preemption.py
@@ -1,8 +1,8 @@
-"""Which lower-priority work is stopped so that a task of higher priority has room at once.
+"""Preemption: stops lower-priority work so that a task of higher priority has room at once.
 
-Production and urgent work preempts what has a lower priority. With quotas, work within the guarantee of its team also
-preempts what runs beyond the guarantees of other teams. Of the machines where it can be done, the one is chosen where
-least work is lost.
+Production and urgent work preempts work of lower priority. With quotas, work within the guarantee of its team also
+preempts work that runs beyond the guarantees of other teams. Among the machines where this is possible, the one where
+the least work is lost is chosen.
 """
 
 import logging
@@ -21,38 +21,38 @@
 
 log = logging.getLogger(__name__)
 
-#: the last of the priorities that preempt lower ones: production is 0, urgent work 1
-LAST_PREEMPTING_PRIORITY = 1
-#: what a fetch of the image, and one that is too slow, weigh against CPU seconds lost by preemption
-UNCACHED_COST = 30.0
-SLOW_FETCH_COST = 300.0
+#: the lowest priority that preempts lower ones: production is 0, urgent work 1
+LOWEST_PREEMPTING_PRIORITY = 1
+#: cost of an image fetch, and of one that is too slow, in CPU seconds lost by preemption
+UNCACHED_COST_CPU_S = 30.0
+SLOW_FETCH_COST_CPU_S = 300.0
 
 
 @dataclass(slots=True)
 class PreemptionPlan:
-    """Work on one machine that makes room for a task when it is stopped."""
+    """Work on one machine that makes room for a task if it is stopped."""
 
-    cost: float  # CPU seconds of work that are lost, and what fetching the image weighs
+    cost: float  # CPU seconds of lost work, plus the cost of fetching the image
     worker: Worker
     victims: list[Attempt]
 
 
 class PriorityPreemption:
-    """The policy without quotas: production and urgent work preempts what has a lower priority."""
+    """The policy without quotas: production and urgent work preempts work of lower priority."""
 
     def __init__(self, priority: int) -> None:
         self.priority = priority
 
     def may_preempt(self, victim: Attempt) -> bool:
         """Whether the attempt may be stopped."""
-        return self.priority <= LAST_PREEMPTING_PRIORITY and victim.priority > self.priority
+        return self.priority <= LOWEST_PREEMPTING_PRIORITY and victim.priority > self.priority
 
     def choose(self, victim: Attempt) -> None:
-        """The attempt is among those that are stopped; no other one depends on it."""
+        """Do nothing: without quotas, one victim does not affect which others may be chosen."""
 
 
 class Preemption:
-    """Finds the machine where making room for a task costs least, and makes it."""
+    """Finds the machine where making room for a task costs least, and makes room there."""
 
     def __init__(self, state: ShardState, eligibility: MachineEligibility, preference: MachinePreference) -> None:
         self.state = state
@@ -60,40 +60,40 @@
         self.preference = preference
 
     def make_room(
-        self, partition: JobPartition, machines: CandidateMachines, zones: set[str] | None, quick_only: bool
+        self, partition: JobPartition, machines: CandidateMachines, zones: set[str] | None, exclude_slow_fetch: bool
     ) -> Worker | None:
-        """Stop lower-priority work and return its machine, whose room the task takes at once; None: nowhere possible.
+        """Stop lower-priority work and return its machine, whose room the task takes at once; None if not possible.
 
-        `quick_only`: not on machines where the fetch of the image is too slow.
+        `exclude_slow_fetch` excludes machines where fetching the image is too slow.
         """
         quota = self.state.quota
         guaranteed = quota is not None and bool(quota.guarantees_covering(partition.spec))
-        if partition.priority > LAST_PREEMPTING_PRIORITY and not guaranteed:
+        if partition.priority > LOWEST_PREEMPTING_PRIORITY and not guaranteed:
             return None
         cheapest: PreemptionPlan | None = None
-        for worker in _with_possible_victims(machines, partition.spec, guaranteed):
-            if not self._suitable(worker, partition.spec, zones, quick_only):
+        for worker in _preselect(machines, partition.spec, guaranteed):
+            if not self._suitable(worker, partition.spec, zones, exclude_slow_fetch):
                 continue
             plan = self._plan(partition, worker)
             if plan is not None and (cheapest is None or plan.cost < cheapest.cost):
                 cheapest = plan
         if cheapest is None:
             return None
-        self._carry_out(cheapest, partition)
+        self._execute(cheapest, partition)
         return cheapest.worker
 
-    def _suitable(self, worker: Worker, spec: m.JobSpec, zones: set[str] | None, quick_only: bool) -> bool:
-        """Whether the task could run there, and with `quick_only` start in time, once there is room."""
+    def _suitable(self, worker: Worker, spec: m.JobSpec, zones: set[str] | None, exclude_slow_fetch: bool) -> bool:
+        """Whether the task could run there once there is room, and with `exclude_slow_fetch` also start in time."""
         return (
             self.eligibility.usable(worker)
             and satisfies_constraints(worker, spec, zones)
-            and not (quick_only and self.preference.slow_fetch(worker, spec))
+            and not (exclude_slow_fetch and self.preference.slow_fetch(worker, spec))
         )
 
     def _plan(self, partition: JobPartition, worker: Worker) -> PreemptionPlan | None:
-        """What to stop on that machine; None: all that may be stopped there does not make enough room."""
+        """Return what to stop on that machine; None if stopping all that may be stopped makes too little room."""
         spec = partition.spec
-        room = _room_soon(worker)
+        room = _expected_room(worker)
         policy = self._policy(partition)
         victims: list[Attempt] = []
         lost_cpu_s = 0.0
@@ -101,38 +101,38 @@
             if room.has_room_for(spec):
                 break
             if not policy.may_preempt(candidate):
-                continue  # what was chosen before it leaves its team within its guarantee
+                continue  # the victims chosen so far leave its team within its guarantee
             policy.choose(candidate)
             victims.append(candidate)
             room.add(candidate.spec)
             lost_cpu_s += self._work_at_risk_s(candidate) * candidate.spec.cpus
         if not room.has_room_for(spec):
             return None
-        uncached_cost = UNCACHED_COST * (spec.image not in worker.images)
-        slow_fetch_cost = SLOW_FETCH_COST * self.preference.slow_fetch(worker, spec)
+        uncached_cost = UNCACHED_COST_CPU_S * (spec.image not in worker.images)
+        slow_fetch_cost = SLOW_FETCH_COST_CPU_S * self.preference.slow_fetch(worker, spec)
         return PreemptionPlan(lost_cpu_s + uncached_cost + slow_fetch_cost, worker, victims)
 
     def _policy(self, partition: JobPartition) -> PreemptionPolicy:
-        """Whose work may be stopped on one machine: a policy counts what was chosen, so each machine has its own."""
+        """Create the policy for one machine: a policy counts the victims chosen, so each machine needs its own."""
         if self.state.quota is None:
             return PriorityPreemption(partition.priority)
         return self.state.quota.preemption_policy(partition.spec)
 
     def _work_at_risk_s(self, attempt: Attempt) -> float:
-        """Seconds of work that are lost if the attempt is stopped: those since its last checkpoint, at most."""
+        """Return how many seconds of work may be lost if the attempt is stopped: at most one checkpoint interval."""
         ran_s = (self.state.ctx.now_us - attempt.running_us) / SECOND if attempt.running_us else 0.0
         checkpoint_s = attempt.spec.checkpoint_interval_s
         return min(ran_s, checkpoint_s) if checkpoint_s else ran_s
 
-    def _carry_out(self, plan: PreemptionPlan, partition: JobPartition) -> None:
+    def _execute(self, plan: PreemptionPlan, partition: JobPartition) -> None:
         """Stop the victims at once, without time to save their work."""
         for victim in plan.victims:
             log.info("task preempted task=%s for_job=%s", victim.name, partition.job_id)
             self.state.stop(victim, grace_s=0.0)
 
 
-def _with_possible_victims(machines: CandidateMachines, spec: m.JobSpec, guaranteed: bool) -> list[Worker]:
-    """The machines left by what their sums tell at a glance: on most, nothing may be preempted."""
+def _preselect(machines: CandidateMachines, spec: m.JobSpec, guaranteed: bool) -> list[Worker]:
+    """Return the machines that may have victims, judged by their totals: most machines have none."""
     return [
         worker
         for worker in machines.workers
@@ -140,8 +140,8 @@
     ]
 
 
-def _room_soon(worker: Worker) -> MachineRoom:
-    """What is free on the machine, with what was stopped there for another task: that one may not need all of it."""
+def _expected_room(worker: Worker) -> MachineRoom:
+    """Return the free room including that of work being preempted for another task, which may not need all of it."""
     room = MachineRoom.of(worker)
     for attempt in worker.live_attempts():
         if attempt.stopping and attempt.observed and not attempt.grace_s:
@@ -150,7 +150,7 @@
 
 
 def _victims_in_order(worker: Worker, policy: PreemptionPolicy) -> list[Attempt]:
-    """What may be preempted on the machine: lowest priority first, then what has checkpoints, then what began last."""
+    """Return what may be preempted: lowest priority first, then work with checkpoints, then what started last."""
     victims = [
         attempt
         for attempt in worker.live_attempts()
--- a/quinceslip/coordination/scheduling/quota_gate.py
+++ b/quinceslip/coordination/scheduling/quota_gate.py
@@ -1,4 +1,4 @@
-"""Whether the quota of its team lets a task start, and reports to the quotas what they keep from starting."""
+"""Checks whether a team's quota lets a task start, and reports to the quotas which tasks they block."""
 
 from collections.abc import Iterator
 
@@ -12,7 +12,7 @@
 
 
 class QuotaGate:
-    """What placement asks of the quotas of a shard; without quotas everything may start."""
+    """Checks starts against the quotas of a shard; without quotas everything may start."""
 
     def __init__(self, state: ShardState) -> None:
         self.state = state
@@ -31,7 +31,7 @@
     ) -> bool:
         """Whether one more task may start; a pass over the whole shard reports a refusal to the quotas.
 
-        `machines` are those on which work may be stopped for it; `machines_full`: none of them has room.
+        `machines`: those on which work may be preempted for it; `machines_full`: none of them has room.
         """
         quota, spec = self.state.quota, partition.spec
         if quota is None or quota.allows(spec):
@@ -42,8 +42,8 @@
             quota.blocked_by_quota(partition, 1, placeable, _suitable_machines(usable, spec))
         return False
 
-    def admits_whole(self, context: PassContext, partition: JobPartition) -> bool:
-        """Whether a gang, or a service of which nothing runs yet, may start as a whole; other jobs need not."""
+    def admits_whole_job(self, context: PassContext, partition: JobPartition) -> bool:
+        """Whether a gang, or a service of which nothing runs yet, may start as a whole; true for all other jobs."""
         quota, spec = self.state.quota, partition.spec
         starts_whole = spec.gang or (spec.service and not partition.attempts)
         if quota is None or not starts_whole or not partition.pending:
@@ -57,5 +57,5 @@
 
 
 def _suitable_machines(usable: list[Worker], spec: m.JobSpec) -> Iterator[Worker]:
-    """Those whose type, zone and kind suit the task, found only as far as they are asked for."""
+    """Yield the machines whose type, zone and kind suit the task; lazy, since often only a few are needed."""
     return (worker for worker in usable if satisfies_constraints(worker, spec, None))
--- a/quinceslip/coordination/scheduling/reservation.py
+++ b/quinceslip/coordination/scheduling/reservation.py
@@ -1,7 +1,7 @@
-"""Machines kept free for the job that has waited longest without a machine that has room for it.
+"""Reserves machines for the job that has waited longest without a machine that has room for it.
 
-Those that will have the room soonest take nothing of its priority or a lower one until it is placed. Backfilling by
-estimates is left out: they are wrong by half (docs/end-of-day.md).
+The machines that will have the room soonest get no other work of its priority or a lower one until it is placed.
+There is no backfilling by estimated run times, since these are wrong by half (docs/end-of-day.md).
 
 A plain class: no I/O, no clock but the actor's.
 """
@@ -23,24 +23,24 @@
 
 
 class RoomForecast(NamedTuple):
-    """When a machine may have room for tasks of a partition; sorted, the machines to reserve first come first."""
+    """When a machine may have room for tasks of a partition; forecasts sort in the order of preference."""
 
     newly_reserved: bool  # not reserved for the partition yet
-    free_us: int  # in so many microseconds there may be room for one task
+    free_us: int  # microseconds from now until there may be room for one task
     machine: str
-    places: int  # how many tasks have room once all that ends has ended
+    places: int  # how many tasks fit once all tasks that end have ended
     zone: str
 
 
 class ReservationPlan(NamedTuple):
     """Machines that together have the room for a partition."""
 
-    free_us: int  # in so many microseconds the last of them has room
+    free_us: int  # microseconds from now until the last of them has room
     machines: frozenset[str]
 
 
 class MachineReservation:
-    """The machines reserved for one partition of a shard at a time, so that the cost of reserving is bounded."""
+    """The machines reserved for one partition of a shard at a time, which bounds the cost of reserving."""
 
     def __init__(self, ctx: Context, ageing: Ageing) -> None:
         self.ctx = ctx
@@ -48,8 +48,8 @@
         self.holder: JobPartition | None = None
         self.machines: frozenset[str] = frozenset()  # by name
 
-    def is_reserved_from(self, worker: Worker, partition: JobPartition) -> bool:
-        """Whether the machine is reserved for another partition, which this one must not take it from."""
+    def is_withheld_from(self, worker: Worker, partition: JobPartition) -> bool:
+        """Whether the machine is reserved for another partition, so that this one must not use it."""
         return (
             worker.name in self.machines
             and self.holder is not None
@@ -59,7 +59,7 @@
         )
 
     def release_stale(self, partitions: dict[str, JobPartition]) -> None:
-        """Release what is reserved for a partition that waits no more, or no longer goes first."""
+        """Release the reservation of a partition that no longer waits or no longer goes first."""
         holder = self.holder
         if holder is None:
             return
@@ -72,15 +72,16 @@
             self._release()
 
     def reserve(self, partition: JobPartition, machines: Iterable[Worker]) -> None:
-        """No machine has room for the partition; `machines` are those that it may use.
+        """Reserve some of `machines`, those that it may use, for a partition for which none has room.
 
         One partition at a time has machines reserved: the first of the highest priority.
         """
-        # Guard: only for what has a start granted or is old, or a flood of single tasks would keep machines from other
-        # teams.
+        # Guard: only for a partition whose start is granted or that is aged; otherwise a flood of single tasks would
+        # keep machines from other teams.
         if not partition.start_due and partition.precedence != OLD:
             return
-        # What goes first takes the next place that is large enough; within a usual run each place comes free once.
+        # A partition that goes first gets the next place that is large enough, and within a typical run time each
+        # place comes free once; so nothing is reserved before then.
         if self.ctx.now_us < partition.precedence_since_us + self.ageing.typical_run_us:
             return
         holder = self.holder
@@ -101,11 +102,11 @@
         self.holder, self.machines = partition, names
 
     def _release(self) -> None:
-        """Reserve nothing."""
+        """Drop the reservation."""
         self.holder, self.machines = None, frozenset()
 
     def _soonest_machines(self, partition: JobPartition, machines: list[Worker]) -> frozenset[str]:
-        """The machines that will have the room soonest; none where all of them together never have it."""
+        """Return the machines that will have the room soonest; none if all of them together never will."""
         soonest: ReservationPlan | None = None
         for group in _machine_groups(partition.spec, machines):
             plan = _first_sufficient(partition, sorted(self._forecasts(partition, group)))
@@ -114,12 +115,12 @@
         return soonest.machines if soonest is not None else frozenset()
 
     def _forecasts(self, partition: JobPartition, machines: list[Worker]) -> list[RoomForecast]:
-        """Forecasts of those machines that will have room."""
+        """Return forecasts for the machines that will have room."""
         forecasts = (self._forecast(partition, worker) for worker in machines)
         return [forecast for forecast in forecasts if forecast is not None]
 
     def _forecast(self, partition: JobPartition, worker: Worker) -> RoomForecast | None:
-        """When the machine may have room, as tasks there end by their estimates; None: never."""
+        """Forecast when the machine has room if its tasks end as estimated; None if it never has."""
         spec = partition.spec
         room = MachineRoom.of(worker)
         free_us = 0 if room.has_room_for(spec) else None
@@ -132,13 +133,13 @@
         places = room.count_fitting(spec)
         if not places:
             return None
-        # What is reserved already stays so while it serves: work there was let run out for it.
+        # Machines that are reserved already are preferred: they have been kept free of new work.
         newly_reserved = not (self.holder is partition and worker.name in self.machines)
         return RoomForecast(newly_reserved, free_us, worker.name, places, worker.zone)
 
 
 def _machine_groups(spec: m.JobSpec, machines: list[Worker]) -> list[list[Worker]]:
-    """The sets of machines any one of which may take the whole job: those of each zone, or all."""
+    """Return the groups of machines, one of which must take the whole job: one group for each zone, or all machines."""
     if not spec.one_zone:
         return [machines]
     zones = sorted({worker.zone for worker in machines})
@@ -146,7 +147,7 @@
 
 
 def _first_sufficient(partition: JobPartition, forecasts: list[RoomForecast]) -> ReservationPlan | None:
-    """The first of the machines that together have the room needed; None: all together have not."""
+    """Plan with the first machines that together have the room needed; None if all together do not have it."""
     spec = partition.spec
     tasks_left = partition.startable() if spec.gang or spec.service else 1
     max_per_zone = max_tasks_per_zone(spec) if spec.spread else tasks_left
@@ -168,7 +169,7 @@
 
 
 def _expected_ends(worker: Worker, now_us: int) -> list[tuple[int, str, m.JobSpec]]:
-    """In how many microseconds each task there ends by its estimate, soonest first; services never end."""
+    """Return in how many microseconds each task there is estimated to end, soonest first; services never end."""
     return sorted(
         (_remaining_us(attempt.running_us or now_us, attempt.spec, now_us), attempt.name, attempt.spec)
         for attempt in worker.live_attempts()
@@ -177,5 +178,5 @@
 
 
 def _remaining_us(started_us: int, spec: m.JobSpec, now_us: int) -> int:
-    """What is left of the estimated run time."""
+    """Return what is left of the estimated run time."""
     return max(0, started_us + micros(spec.estimated_run_s) - now_us)
--- a/quinceslip/coordination/scheduling/zone_bound_tasks.py
+++ b/quinceslip/coordination/scheduling/zone_bound_tasks.py
@@ -1,4 +1,4 @@
-"""Placement of tasks that are bound by zones: to one zone together, or spread over several."""
+"""Placement of tasks with zone constraints: all in one zone, or spread over several."""
 
 from dataclasses import dataclass
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class ZoneBoundTaskPlacer:
-    """Places such tasks one by one, each in the zones that those before it leave."""
+    """Places such tasks one by one, each in a zone that the tasks placed before leave eligible."""
 
     state: ShardState
     preference: MachinePreference
@@ -26,15 +26,15 @@
     def place(self, context: PassContext, partition: JobPartition, offered: list[Worker]) -> None:
         """Place as many waiting tasks as quotas, zones and machines allow."""
         if context.failed_searches.covers_all_zones(partition):
-            return  # nowhere at all, so it need not be known which zones are left
+            return  # no zone has a machine, so the eligible zones need not be calculated
         with delayed_retries_withheld(partition, self.state.ctx.now_us):
-            # Bound: the tasks that wait; each turn launches one.
+            # Bound: the waiting tasks; each iteration launches one.
             while partition.pending and self.quota_gate.admits_one(context, partition):
                 if not self._place_next(context, partition, offered):
                     return
 
     def _place_next(self, context: PassContext, partition: JobPartition, offered: list[Worker]) -> bool:
-        """Launch the first task that waits; False: no machine for it."""
+        """Launch the first waiting task; return False if there is no machine for it."""
         zones = eligible_zones(self.state, partition)
         no_zone_left = zones is not None and not zones
         if no_zone_left or context.failed_searches.covers(partition, zones):
@@ -56,12 +56,14 @@
         zones: set[str] | None,
         index: int,
     ) -> Worker | None:
-        """A machine with room, or one where room is made; None: there is neither."""
+        """Return a machine with room, or one where room has been made by preemption; None if there is neither."""
         spec = partition.spec
-        free = self.preference.best(partition, offered, zones, index)
+        free = self.preference.best_machine(partition, offered, zones, index)
         if not context.whole_shard:
             return free
         if free is not None and not (spec.service and self.preference.slow_fetch(free, spec)):
             return free
-        # Room that is free but slow to fetch is only second to room that can be made.
-        return self.preemption.make_room(partition, context.machines, zones, quick_only=free is not None) or free
+        # A machine with room but a slow image fetch is used only if no room can be made on a faster one.
+        return (
+            self.preemption.make_room(partition, context.machines, zones, exclude_slow_fetch=free is not None) or free
+        )
