--- a/quinceslip/coordination/scheduling/ageing.py
+++ b/quinceslip/coordination/scheduling/ageing.py
@@ -1,11 +1,11 @@
-"""The starvation bound: what has been passed over for too long goes first.
+"""Starvation bound: jobs that have been passed over for too long go first.
 
-Order by deadline defers the largest job, and what comes free piece by piece is always too small for a large task, or
-for a gang that needs many pieces at once. So a job that has not begun goes before all others of its priority once its
-starvation bound is over; an array with one task, which is its start. So does any job once it has waited for
-START_BOUND_US. For the oldest for which no machine has room, machines are reserved (`reservation`). A start is granted
-whatever the job's team has, the largest job first and within a fraction of what starts; else teams divide what is free
-as before.
+Deadline order defers the largest job, and room that frees up bit by bit is always too small for a large task, or for a
+gang that needs much room at once. So a job that has not started goes before all others of its priority once its
+starvation bound has passed; an array does so with one task only, which counts as its start. Any other job does so once
+it has waited for START_BOUND_US. Machines are reserved for the oldest of these jobs for which no machine has room
+(`reservation`). Starts are granted regardless of the team's quota, to the largest jobs first and up to a fraction of
+all starts; apart from these, teams share the free room as usual.
 
 A plain class: no I/O, no clock but the actor's.
 """
@@ -14,36 +14,36 @@
 from quinceslip.coordination.actor.timing import SECOND, micros
 from quinceslip.coordination.shard_state.partition import NOT, OLD, ONE, WHOLE, JobPartition
 
-#: users: the largest jobs of a class too begin within this long of their submission
+#: users require that even the largest jobs of a class start within this time of their submission
 START_BOUND_US = 240 * SECOND
-#: starts that are granted whatever a team has take this fraction of what a shard starts
+#: fraction of a shard's starts that may be granted regardless of quota
 GRANTED_START_FRACTION = 0.1
-#: run times below this would make the rate of starts unbounded
+#: lower limit on run times, without which the rate of starts would be unbounded
 MIN_RUN_S = 0.1
 
 
 def starvation_bound_us(boot_us: int, run_us: int) -> int:
-    """How long a job that has not begun may be passed over.
+    """Return how long a job that has not started may be passed over.
 
-    What is left of START_BOUND_US is for room to come free once it goes first: a boot or the work in its way, and as
-    much again. At least a quarter of START_BOUND_US, so that deadlines keep their order in an ordinary queue.
+    The rest of START_BOUND_US is left for room to free up once the job goes first: a boot or the work in its way, and
+    as much again. The bound is at least a quarter of START_BOUND_US, so that an ordinary queue keeps deadline order.
     """
     return min(max(START_BOUND_US - 2 * (boot_us + run_us), START_BOUND_US // 4), START_BOUND_US // 2)
 
 
 class Ageing:
-    """Which waiting jobs of a shard have waited too long, and which of them may begin whatever their team has."""
+    """Tracks which jobs of a shard have waited too long, and which of them may start regardless of quota."""
 
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
-        self.typical_run_us = 0  # of a usual task
+        self.typical_run_us = 0  # run time of a typical task
         self._grants_available = 1.0  # starts that may be granted now; a fraction is carried over to the next update
         self._grants_updated_us = ctx.now_us
 
     def update(self, queue: list[JobPartition], run_s: float, slots: int) -> None:
-        """Set the precedence of every waiting partition; to be done whenever the order by deadline is found anew.
+        """Set the precedence of every waiting partition; call this whenever the deadline order is recalculated.
 
-        `run_s` is the run time of a usual task, `slots` how many such tasks the shard runs at a time.
+        `run_s` is the run time of a typical task, `slots` the number of such tasks that the shard runs at a time.
         """
         boot_times_us = [micros(machine_type.boot_s) for machine_type in self.ctx.types.values()]
         bound_us = starvation_bound_us(max(boot_times_us, default=0), micros(run_s))
@@ -56,9 +56,10 @@
         self._grant_starts(queue, slots / max(run_s, MIN_RUN_S))
 
     def _precedence(self, partition: JobPartition, bound_us: int) -> int:
-        """Whether and how the partition goes before others of its priority."""
+        """Return whether and why the partition goes before others of its priority."""
         waited_us = self.ctx.wall_us - partition.submitted_us
-        # What failed has begun, and a suspected job is tried one task at a time: neither is passed over.
+        # A job with failures has started, and one suspected of a crash loop is tried one task at a time: neither is
+        # being passed over.
         if waited_us < bound_us or not partition.startable() or partition.crash_loop.suspected:
             return NOT
         if partition.spec.service or partition.spec.gang:
@@ -68,10 +69,10 @@
         return OLD if waited_us >= START_BOUND_US else NOT
 
     def _grant_starts(self, queue: list[JobPartition], starts_per_s: float) -> None:
-        """Grant starts that do not depend on what the teams have: to the largest jobs first.
+        """Grant starts regardless of the teams' quotas, to the largest jobs first.
 
-        Guard: a flood of single tasks is as many starts as jobs. Were all granted before the teams get their shares,
-        they would go before all that others have; so granted starts get a fraction of what the shard starts.
+        Guard: a flood of jobs with single tasks has one start for each job. If all were granted before teams get their
+        shares, they would go before all work of other teams; so only a fraction of the shard's starts is granted.
         """
         self._replenish_grants(starts_per_s)
         ungranted = []
@@ -85,10 +86,10 @@
             self._grants_available -= 1.0
 
     def _replenish_grants(self, starts_per_s: float) -> None:
-        """Add the grants of the time since the last update; at most one second's starts are saved up."""
-        passed_us = self.ctx.now_us - self._grants_updated_us
+        """Add the grants earned since the last update; at most one second's starts are saved up."""
+        elapsed_us = self.ctx.now_us - self._grants_updated_us
         self._grants_updated_us = self.ctx.now_us
-        replenished = self._grants_available + GRANTED_START_FRACTION * starts_per_s * passed_us / SECOND
+        replenished = self._grants_available + GRANTED_START_FRACTION * starts_per_s * elapsed_us / SECOND
         self._grants_available = min(replenished, max(1.0, starts_per_s))
 
 
--- a/quinceslip/coordination/scheduling/deadline_order.py
+++ b/quinceslip/coordination/scheduling/deadline_order.py
@@ -1,9 +1,8 @@
-"""Deadline scheduling: which waiting jobs can still be on time, and which are deferred for the sake of the others.
+"""Deadline scheduling: selects the waiting jobs that can still be on time, and defers the others.
 
-First come, first served stays the order among jobs that can be on time. When a shard has more
-waiting than it can finish in time, the fewest jobs are late if, walking through the queue, each time
-a job would be late the largest one so far is deferred (Moore and Hodgson's rule). The wait ahead of
-a job is that of the model: waiting tasks over m u.
+Jobs that can be on time stay in first come, first served order. When a shard has more waiting than it can finish in
+time, the fewest jobs are late if one walks through the queue and, each time a job would be late, defers the largest one
+so far (Moore and Hodgson's rule). The wait ahead of a job is that of the queueing model: waiting tasks divided by m u.
 """
 
 import heapq
@@ -11,19 +10,19 @@
 from quinceslip.coordination.actor.timing import SECOND, micros
 from quinceslip.coordination.shard_state.partition import JobPartition
 
-#: estimates are often wrong by half: a job is late only when this fraction of its run time takes too long
+#: estimates are often wrong by half: a job counts as late only if this fraction of its run time would end too late
 CERTAIN_RUN_FRACTION = 0.5
-#: a job of which no task can start now still has a size
+#: size of a job of which no task can start now
 MIN_JOB_CPUS = 0.01
 
 
 def order_by_deadline(partitions: list[JobPartition], cpus_per_s: float, wall_us: int) -> None:
-    """Set `missed_due_times` of every waiting partition, given the CPUs that ending tasks set free in a second."""
+    """Set `missed_due_times` of every waiting partition, given the CPUs that ending tasks free each second."""
     cpus_ahead = 0.0  # CPUs that waiting tasks of higher priority will take first
     for priority in sorted({partition.priority for partition in partitions}):
         deferred = [partition for partition in partitions if partition.priority == priority]
         level = 0
-        # Bound: the most due times of a job; beyond the last of them nothing is deferred any more.
+        # Bound: the largest number of due times of a job; past the last of them nothing is deferred.
         while deferred:
             selection = _OnTimeSelection(level, cpus_per_s, wall_us, cpus_ahead)
             selection.add_all(deferred)
@@ -34,23 +33,23 @@
 
 
 def _due_us(partition: JobPartition, level: int) -> int | None:
-    """The due time of that level, as wall clock; None: the job has fewer."""
+    """Return the due time of that level as wall clock time; None if the job has fewer."""
     return partition.due_us[level] if level < len(partition.due_us) else None
 
 
 class _OnTimeSelection:
-    """Divides partitions of one priority into those that can make their due time of one level, and those deferred."""
+    """Divides partitions of one priority into those that can meet their due time of one level, and those deferred."""
 
     def __init__(self, level: int, cpus_per_s: float, wall_us: int, cpus_ahead: float) -> None:
         self.level = level
         self.cpus_per_s = cpus_per_s
         self.wall_us = wall_us
-        self.cpus_ahead = cpus_ahead  # CPUs that waiting tasks take first, those selected so far included
+        self.cpus_ahead = cpus_ahead  # CPUs that waiting tasks take first, including those selected so far
         self.deferred: list[JobPartition] = []
-        self._selected: list[tuple[float, str, JobPartition]] = []  # a heap by size in CPUs, the largest on top
+        self._selected: list[tuple[float, str, JobPartition]] = []  # a heap by size in CPUs, largest first
 
     def add_all(self, partitions: list[JobPartition]) -> None:
-        """Add the partitions by due time."""
+        """Add the partitions in the order of their due times."""
         past_last_level = all(self.level >= len(partition.due_us) for partition in partitions)
         for partition in sorted(partitions, key=self._sort_key):
             self._select(partition)
@@ -59,16 +58,16 @@
                 self._defer_if_late(partition, due_us)
 
     def on_time(self) -> list[JobPartition]:
-        """The partitions that are not deferred."""
+        """Return the partitions that are not deferred."""
         return [partition for _, _, partition in self._selected]
 
     def _sort_key(self, partition: JobPartition) -> tuple[bool, int, str]:
-        """By due time; what has none comes last, in order of submission."""
+        """Sort key: by due time; partitions without one come last, in order of submission."""
         due_us = _due_us(partition, self.level)
         return (due_us is None, due_us or partition.submitted_us, partition.job_id)
 
     def _select(self, partition: JobPartition) -> None:
-        """Count the partition among those that are on time."""
+        """Add the partition to those that are on time."""
         size = _size_cpus(partition)
         heapq.heappush(self._selected, (-size, partition.job_id, partition))
         self.cpus_ahead += size
@@ -78,7 +77,7 @@
         run_us = micros(CERTAIN_RUN_FRACTION * partition.spec.estimated_run_s)
         wait_us = int(self.cpus_ahead / self.cpus_per_s * SECOND)
         if self.wall_us + run_us > due_us:
-            # Late whatever goes before it.
+            # Late even if it starts now.
             entry = (-_size_cpus(partition), partition.job_id, partition)
             self._selected.remove(entry)
             heapq.heapify(self._selected)
@@ -92,5 +91,5 @@
 
 
 def _size_cpus(partition: JobPartition) -> float:
-    """CPUs of the tasks of a partition that could start now."""
+    """Return the CPUs of the tasks of a partition that could start now."""
     return max(partition.startable() * partition.spec.cpus, MIN_JOB_CPUS)
--- a/quinceslip/coordination/scheduling/placement.py
+++ b/quinceslip/coordination/scheduling/placement.py
@@ -1,7 +1,7 @@
-"""Which task goes to which machine of a shard: the interface of this package, and when passes are made.
+"""Placement of tasks on the machines of a shard: the interface of this package, and when passes are made.
 
-A whole pass looks at every machine that may have room; a pass for one worker, made when its heartbeat says that a task
-has ended, looks at that worker only.
+A full pass considers every machine that may have room; a pass for one worker, made when its heartbeat says that a task
+has ended, considers that worker only.
 """
 
 from quinceslip.coordination.scheduling import zone_constraints
@@ -30,20 +30,20 @@
         self.reservation = MachineReservation(state.ctx, self.ageing)
         self.examined = ExaminedCounter()
         self.passes = PlacementPass(state, self.eligibility, self.preference, self.reservation)
-        # Asked twice for each heartbeat: bound here, so that it costs one call.
+        # Called twice for each heartbeat; binding it here saves a call.
         self.usable = self.eligibility.usable
 
     @property
     def workers_examined(self) -> int:
-        """How many workers passes have examined so far: the work of placement, for tests and profiles."""
+        """Number of workers that passes have examined so far: the work of placement, for tests and profiles."""
         return self.examined.total
 
     def eligible_zones(self, partition: JobPartition) -> set[str] | None:
-        """Zones in which more machines are of use to the job, once the tasks that are kept wait as well; None: any."""
+        """Return the zones in which more machines would help the job once kept tasks wait as well; None for any."""
         return zone_constraints.eligible_zones(self.state, partition, count_kept=False)
 
     def slow_fetch(self, worker: Worker, spec: m.JobSpec) -> bool:
-        """Whether the fetch of the image there takes too long: see `machine_preference`."""
+        """Whether fetching the task's image there takes too long: see `machine_preference`."""
         return self.preference.slow_fetch(worker, spec)
 
     def quick_type(self, machine_type: m.MachineType, spec: m.JobSpec) -> bool:
@@ -73,7 +73,7 @@
         if state.needs_placement or not state.election.may_launch(state.index) or not self.usable(worker):
             return
         if worker.name in self.reservation.machines:
-            state.needs_placement = True  # the partition it is reserved for may need more than this machine
+            state.needs_placement = True  # the partition that holds it may need more than this machine
             return
         if worker.type is None or worker.type.cpus - worker.used_cpus <= EPSILON:
             return
--- a/quinceslip/coordination/scheduling/task_launcher.py
+++ b/quinceslip/coordination/scheduling/task_launcher.py
@@ -1,4 +1,4 @@
-"""Launches tasks on the machines that were chosen, and counts them."""
+"""Launches tasks on the chosen machines, and counts the launches."""
 
 import logging
 
@@ -24,7 +24,7 @@
         return attempt
 
     def undo(self, partition: JobPartition, attempts: list[Attempt]) -> None:
-        """Take back launches of this batch, of which nothing has been sent yet."""
+        """Undo launches of this batch, none of which has been sent yet."""
         for attempt in attempts:
             self.state.detach(self.state.workers[attempt.worker], attempt.name)
             del partition.attempts[attempt.index]
