--- a/quinceslip/coordination/jobs/partition_mover.py
+++ b/quinceslip/coordination/jobs/partition_mover.py
@@ -80,7 +80,7 @@
 
     # Which tasks may be moved.
 
-    def movable(self, partition: JobPartition) -> list[int]:
+    def movable_tasks(self, partition: JobPartition) -> list[int]:
         """Return the tasks that are certainly not running; all or none if the job must stay in one shard."""
         # A job suspected of a crash loop stays in the shard that knows of the suspicion.
         if _is_unresolved(partition) or partition.crash_loop.suspected:
--- a/quinceslip/coordination/scheduling/preemption.py
+++ b/quinceslip/coordination/scheduling/preemption.py
@@ -87,7 +87,7 @@
         return (
             self.eligibility.usable(worker)
             and satisfies_constraints(worker, spec, zones)
-            and not (exclude_slow_fetch and self.preference.slow_fetch(worker, spec))
+            and not (exclude_slow_fetch and self.preference.fetch_too_slow(worker, spec))
         )
 
     def _plan(self, partition: JobPartition, worker: Worker) -> PreemptionPlan | None:
@@ -109,7 +109,7 @@
         if not room.has_room_for(spec):
             return None
         uncached_cost = UNCACHED_COST_CPU_S * (spec.image not in worker.images)
-        slow_fetch_cost = SLOW_FETCH_COST_CPU_S * self.preference.slow_fetch(worker, spec)
+        slow_fetch_cost = SLOW_FETCH_COST_CPU_S * self.preference.fetch_too_slow(worker, spec)
         return PreemptionPlan(lost_cpu_s + uncached_cost + slow_fetch_cost, worker, victims)
 
     def _policy(self, partition: JobPartition) -> PreemptionPolicy:
--- a/quinceslip/coordination/scheduling/zone_bound_tasks.py
+++ b/quinceslip/coordination/scheduling/zone_bound_tasks.py
@@ -61,7 +61,7 @@
         free = self.preference.best_machine(partition, offered, zones, index)
         if not context.whole_shard:
             return free
-        if free is not None and not (spec.service and self.preference.slow_fetch(free, spec)):
+        if free is not None and not (spec.service and self.preference.fetch_too_slow(free, spec)):
             return free
         # A machine with room but a slow image fetch is used only if no room can be made on a faster one.
         return (
