--- a/quinceslip/coordination/autoscaling/capacity.py
+++ b/quinceslip/coordination/autoscaling/capacity.py
@@ -1,13 +1,13 @@
-"""What the fleet has observed of the cloud's capacity, by pool of machines. No I/O; the caller brings the time.
+"""Tracks the cloud capacity that controllers have observed, per pool of machines. No I/O; callers pass the time.
 
-An *observation* is what one controller saw at first hand: so many machines asked for, so many granted. Each controller
-sends its own observations and nothing else. What a peer sent is kept apart, by its origin, and is never sent on:
-two controllers that add to what they receive from each other and pass it on keep it alive for ever
+An *observation* is what one controller saw first-hand: the number of machines requested and granted. Each controller
+sends only its own observations. Those received from a peer are stored per origin and never forwarded: two controllers
+that merged and forwarded what they received from each other would keep it alive for ever
 (docs/incidents/refusals-for-ever.md).
 
-An observation carries its *version*, the start of the controller's process and a count, and its age. Received again it
-is known by its version and its time is the earliest that was made out, so no repeat, delay or reordering moves it
-later.
+An observation carries its age and its *version*, which consists of the start time of the controller's process and a
+counter. A repeated observation is recognised by its version and keeps the earliest time computed for it, so no repeat,
+delay or reordering moves it later.
 """
 
 from collections.abc import Iterable, Mapping
@@ -17,21 +17,21 @@
 from quinceslip.protocol.frames import Observation
 
 SECOND = 1_000_000
-#: a pool of the cloud: machine type, zone, spot
+#: a pool of machines in the cloud: machine type, zone, spot
 MachinePool = tuple[str, str, bool]
-#: part of the cloud's calls that may go to pools that were out of stock when they were last asked for
-RETRY_PART = 0.125
-#: a pool that was out of stock is not asked for for no less and no more than this
+#: fraction of the calls to the cloud that may retry pools which were out of stock at the last request
+RETRY_FRACTION = 0.125
+#: bounds of the backoff of a pool that was out of stock
 MIN_BACKOFF_US = 12 * SECOND
 MAX_BACKOFF_US = 48 * SECOND
-#: pools that are kept of one peer: more than a frame carries, so that a faulty peer takes no memory
+#: pools stored per peer: more than a frame carries, and a bound on the memory that a faulty peer can take up
 MAX_POOLS_PER_PEER = 64
-#: between the turns of two controllers: time for the first one's answer, and for the others to receive it
+#: delay between the retries of two controllers: time for the first one's answer and for the others to receive it
 TURN_US = SECOND
 
 
 class ObservationVersion(NamedTuple):
-    """Versions of one controller are ordered: a later process first, then a later observation of it."""
+    """Version of an observation; versions of one controller are ordered by process start, then by number."""
 
     process_started_ms: int
     number: int
@@ -39,25 +39,25 @@
 
 @dataclass(slots=True, frozen=True)
 class DatedObservation:
-    """An observation as one controller knows it, at its own clock."""
+    """An observation with its time on the clock of the controller that stores it."""
 
     observation: Observation
     at_us: int
 
     @property
     def version(self) -> ObservationVersion:
-        """The version that its origin gave it."""
+        """The version assigned by the controller that made the observation."""
         return ObservationVersion(self.observation.process_started_ms, self.observation.number)
 
     @property
     def is_stockout(self) -> bool:
-        """Whether the cloud granted less than was asked for."""
+        """Whether the cloud granted fewer machines than requested."""
         return self.observation.granted < self.observation.asked
 
 
 @dataclass(slots=True, frozen=True)
 class Backoff:
-    """Why a pool is not asked for: whose observation, and until when for this controller."""
+    """A pause in requesting a pool: the observation that caused it, and when it ends for this controller."""
 
     origin: str
     version: ObservationVersion
@@ -65,36 +65,41 @@
 
 
 class CapacityObservations:
-    """Owns what is known of the cloud's capacity; `backs_off` says whether a pool may be asked for."""
+    """Stores observations of the cloud's capacity; `backs_off` tells whether to hold back requests for a pool."""
 
     def __init__(
-        self, label: str, labels: list[str], calls_per_s: float, process_started_ms: int, sharing: bool = True
+        self,
+        label: str,
+        labels: list[str],
+        calls_per_s: float,
+        process_started_ms: int,
+        shares_observations: bool = True,
     ) -> None:
         self.label = label
         self.labels = sorted(labels)
         self.calls_per_s = calls_per_s
         self.process_started_ms = process_started_ms
-        self.sharing = sharing  # whether the controllers exchange observations at all
-        self.count = 0
-        #: by controller, by pool: the newest observation of each
+        self.shares_observations = shares_observations  # whether the controllers exchange observations
+        self.observation_count = 0
+        #: the newest observation by controller and pool
         self.by_origin: dict[str, dict[MachinePool, DatedObservation]] = {}
         self.backoffs: dict[MachinePool, Backoff] = {}
-        self.has_news = False  # something was observed that was not sent to peers yet
+        self.has_news = False  # there are observations not sent to peers yet
 
-    # Observed here.
+    # Own observations.
 
-    def request_answered(self, pool: MachinePool, asked: int, granted: int, now_us: int) -> None:
-        """The cloud answered a request for so many machines."""
-        self._observe(pool, asked, granted, now_us)
+    def request_answered(self, pool: MachinePool, requested: int, granted: int, now_us: int) -> None:
+        """Record the cloud's answer to a request for machines."""
+        self._observe(pool, requested, granted, now_us)
 
     def machines_returned(self, pool: MachinePool, count: int, now_us: int) -> None:
-        """Machines that are returned make room for others of their pool, whoever wants them."""
+        """Record the return of machines, which frees capacity of their pool for any controller."""
         self._observe(pool, count, count, now_us)
 
     def own_observations(self, now_us: int) -> list[Observation]:
-        """What this controller observed itself, each with its age; newest first."""
+        """Return this controller's own observations with their ages, newest first."""
         self.has_news = False
-        if not self.sharing:
+        if not self.shares_observations:
             return []
         own = self.by_origin.get(self.label, {})
         for pool in [pool for pool, known in own.items() if now_us - known.at_us > MAX_BACKOFF_US]:
@@ -102,38 +107,38 @@
         newest_first = sorted(own.values(), key=lambda known: -known.at_us)
         return [replace(known.observation, age_us=now_us - known.at_us) for known in newest_first]
 
-    def _observe(self, pool: MachinePool, asked: int, granted: int, now_us: int) -> None:
+    def _observe(self, pool: MachinePool, requested: int, granted: int, now_us: int) -> None:
         own = self.by_origin.setdefault(self.label, {})
-        is_stockout = granted < asked
+        is_stockout = granted < requested
         was_stockout = pool in self.backoffs or (pool in own and own[pool].is_stockout)
         if not is_stockout and not was_stockout:
-            return  # no peer assumes otherwise: no news
-        self.count += 1
-        observation = Observation(pool, self.process_started_ms, self.count, 0, asked, granted)
+            return  # matches what peers assume
+        self.observation_count += 1
+        observation = Observation(pool, self.process_started_ms, self.observation_count, 0, requested, granted)
         own[pool] = DatedObservation(observation, now_us)
         self.has_news = True
         self._update_backoff(pool, now_us)
 
-    # Received from peers.
+    # Observations received from peers.
 
     def observations_received(self, origin: str, observations: Iterable[Observation], now_us: int) -> None:
-        """What a peer says that it observed itself. Costs by what is new of it."""
-        if not self.sharing or origin == self.label or origin not in self.labels:
+        """Store a peer's own observations. The cost depends on how many of them are new."""
+        if not self.shares_observations or origin == self.label or origin not in self.labels:
             return
-        theirs = self.by_origin.setdefault(origin, {})
+        by_pool = self.by_origin.setdefault(origin, {})
         for observation in observations:
             received = DatedObservation(observation, now_us - observation.age_us)
-            if not _supersedes(received, theirs.get(observation.kind)):
+            if not _supersedes(received, by_pool.get(observation.kind)):
                 continue
-            theirs[observation.kind] = received
-            if len(theirs) > MAX_POOLS_PER_PEER:
-                del theirs[min(theirs, key=lambda pool: theirs[pool].at_us)]
+            by_pool[observation.kind] = received
+            if len(by_pool) > MAX_POOLS_PER_PEER:
+                del by_pool[min(by_pool, key=lambda pool: by_pool[pool].at_us)]
             self._update_backoff(observation.kind, now_us)
 
     # Decisions.
 
     def backs_off(self, pool: MachinePool, now_us: int) -> bool:
-        """Whether the pool should not be asked for yet."""
+        """Whether the pool should not be requested yet."""
         backoff = self.backoffs.get(pool)
         if backoff is None:
             return False
@@ -143,55 +148,55 @@
         return True
 
     def backoff_us(self, now_us: int) -> int:
-        """How long a pool backs off: all that do are asked for in turn, with a part of the cloud's calls together."""
+        """Return how long a pool backs off, so that retries of all such pools share a fraction of the cloud's calls."""
         pools = 1 + sum(backoff.until_us > now_us for backoff in self.backoffs.values())
-        return min(max(int(SECOND * pools / (self.calls_per_s * RETRY_PART)), MIN_BACKOFF_US), MAX_BACKOFF_US)
+        return min(max(int(SECOND * pools / (self.calls_per_s * RETRY_FRACTION)), MIN_BACKOFF_US), MAX_BACKOFF_US)
 
-    def turn_delay_us(self, origin: str) -> int:
-        """The controllers ask one after the other, so that one answer serves all; the origin of a stockout is last."""
-        size = len(self.labels)
-        place = (self.labels.index(self.label) - self.labels.index(origin) - 1) % size
-        return place * min(TURN_US, MAX_BACKOFF_US // 4 // size)
+    def stagger_us(self, origin: str) -> int:
+        """Return this controller's retry delay: they retry in turn, `origin` last, so that one answer serves all."""
+        controllers = len(self.labels)
+        position = (self.labels.index(self.label) - self.labels.index(origin) - 1) % controllers
+        return position * min(TURN_US, MAX_BACKOFF_US // 4 // controllers)
 
     def all_observations(self) -> Mapping[str, Mapping[MachinePool, DatedObservation]]:
-        """What is known, by controller: for tests, logs and whoever asks."""
+        """Return the stored observations by controller, for tests and logs."""
         return self.by_origin
 
     def _update_backoff(self, pool: MachinePool, now_us: int) -> None:
-        """One backoff for each pool, counted from its latest stockout, unless capacity was observed since."""
-        before = self.backoffs.pop(pool, None)
+        """Recompute a pool's backoff from its latest stockout; there is none if capacity was observed since."""
+        previous = self.backoffs.pop(pool, None)
         latest = self._latest_stockout(pool)
         if latest is None:
             return
         origin, stockout = latest
-        until_us = stockout.at_us + self.backoff_us(now_us) + self.turn_delay_us(origin)
-        if before is not None and (before.origin, before.version) == (origin, stockout.version):
-            # Guard: the end of a backoff is not moved later by what is received.
-            until_us = min(until_us, before.until_us)
+        until_us = stockout.at_us + self.backoff_us(now_us) + self.stagger_us(origin)
+        if previous is not None and (previous.origin, previous.version) == (origin, stockout.version):
+            # Guard: received observations never extend a backoff.
+            until_us = min(until_us, previous.until_us)
         if until_us > now_us:
             self.backoffs[pool] = Backoff(origin, stockout.version, until_us)
 
     def _latest_stockout(self, pool: MachinePool) -> tuple[str, DatedObservation] | None:
-        """The latest stockout of the pool and its origin; None where somebody was granted all at that time or since."""
+        """Return the latest stockout of the pool and its origin; None if a request was fully granted then or later."""
         stockout: tuple[str, DatedObservation] | None = None
-        granted_us: int | None = None
-        for origin, theirs in self.by_origin.items():
-            known = theirs.get(pool)
+        last_grant_us: int | None = None
+        for origin, by_pool in self.by_origin.items():
+            known = by_pool.get(pool)
             if known is None:
                 continue
             if not known.is_stockout:
-                granted_us = known.at_us if granted_us is None else max(granted_us, known.at_us)
+                last_grant_us = known.at_us if last_grant_us is None else max(last_grant_us, known.at_us)
             elif stockout is None or known.at_us > stockout[1].at_us:
                 stockout = (origin, known)
-        if stockout is not None and granted_us is not None and granted_us >= stockout[1].at_us:
+        if stockout is not None and last_grant_us is not None and last_grant_us >= stockout[1].at_us:
             return None
         return stockout
 
 
 def _supersedes(received: DatedObservation, known: DatedObservation | None) -> bool:
-    """Whether an observation of a peer replaces what is known of it for the same pool.
+    """Whether a peer's observation replaces the stored one of the same pool.
 
-    Guard: the same observation received again, or an older one that was late, moves nothing later.
+    Guard: a repeated observation, or an older one that arrives late, never moves the time later.
     """
     if known is None or received.version > known.version:
         return True
