--- a/quinceslip/coordination/autoscaling/machine_deletion.py
+++ b/quinceslip/coordination/autoscaling/machine_deletion.py
@@ -1,4 +1,4 @@
-"""Deletion of machines: asked of the cloud, and repeated until it is certain."""
+"""Requests the deletion of machines from the cloud, and repeats it until the outcome is certain."""
 
 import logging
 
@@ -11,20 +11,20 @@
 
 log = logging.getLogger(__name__)
 
-#: bounds one call to the cloud, and how many machines stay unusable while one call is indeterminate. It does not bound
-#: the fleet: each pass, once a second for each shard, asks for the next ones without waiting for earlier answers. Those
-#: that idle for longest come first, so that where thousands of one shard are returned at once the last, a machine that
-#: failed with tasks on it among them, waits for as many passes as there are batches before it
+#: bounds one call to the cloud, and the number of machines that stay unusable while a call is indeterminate. It does
+#: not bound the fleet: each pass, once a second per shard, requests the next batch without waiting for earlier answers.
+#: Machines that idle longest come first, so if thousands of one shard are returned at once, the last ones, which may
+#: include a machine that failed with tasks on it, wait for as many passes as there are batches before them
 MAX_MACHINES_PER_DELETION = 100
 REQUEST_TIMEOUT_US = 4 * SECOND
-#: after a call that failed, for all shards
+#: delay after a failed call, for all shards
 RETRY_PERIOD_US = SECOND
-#: why a worker is drained whose deletion is indeterminate
+#: `draining` reason of a worker whose deletion is indeterminate
 RETURNING = "return"
 
 
 class MachineDeletion:
-    """Owns the deletions that are in progress."""
+    """Sends deletion requests and tracks those in progress."""
 
     def __init__(self, ctx: Context, capacity: CapacityObservations, deregistration: Deregistration) -> None:
         self.ctx = ctx
@@ -34,7 +34,7 @@
         self.next_request_us = 0
 
     def request(self, shard: Shard, names: list[str]) -> None:
-        """Ask for the first of these machines of a shard; the others come with a later pass."""
+        """Request the deletion of a first batch of these machines of a shard; later passes request the rest."""
         if self.ctx.now_us < self.next_request_us:
             return
         batch = [name for name in names[:MAX_MACHINES_PER_DELETION] if name not in self.in_progress]
@@ -65,7 +65,7 @@
             self.deregistration.machine_gone(shard, name, "returned")
 
     def _on_indeterminate(self, shard: Shard, names: list[str]) -> None:
-        """Whether it was done is not known: nothing may be launched there, ask again."""
+        """Drain machines whose deletion has an unknown outcome, until it is requested again."""
         self.next_request_us = self.ctx.now_us + RETRY_PERIOD_US
         for name in names:
             if name in shard.workers:
--- a/quinceslip/coordination/autoscaling/machine_list.py
+++ b/quinceslip/coordination/autoscaling/machine_list.py
@@ -1,4 +1,4 @@
-"""The cloud's list of machines, asked for page by page."""
+"""Requests the cloud's list of machines page by page."""
 
 import logging
 from collections.abc import Callable
@@ -14,49 +14,49 @@
 
 REQUEST_TIMEOUT_US = 3 * SECOND
 MIN_LIST_PERIOD_US = 2 * SECOND
-#: part of this controller's calls to the cloud that go to the list: half of them are left for scale out and deletions
-LIST_PART = 1 / 4
-#: the least rate of lists a second that is counted with
-MIN_LIST_RATE = 0.05
+#: fraction of this controller's calls to the cloud that go to the list; half of the calls are left for scale out and
+#: deletions
+LIST_CALL_FRACTION = 1 / 4
+#: lower bound of the list rate
+MIN_LISTS_PER_S = 0.05
 
 MachinesByName = dict[str, m.CloudMachine]
 
 
 class MachineLister:
-    """Asks for the list when it is due; `on_listed` takes each complete one, and when it was asked for."""
+    """Requests the list when it is due; `on_listed` receives each complete list and the time of its request."""
 
     def __init__(self, ctx: Context, on_listed: Callable[[MachinesByName, int], None]) -> None:
         self.ctx = ctx
         self.on_listed = on_listed
         self.in_progress = False
         self.next_list_us = 0
-        self.asked_us = 0  # when the last list was asked for
-        rate = ctx.settings.facts.cloud.rps / ctx.settings.facts.size
-        self.period_us = max(int(SECOND / max(rate * LIST_PART, MIN_LIST_RATE)), MIN_LIST_PERIOD_US)
+        self.requested_us = 0  # when the last list was requested
+        calls_per_s = ctx.settings.facts.cloud.rps / ctx.settings.facts.size
+        self.period_us = max(int(SECOND / max(calls_per_s * LIST_CALL_FRACTION, MIN_LISTS_PER_S)), MIN_LIST_PERIOD_US)
 
     def request_if_due(self, wanted_us: int | None) -> None:
-        """Ask for the first page, unless a list is on its way.
+        """Request the first page, unless a list is in progress.
 
-        Somebody waits for a list that was asked for at `wanted_us` or later (None: nobody): it comes up to half a
-        period sooner for that.
+        If a caller needs a list requested at `wanted_us` or later, it is requested up to half a period early.
         """
         if self.in_progress or not self._is_due(wanted_us):
             return
         self.in_progress = True
-        self.asked_us = asked_us = self.ctx.now_us
+        self.requested_us = requested_us = self.ctx.now_us
         found: MachinesByName = {}
 
         def on_page(status: int, body: bytes) -> None:
             page = _decode_page(status, body)
             if page is None:
-                self._end()
+                self._finish()
                 return
-            found.update({host.machine: host for host in page.machines})
+            found.update({entry.machine: entry for entry in page.machines})
             if page.more and page.machines:
                 self._request_page(page.machines[-1].machine, on_page)
                 return
-            self._end()
-            self.on_listed(found, asked_us)
+            self._finish()
+            self.on_listed(found, requested_us)
 
         self._request_page("", on_page)
 
@@ -64,24 +64,24 @@
         now_us = self.ctx.now_us
         if now_us >= self.next_list_us:
             return True
-        is_wanted = wanted_us is not None and self.asked_us < wanted_us <= now_us
+        is_wanted = wanted_us is not None and self.requested_us < wanted_us <= now_us
         return is_wanted and now_us >= self.next_list_us - self.period_us // 2
 
     def _request_page(self, after: str, on_page: Callable[[int, bytes], None]) -> None:
         path = m.machines_path(after)
         self.ctx.call("cloud", "GET", path, None, on_page, timeout_us=REQUEST_TIMEOUT_US, urgency=Urgency.REST)
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         self.in_progress = False
         self.next_list_us = self.ctx.now_us + self.period_us
 
 
 def _decode_page(status: int, body: bytes) -> m.MachineListing | None:
-    """One page of the list; None where the cloud did not answer with one."""
+    """Decode one page of the list; None if the answer is not a valid page."""
     if status != 200:
         return None
     try:
         return msgspec.json.decode(body, type=m.MachineListing)
     except msgspec.DecodeError as error:
-        log.error("cloud answered nonsense: %s", error)
+        log.error("cloud sent an invalid machine list: %s", error)
         return None
--- a/quinceslip/coordination/autoscaling/machine_types.py
+++ b/quinceslip/coordination/autoscaling/machine_types.py
@@ -1,4 +1,4 @@
-"""The cloud's machine types: asked for, kept in the key-value store, and which of them start services quickly."""
+"""Fetches the cloud's machine types, stores them, and determines which of them start services quickly."""
 
 import logging
 
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-#: between two requests for the types, after an answer and without one
+#: interval between two requests for the types: after an answer, and without one
 REFRESH_PERIOD_US = 60 * SECOND
 RETRY_PERIOD_US = 3 * SECOND
 REQUEST_TIMEOUT_US = 3 * SECOND
@@ -28,13 +28,13 @@
         self.next_request_us = 0
 
     def record_changed(self) -> None:
-        """The record of the types changed in the store."""
+        """Handle a change of the stored record of machine types."""
         types = self.ctx.cache.by_kind["types"].get("")
         if types:
             self._replace_types(types)
 
     def request_if_due(self) -> None:
-        """Ask the cloud for its machine types when it is time again."""
+        """Request the machine types from the cloud if it is time."""
         if self.ctx.now_us < self.next_request_us:
             return
         self.next_request_us = self.ctx.now_us + RETRY_PERIOD_US
@@ -49,7 +49,7 @@
         )
 
     def update_quick_types(self) -> None:
-        """Which types fetch the image of most of the present services within the wait that users accept."""
+        """Find the types that fetch the images of most open services within the wait that users accept."""
         placement = next(iter(self.shards.values())).placement
         specs = [job.spec for job in self.ctx.cache.open_services.values() if job.spec is not None]
         self.ctx.quick_types = {
@@ -64,19 +64,19 @@
         try:
             types = msgspec.json.decode(body, type=m.MachineTypes).types
         except msgspec.DecodeError as error:
-            log.error("cloud answered nonsense: %s", error)
+            log.error("cloud sent invalid machine types: %s", error)
             return
-        first_answer = not self.ctx.types
+        is_first_answer = not self.ctx.types
         self._replace_types(types)
         self.next_request_us = self.ctx.now_us + REFRESH_PERIOD_US
         mod_revision = self.ctx.cache.mod_revision(records.TYPES)
-        # More types than fit a record are not kept, for a part of them would tell users that jobs never run.
-        if (first_answer or mod_revision == 0) and self.ctx.fits_record(types):
+        # Types that exceed one record are not stored: with only some of them, users would be told that jobs never run.
+        if (is_first_answer or mod_revision == 0) and self.ctx.fits_record(types):
             self.ctx.compare_and_swap(
                 {records.TYPES: mod_revision},
                 {records.TYPES: (types, None)},
                 [],
-                lambda status, failed_conditions: None,  # asked for again in any case
+                lambda status, failed_conditions: None,  # the next answer retries
             )
 
     def _replace_types(self, types: list[m.MachineType]) -> None:
