--- a/quinceslip/coordination/autoscaling/inventory.py
+++ b/quinceslip/coordination/autoscaling/inventory.py
@@ -1,4 +1,4 @@
-"""The machines there are: what the cloud lists is compared with the workers of our shards."""
+"""Inventory of machines: compares the cloud's list with the workers of the shards led here."""
 
 from quinceslip.coordination.actor.compare_and_swap import CompareAndSwapCallback
 from quinceslip.coordination.actor.context import Context
@@ -11,12 +11,12 @@
 from quinceslip.coordination.shard.shard import Shard
 from quinceslip.protocol import messages as m
 
-#: beyond twice the lag of the list, a list that does not show a machine proves that it is gone
+#: margin, beyond twice the list lag, after which absence from the list proves that a machine is gone
 LIST_MARGIN_US = 2 * SECOND
 
 
 class MachineInventory:
-    """Owns the last list. Machines that are gone are deregistered, those that nobody expected are adopted."""
+    """Holds the latest list; deregisters machines that are gone and adopts unexpected ones."""
 
     def __init__(
         self,
@@ -34,17 +34,17 @@
         self.lister = MachineLister(ctx, self._on_listed)
         self.adoption = Adoption(ctx, election, shards, self.list_lag_us)
         self.listed: dict[str, m.CloudMachine] = {}
-        self.listed_us = 0  # when the last complete list was asked for
+        self.listed_us = 0  # when the last complete list was requested
         self.first_listed_us: dict[str, int] = {}
 
     def list_if_due(self) -> None:
-        """Ask for the list when it is due."""
+        """Request the list if it is due."""
         if self.shards:
-            wanted = (shard.addresses.wanted_list_us() for shard in self.shards.values())
-            self.lister.request_if_due(min((at_us for at_us in wanted if at_us is not None), default=None))
+            wanted_times_us = (shard.addresses.wanted_list_us() for shard in self.shards.values())
+            self.lister.request_if_due(min((at_us for at_us in wanted_times_us if at_us is not None), default=None))
 
     def reconcile(self) -> None:
-        """Adopt what nobody expected and deregister what is gone; for a controller that may write."""
+        """Adopt unexpected machines and deregister those that are gone; call only where this controller may write."""
         self.adoption.adopt_listed_if_due(self.listed, self.listed_us, self.deletion.in_progress)
         self.deregistration.deregister()
 
@@ -53,30 +53,30 @@
         self.adoption.machine_record_changed(name)
 
     def adopt_from_heartbeat(
-        self, heartbeat: m.WorkerHeartbeat, index: int, on_adopted: CompareAndSwapCallback
+        self, heartbeat: m.WorkerHeartbeat, shard_index: int, on_adopted: CompareAndSwapCallback
     ) -> None:
-        """Register a worker that sends heartbeats, and that nobody expected, in a shard."""
-        self.adoption.adopt_from_heartbeat(heartbeat, index, on_adopted)
+        """Register an unexpected worker that sends heartbeats in a shard."""
+        self.adoption.adopt_from_heartbeat(heartbeat, shard_index, on_adopted)
 
-    def _on_listed(self, listed: dict[str, m.CloudMachine], asked_us: int) -> None:
-        self.listed, self.listed_us = listed, asked_us
+    def _on_listed(self, listed: dict[str, m.CloudMachine], requested_us: int) -> None:
+        self.listed, self.listed_us = listed, requested_us
         for name in listed:
-            self.first_listed_us.setdefault(name, asked_us)
+            self.first_listed_us.setdefault(name, requested_us)
         for shard in self.shards.values():
-            shard.addresses.machines_listed(listed, asked_us)
+            shard.addresses.machines_listed(listed, requested_us)
             for name in list(shard.workers):
-                host = listed.get(name)
-                if host is None:
-                    self._not_listed(shard, name, asked_us)
-                elif host.status == m.HOST_FAILED:
+                machine = listed.get(name)
+                if machine is None:
+                    self._check_unlisted(shard, name, requested_us)
+                elif machine.status == m.HOST_FAILED:
                     shard.machine_gone(name)
                     self.deletion.request(shard, [name])
 
-    def _not_listed(self, shard: Shard, name: str, asked_us: int) -> None:
-        """A listed machine stays listed until it is gone.
+    def _check_unlisted(self, shard: Shard, name: str, requested_us: int) -> None:
+        """Deregister a machine that the list no longer shows: once listed, it stays listed until it is gone.
 
-        Only a list that cannot be older than the one that showed it is proof (it lags by up to twice the lag).
+        Proof is only a list that cannot be older than the first one that showed it: lists are up to twice the lag old.
         """
         listed_us = self.first_listed_us.get(name)
-        if listed_us is not None and asked_us > listed_us + 2 * self.list_lag_us + LIST_MARGIN_US:
+        if listed_us is not None and requested_us > listed_us + 2 * self.list_lag_us + LIST_MARGIN_US:
             self.deregistration.machine_gone(shard, name, "no longer listed")
