--- a/quinceslip/coordination/autoscaling/consolidation.py
+++ b/quinceslip/coordination/autoscaling/consolidation.py
@@ -1,8 +1,8 @@
-"""Empties machines whose services would fit beside others, so that they can be returned.
+"""Empties machines whose services fit on other machines, so that they can be returned.
 
-Services come together on as few machines as hold them, but end at any time; what is left of them
-stays scattered and keeps machines rented. A replica is moved (PROTOCOL, "Preemption") only to where
-its image is already, so that it is away for a fraction of a second, and only a few at a time.
+Services are packed on as few machines as possible, but they end at any time, and the remaining ones stay scattered and
+keep machines rented. Replicas are moved (PROTOCOL, "Preemption") a few at a time, and only to machines that already
+have the image, so that each is down for a fraction of a second.
 """
 
 import logging
@@ -18,35 +18,35 @@
 
 log = logging.getLogger(__name__)
 
-#: why a worker is drained whose services are moved elsewhere
+#: `draining` reason of a worker whose services are moved to other machines
 PACKING = "packing"
-#: part of a shard's replicas that may be moved in one second, but so many at the least, and so many at once
-MOVED_PART_PER_S = 0.002
+#: fraction of a shard's replicas that may be moved per second, lower bound of that rate, and the largest burst
+MOVED_FRACTION_PER_S = 0.002
 MIN_MOVED_PER_S = 0.25
 MAX_MOVES = 3.0
-#: a start does not count if the task is stopped within 30 s of it (PROTOCOL)
-SETTLED_US = 35 * SECOND
-#: room must have been spare for this part of a boot time before a machine is emptied for it
-SPARE_BOOTS = 0.6
-#: free CPUs near a machine, in its zone, for each CPU of services that would be moved
+#: a start does not count if the task is stopped within 30 s (PROTOCOL), so replicas run longer before a move
+MIN_RUN_TIME_US = 35 * SECOND
+#: boot times for which there must have been room elsewhere before a machine is emptied
+MIN_SPARE_BOOT_TIMES = 0.6
+#: free CPUs that the zone must have per CPU of services to be moved
 NEARBY_ROOM_FACTOR = 1.5
-#: a machine that wastes so many times the worth of what it holds may be emptied at the price of fetches
-EXPENSIVE_FACTOR = 3.0
-#: part of the machines that may be emptied at the same time
-MAX_EMPTYING_PART = 0.1
+#: if a machine wastes this many times the worth of its services, they may move to machines that must fetch the image
+FETCH_WASTE_FACTOR = 3.0
+#: fraction of the machines that may be emptied at the same time
+MAX_EMPTYING_FRACTION = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class MoveTargets:
-    """Where the replicas of one machine may go: usable workers, and what is still free on those in its zone."""
+    """Possible targets for the replicas of one machine: usable workers, and free resources of those in its zone."""
 
     workers: list[Worker]
     free: dict[str, Resources]
-    may_fetch: bool  # whether a machine without the image will do
+    may_fetch: bool  # whether a machine without the image is acceptable
 
 
 class Consolidator:
-    """Owns, by shard, since when there is room for services elsewhere, and how many replicas may be moved now."""
+    """Tracks, per shard, since when there is room for services elsewhere and how many replicas may be moved now."""
 
     def __init__(self, ctx: Context, election: LeaderElection) -> None:
         self.ctx = ctx
@@ -55,64 +55,64 @@
         self.allowance: dict[int, float] = {}
 
     def consolidate(self, shard: Shard, reserve_cpus: float) -> None:
-        """Called each second; `reserve_cpus` must stay free for services that are expected."""
+        """Run once per second; `reserve_cpus` must stay free for expected services."""
         emptying = [worker for worker in shard.workers.values() if worker.draining == PACKING]
         if shard.unreconciled or shard.waiting_tasks() or not self.election.may_launch(shard.index):
-            self._abandon(shard, emptying)
+            self._cancel_emptying(shard, emptying)
             return
         workers = [worker for worker in shard.workers.values() if shard.placement.usable(worker) and not worker.spot]
         replicas = sum(worker.service_tasks for worker in workers) + sum(worker.service_tasks for worker in emptying)
-        earned = max(MIN_MOVED_PER_S, MOVED_PART_PER_S * replicas)
-        allowance = min(MAX_MOVES, self.allowance.get(shard.index, 0.0) + earned)
+        accrued = max(MIN_MOVED_PER_S, MOVED_FRACTION_PER_S * replicas)
+        allowance = min(MAX_MOVES, self.allowance.get(shard.index, 0.0) + accrued)
         for worker in sorted(emptying, key=lambda worker: worker.service_cpus):
             allowance -= self._move_replicas(shard, worker, workers, int(allowance))
         self.allowance[shard.index] = allowance
-        if len(emptying) < max(1, int(MAX_EMPTYING_PART * len(workers))):
-            self._choose_machine(shard, workers, reserve_cpus)
+        if len(emptying) < max(1, int(MAX_EMPTYING_FRACTION * len(workers))):
+            self._start_emptying(shard, workers, reserve_cpus)
 
-    def _abandon(self, shard: Shard, emptying: list[Worker]) -> None:
-        """Room is needed, or may be: machines that are being emptied are used again."""
+    def _cancel_emptying(self, shard: Shard, emptying: list[Worker]) -> None:
+        """Put machines that are being emptied back into use, since their room is or may be needed."""
         for worker in emptying:
             worker.draining = ""
             shard.needs_placement = True
         self.spare_since_us.pop(shard.index, None)
 
-    def _choose_machine(self, shard: Shard, workers: list[Worker], reserve_cpus: float) -> None:
-        """Begin to empty the most wasteful machine, once there has been room for its services for long enough."""
+    def _start_emptying(self, shard: Shard, workers: list[Worker], reserve_cpus: float) -> None:
+        """Start to empty the most wasteful machine once there has been room for its services for long enough."""
         candidates = [worker for worker in workers if worker.service_tasks and worker.type is not None]
-        chosen = max(candidates, key=lambda worker: (self._wasted_price(worker), worker.name), default=None)
-        if chosen is None or chosen.type is None:
+        candidate = max(candidates, key=lambda worker: (self._wasted_price(worker), worker.name), default=None)
+        if candidate is None or candidate.type is None:
             return
-        if not _has_room_elsewhere(chosen, workers, reserve_cpus):
+        if not _has_room_elsewhere(candidate, workers, reserve_cpus):
             self.spare_since_us.pop(shard.index, None)
             return
         since_us = self.spare_since_us.setdefault(shard.index, self.ctx.now_us)
-        if self.ctx.now_us - since_us > SPARE_BOOTS * micros(chosen.type.boot_s):
-            log.info("machine is emptied worker=%s service_cpus=%g", chosen.name, chosen.service_cpus)
-            chosen.draining = PACKING
+        if self.ctx.now_us - since_us > MIN_SPARE_BOOT_TIMES * micros(candidate.type.boot_s):
+            log.info("emptying machine worker=%s service_cpus=%g", candidate.name, candidate.service_cpus)
+            candidate.draining = PACKING
 
     def _unit_price(self) -> float:
-        """The lowest price of a CPU for an hour on ordinary machines."""
+        """Return the lowest hourly price per CPU of on-demand machines."""
         prices = (
             machine_type.price / machine_type.cpus for machine_type in self.ctx.types.values() if machine_type.cpus > 0
         )
         return min(prices, default=0.0)
 
     def _wasted_price(self, worker: Worker) -> float:
-        """What a machine costs in an hour beyond what runs on it is worth."""
+        """Return the hourly price of a machine beyond the worth of the CPUs used on it."""
         return worker.type.price - self._unit_price() * worker.used_cpus if worker.type is not None else 0.0
 
     def _move_replicas(self, shard: Shard, worker: Worker, workers: list[Worker], max_moves: int) -> int:
-        """Stop replicas that find a place elsewhere; returns how many."""
-        # Where a large machine is kept by little, a fetch is worth it, if it is no slower than a start may be.
-        may_fetch = self._wasted_price(worker) > EXPENSIVE_FACTOR * self._unit_price() * worker.service_cpus
+        """Stop up to `max_moves` replicas that can be placed elsewhere, and return how many were stopped."""
+        # If few services keep a large machine, an image fetch is worthwhile unless it slows the start too much.
+        may_fetch = self._wasted_price(worker) > FETCH_WASTE_FACTOR * self._unit_price() * worker.service_cpus
         free = {other.name: Resources(*other.free()) for other in workers if other.zone == worker.zone}
         targets = MoveTargets(workers, free, may_fetch)
         moved = 0
         for attempt in worker.live_attempts():
             if moved >= max_moves:
                 break
-            if not self._may_be_moved(attempt):
+            if not self._is_movable(attempt):
                 continue
             target = _find_target(shard, attempt.spec, targets)
             if target is not None:
@@ -121,27 +121,27 @@
                 moved += 1
         return moved
 
-    def _may_be_moved(self, attempt: Attempt) -> bool:
+    def _is_movable(self, attempt: Attempt) -> bool:
         return (
             attempt.spec.service
             and not attempt.stopping
             and attempt.observed
-            and self.ctx.now_us - attempt.running_us >= SETTLED_US
+            and self.ctx.now_us - attempt.running_us >= MIN_RUN_TIME_US
         )
 
 
-def _has_room_elsewhere(chosen: Worker, workers: list[Worker], reserve_cpus: float) -> bool:
-    """Whether the other machines have room for what runs on one: enough for its services near by, for all anywhere."""
-    others = [worker for worker in workers if worker is not chosen]
+def _has_room_elsewhere(candidate: Worker, workers: list[Worker], reserve_cpus: float) -> bool:
+    """Whether other machines have room: enough in the zone for its services, and enough anywhere for all its tasks."""
+    others = [worker for worker in workers if worker is not candidate]
     spare_cpus = sum(worker.free()[0] for worker in others)
-    nearby_cpus = sum(worker.free()[0] for worker in others if worker.zone == chosen.zone and worker.running)
-    has_nearby_room = nearby_cpus >= NEARBY_ROOM_FACTOR * chosen.service_cpus
-    return has_nearby_room and spare_cpus >= chosen.used_cpus + reserve_cpus
+    nearby_cpus = sum(worker.free()[0] for worker in others if worker.zone == candidate.zone and worker.running)
+    has_nearby_room = nearby_cpus >= NEARBY_ROOM_FACTOR * candidate.service_cpus
+    return has_nearby_room and spare_cpus >= candidate.used_cpus + reserve_cpus
 
 
 def _find_target(shard: Shard, spec: m.JobSpec, targets: MoveTargets) -> Worker | None:
-    """A machine of the same zone that has room and the image: `spread` stays as it is."""
-    fetching: Worker | None = None
+    """Find a machine of the same zone that has room and the image; staying in the zone preserves `spread`."""
+    fetch_target: Worker | None = None
     for worker in targets.workers:
         free = targets.free.get(worker.name)
         if (
@@ -153,6 +153,6 @@
             continue
         if spec.image in worker.images:
             return worker
-        if targets.may_fetch and fetching is None and not shard.placement.slow_fetch(worker, spec):
-            fetching = worker
-    return fetching
+        if targets.may_fetch and fetch_target is None and not shard.placement.slow_fetch(worker, spec):
+            fetch_target = worker
+    return fetch_target
