--- a/quinceslip/coordination/autoscaling/reachability.py
+++ b/quinceslip/coordination/autoscaling/reachability.py
@@ -1,4 +1,4 @@
-"""Which workers of a shard do not answer, and whether that is their own failure or a network partition's."""
+"""Tells whether workers of a shard that do not answer have failed or are cut off by a network partition."""
 
 from collections import defaultdict
 from dataclasses import dataclass
@@ -8,52 +8,52 @@
 from quinceslip.coordination.shard_state.delivery import MAX_UNANSWERED_PROBES
 from quinceslip.coordination.shard_state.worker import Worker
 
-#: a silent worker is probed so much later than it may be at the most: two checks are half a second apart
+#: longest delay of a probe of a silent worker after it is due; checks are half a second apart
 PROBE_DELAY_US = SECOND
-#: so many silent machines at least make a zone that is cut off
+#: fewest silent machines for a zone to count as unreachable
 MIN_UNREACHABLE_MACHINES = 3
-#: probes that fail take so long at the most: a worker heard later was not cut off together with the silent ones
-FAILED_PROBE_US = 3 * SECOND
-#: so few workers say nothing of the network: each is judged by itself
+#: longest duration of a failing probe; a worker heard after that was not cut off together with the silent ones
+MAX_PROBE_DURATION_US = 3 * SECOND
+#: up to this many workers are too few to infer a network failure from, so each is judged on its own
 FEW_WORKERS = 2
 
 
 @dataclass(slots=True)
 class ZoneContact:
-    """What the workers of one zone have answered."""
+    """Contact with the workers of one zone."""
 
-    expected: int = 0  # workers that are probed when they are silent
-    silent: int = 0  # those of them that did not answer
-    first_missed_us: int = 0  # when the last of the silent ones was first probed without an answer
-    last_contact_us: int = 0  # when any other was heard
+    probed: int = 0  # workers that are probed if they are silent
+    silent: int = 0  # probed workers that did not answer
+    silent_since_us: int = 0  # when the most recent of the silent workers first missed a probe
+    last_contact_us: int = 0  # when any other worker was last heard
 
     def is_unreachable(self) -> bool:
-        """Whether most of the expected workers are silent, and nobody was heard after them."""
+        """Whether most of the probed workers are silent and no worker was heard since they fell silent."""
         return (
             self.silent >= MIN_UNREACHABLE_MACHINES
-            and 2 * self.silent >= self.expected
-            and self.last_contact_us <= self.first_missed_us + FAILED_PROBE_US
+            and 2 * self.silent >= self.probed
+            and self.last_contact_us <= self.silent_since_us + MAX_PROBE_DURATION_US
         )
 
 
 @dataclass(frozen=True, slots=True)
 class ShardReachability:
-    """What is known at one moment of the contact with all workers of a shard."""
+    """Snapshot of the contact with all workers of a shard."""
 
-    known_workers: int  # workers that were ever heard or probed, and whose lease has not expired
-    mostly_heard: bool
-    newest_contact_us: int  # with a worker that answers
+    known_workers: int  # workers that were ever heard or missed a probe, with an unexpired lease
+    most_answer: bool
+    newest_contact_us: int  # latest contact with any answering worker
     led_since_us: int
     unreachable_zones: frozenset[str]
 
     def failed_alone(self, worker: Worker) -> bool:
-        """Whether a worker is silent by its own failure: others answer, so that it may be replaced.
+        """Whether a worker is silent because it failed itself while others answer, so that it may be replaced.
 
-        At the moment of a partition the first workers count as silent while the others were heard just before it: one
-        is only known to be silent by itself if another was heard since it was first probed without an answer.
+        When a partition begins, some workers already count as silent while the others were heard just before it. So a
+        worker has failed alone only if another one was heard after its first unanswered probe.
         """
         delivery = worker.delivery
-        if delivery.unanswered_probes < MAX_UNANSWERED_PROBES or not self.mostly_heard:
+        if delivery.unanswered_probes < MAX_UNANSWERED_PROBES or not self.most_answer:
             return False
         if worker.zone in self.unreachable_zones:
             return False
@@ -62,7 +62,7 @@
 
 
 def shard_reachability(shard: Shard, may_launch: bool) -> ShardReachability:
-    """Sum up the contact with all workers. Where most are silent, it is this node's network or a failover."""
+    """Summarize the contact with all workers. If most are silent, the cause is this node's network or a failover."""
     known = [
         worker
         for worker in shard.workers.values()
@@ -72,7 +72,7 @@
     heard = sum(bool(worker.last_contact_us) for worker in answering)
     return ShardReachability(
         known_workers=len(known),
-        mostly_heard=2 * heard >= len(known) or (len(known) <= FEW_WORKERS and may_launch),
+        most_answer=2 * heard >= len(known) or (len(known) <= FEW_WORKERS and may_launch),
         newest_contact_us=max((worker.last_contact_us for worker in answering), default=0),
         led_since_us=shard.led_since_us,
         unreachable_zones=unreachable_zones(shard),
@@ -80,11 +80,11 @@
 
 
 def unreachable_zones(shard: Shard) -> frozenset[str]:
-    """Zones in which most of the workers that are probed do not answer: these are cut off.
+    """Return the zones that are cut off: most of their probed workers do not answer.
 
-    Their machines go on working and mostly come back. To delete them all would stop what runs there
-    for the time of a boot, on a cloud that may not have as many again. A zone of which some worker was
-    heard after the silent ones is not cut off: these have failed, and are replaced however many they are.
+    Machines in such a zone keep working and usually come back. Deleting them all would stop their tasks for a boot
+    time, and the cloud may not have as many machines again. If some worker of a zone was heard after the silent ones
+    fell silent, the zone is not cut off: the silent workers have failed and are replaced, however many there are.
     """
     zones: dict[str, ZoneContact] = defaultdict(ZoneContact)
     for worker in shard.workers.values():
@@ -93,10 +93,10 @@
         zone = zones[worker.zone]
         is_silent = worker.delivery.unanswered_probes > 0
         if is_silent:
-            zone.first_missed_us = max(zone.first_missed_us, worker.delivery.first_missed_us, shard.led_since_us)
+            zone.silent_since_us = max(zone.silent_since_us, worker.delivery.first_missed_us, shard.led_since_us)
         else:
             zone.last_contact_us = max(zone.last_contact_us, worker.last_contact_us)
         if worker.service_tasks or worker.name in shard.unreconciled:
-            zone.expected += 1
+            zone.probed += 1
             zone.silent += is_silent
     return frozenset(name for name, zone in zones.items() if zone.is_unreachable())
--- a/quinceslip/coordination/autoscaling/resources.py
+++ b/quinceslip/coordination/autoscaling/resources.py
@@ -1,4 +1,4 @@
-"""Amounts of the resources that a machine has and a task needs."""
+"""Resource amounts of machines and tasks."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class Resources(NamedTuple):
-    """What is free on a machine; `fits` takes it as it is."""
+    """Resources that are free on a machine; `fits` accepts it directly."""
 
     cpus: float
     gpus: float
@@ -14,9 +14,9 @@
 
     @classmethod
     def of_type(cls, machine_type: m.MachineType) -> "Resources":
-        """All resources of an empty machine of that type."""
+        """Return the resources of an empty machine of that type."""
         return cls(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
 
     def without(self, spec: m.JobSpec) -> "Resources":
-        """What is left beside one more task of that job."""
+        """Return the resources that remain beside one more task of that job."""
         return Resources(self.cpus - spec.cpus, self.gpus - spec.gpus, self.memory_gb - spec.memory_gb)
