--- a/quinceslip/coordination/autoscaling/__init__.py
+++ b/quinceslip/coordination/autoscaling/__init__.py
@@ -1,1 +1,1 @@
-"""Scale out and in: which machines are wanted, requested, registered, consolidated and returned."""
+"""Autoscaling: plans, requests, registers, consolidates and returns machines."""
--- a/quinceslip/coordination/autoscaling/absorption.py
+++ b/quinceslip/coordination/autoscaling/absorption.py
@@ -1,28 +1,28 @@
-"""How much waiting work the present machines get to before a new machine could boot: nothing is rented for that."""
+"""Estimates the waiting work that existing machines absorb while a new one would boot; nothing is rented for it."""
 
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.load_balancing.mmm_queue import Station, credible, credible_rate
 from quinceslip.coordination.shard.shard import Shard
 
-#: part of the work that would be served during a boot which no machine is rented for
-MAX_ABSORBED_PART = 0.4
-#: the same where arrivals alone keep the present machines busy
-MIN_ABSORBED_PART = 0.05
+#: upper bound of the fraction of the work served during a boot that no machine is rented for
+MAX_ABSORBED_FRACTION = 0.4
+#: lower bound of it, where arrivals alone keep the existing machines busy
+MIN_ABSORBED_FRACTION = 0.05
 
 
-def unclaimed_part(ctx: Context) -> float:
-    """The part of what slots set free that new arrivals will not take themselves: 1 - rate / total m u."""
+def unclaimed_fraction(ctx: Context) -> float:
+    """Return the fraction of freed slots that new arrivals will not take: 1 - arrival rate / total capacity."""
     loads = ctx.cache.by_kind["load"].values()
-    capacity = sum(s.capacity for r in loads if credible(s := Station(r.slots, r.rate)))
+    capacity = sum(station.capacity for load in loads if credible(station := Station(load.slots, load.rate)))
     if capacity <= 0:
-        return MAX_ABSORBED_PART
-    arrivals: float = sum(r.arrivals for r in loads if credible_rate(r.arrivals))
-    return min(MAX_ABSORBED_PART, max(MIN_ABSORBED_PART, 1.0 - arrivals / capacity))
+        return MAX_ABSORBED_FRACTION
+    arrivals: float = sum(load.arrivals for load in loads if credible_rate(load.arrivals))
+    return min(MAX_ABSORBED_FRACTION, max(MIN_ABSORBED_FRACTION, 1.0 - arrivals / capacity))
 
 
-def absorbed_cpus(ctx: Context, shard: Shard, part: float) -> float:
-    """CPUs of waiting work that the shard's machines get to, with `part` of their slots, while the quickest boots."""
+def absorbed_cpus(ctx: Context, shard: Shard, fraction: float) -> float:
+    """Return the CPUs of waiting work that `fraction` of the shard's slots can take on during the shortest boot."""
     boot_times_s = [machine_type.boot_s for machine_type in ctx.types.values()]
     slots, rate = shard.queueing_station()
     cpus, _ = shard.mean_task()
-    return part * slots * cpus * rate * min(boot_times_s) if boot_times_s else 0.0
+    return fraction * slots * cpus * rate * min(boot_times_s) if boot_times_s else 0.0
--- a/quinceslip/coordination/autoscaling/autoscaler.py
+++ b/quinceslip/coordination/autoscaling/autoscaler.py
@@ -1,6 +1,6 @@
-"""Which machines are wanted: the parts that buy, register, consolidate and return them, and when each has its turn.
+"""Runs the parts of autoscaling, which buy, register, consolidate and return machines, each at its own interval.
 
-How machines are bought is said in `scale_out_planner`, when a machine is returned in `scale_in`.
+See `scale_out_planner` for how machines are bought, and `scale_in` for when one is returned.
 """
 
 from collections.abc import Callable
@@ -23,19 +23,19 @@
 
 
 class Autoscaler:
-    """Owned by the controller; `tick` is called at each of its ticks."""
+    """Owned by the controller, which calls `tick` on each of its own ticks."""
 
     def __init__(self, ctx: Context, election: LeaderElection, shards: dict[int, Shard]) -> None:
         self.ctx = ctx
         self.election = election
         self.shards = shards
         self.next_plan_us = 0
-        #: CPUs in every shard that services could have on machines quick enough for them
+        #: per shard, the CPUs that services could use on machines that start them quickly enough
         self.quick_service_cpus: Callable[[], list[int]] = list
         self.machine_types = MachineTypeCatalog(ctx, shards)
         self.requests = ScaleOutRequests(ctx, election, shards, self._plan_soon)
         self.capacity = self.requests.capacity
-        # Looked up at each call: the controller sets it after this.
+        # The lambda reads the attribute at each call, since the controller replaces it after construction.
         self.headroom = ServiceHeadroom(ctx, lambda: self.quick_service_cpus())  # noqa: PLW0108
         self.planner = ScaleOutPlanner(ctx, self.requests, self.headroom)
         deregistration = Deregistration(ctx, election, shards)
@@ -45,17 +45,17 @@
         self.consolidator = Consolidator(ctx, election)
 
     def types_changed(self) -> None:
-        """The record of the machine types changed in the store."""
+        """Handle a change of the stored record of machine types."""
         self.machine_types.record_changed()
 
     def tick(self) -> None:
-        """Ask the cloud what there is; where this controller may launch, also scale out and in."""
+        """Query the cloud; if this controller may launch, also scale out and in."""
         self.machine_types.request_if_due()
         self.inventory.list_if_due()
         if not self.election.may_launch() or not self.ctx.cache.synced or not self.ctx.types:
             return
         self.inventory.reconcile()
-        self.requests.carry_through()
+        self.requests.process_open()
         self._replace_failed()
         if self.ctx.now_us >= self.next_plan_us:
             self.next_plan_us = self.ctx.now_us + PLAN_PERIOD_US
@@ -63,7 +63,7 @@
                 self._plan(shard)
 
     def _replace_failed(self) -> None:
-        """Workers that failed are returned at once, without waiting for the next plan."""
+        """Return failed workers at once, without waiting for the next plan."""
         for shard in list(self.shards.values()):
             if shard.worker_failed:
                 shard.worker_failed = False
@@ -76,4 +76,4 @@
         self.consolidator.consolidate(shard, self.headroom.reserved_cpus_per_shard())
 
     def _plan_soon(self) -> None:
-        self.next_plan_us = self.ctx.now_us  # what is still lacking is asked for elsewhere at once
+        self.next_plan_us = self.ctx.now_us  # requests the remaining demand elsewhere at once
--- a/quinceslip/coordination/autoscaling/machine_choice.py
+++ b/quinceslip/coordination/autoscaling/machine_choice.py
@@ -1,4 +1,4 @@
-"""Which machine type, in which zone, serves a demand at the lowest price."""
+"""Chooses the machine type and zone that serve a demand at the lowest price."""
 
 import math
 from collections import defaultdict
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from quinceslip.coordination.actor.context import Context
-from quinceslip.coordination.autoscaling.absorption import MAX_ABSORBED_PART, absorbed_cpus
+from quinceslip.coordination.autoscaling.absorption import MAX_ABSORBED_FRACTION, absorbed_cpus
 from quinceslip.coordination.autoscaling.capacity import CapacityObservations
 from quinceslip.coordination.autoscaling.resources import Resources
 from quinceslip.coordination.autoscaling.unmet_demand import MIN_TASK_CPUS
@@ -16,31 +16,31 @@
 from quinceslip.coordination.shard_state.worker import fits
 from quinceslip.protocol import messages as m
 
-#: headroom on quick machines may cost so many times as much as on the cheapest ones
+#: headroom on quick machines may cost up to this many times as much as on the cheapest ones
 MAX_HEADROOM_PRICE_FACTOR = 4.0
 MIN_TASK_MEMORY_GB = 0.001
-#: parts of a machine that may be lacking for work before one more machine is bought for it: of the cheapest kind ...
-ROUNDING = 0.2
-#: ... and of ordinary machines where spot machines would do
-ON_DEMAND_ROUNDING = 0.5
+#: fraction of a machine that may be missing for the cheapest kind before one more machine is bought
+MAX_UNSERVED_FRACTION = 0.2
+#: the same for on-demand machines where spot machines would do
+MAX_ON_DEMAND_UNSERVED_FRACTION = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class MachineDemand:
-    """What machines are to be bought for: tasks like those of `partition`."""
+    """Demand to buy machines for: tasks like those of `partition`."""
 
     partition: JobPartition
     cpus: float
     tasks: int
     spot: bool
-    is_headroom: bool = False  # for services to come: any zone will do, and only types that start quickly
+    is_headroom: bool = False  # for expected services: in any zone, but only on types that start them quickly
 
 
 class PurchaseOption(NamedTuple):
-    """One way to serve a demand. Options are compared by their fields in this order: the least is chosen."""
+    """One way to serve a demand. Options are compared by their fields in this order; the smallest is chosen."""
 
     price_per_cpu: float
-    machines_in_zone: int  # of ours, already
+    machines_in_zone: int  # workers of the shard already there
     type_label: str
     zone: str
     spot: bool
@@ -48,7 +48,7 @@
 
 
 class MachineCounts(NamedTuple):
-    """How many machines of a type a demand takes; 0 or less: too little waits to be worth one."""
+    """Number of machines of one type to buy for a demand; 0 or less if too little work waits to justify one."""
 
     tasks_per_machine: int
     spot: int
@@ -56,14 +56,14 @@
 
 
 class MachineChooser:
-    """Compares what the cloud offers, without the pools that were short of capacity when last asked for."""
+    """Compares the machines that the cloud offers, except pools that back off after a stockout."""
 
     def __init__(self, ctx: Context, capacity: CapacityObservations) -> None:
         self.ctx = ctx
         self.capacity = capacity
 
     def choose(self, shard: Shard, demand: MachineDemand) -> PurchaseOption | None:
-        """The cheapest for what it can serve; between zones, the one with fewest of our machines."""
+        """Return the option with the lowest price per served CPU, on a tie the one in the zone with fewest machines."""
         options = list(self._options(shard, demand))
         if demand.is_headroom and options:
             options = self._affordable_headroom(demand, options)
@@ -76,7 +76,7 @@
         for worker in shard.workers.values():
             machines_in_zone[worker.zone] += 1
         for machine_type in self.ctx.types.values():
-            if not self._suits(machine_type, demand):
+            if not self._is_suitable(machine_type, demand):
                 continue
             counts = self._machine_counts(shard, demand, machine_type)
             for zone in machine_type.zones:
@@ -85,7 +85,12 @@
                 yield from self._options_in_zone(demand, machine_type, counts, zone, machines_in_zone[zone])
 
     def _options_in_zone(
-        self, demand: MachineDemand, machine_type: m.MachineType, counts: MachineCounts, zone: str, present: int
+        self,
+        demand: MachineDemand,
+        machine_type: m.MachineType,
+        counts: MachineCounts,
+        zone: str,
+        machines_in_zone: int,
     ) -> Iterator[PurchaseOption]:
         served_cpus = counts.tasks_per_machine * max(demand.partition.spec.cpus, MIN_TASK_CPUS)
         for spot in [True, False] if demand.spot else [False]:
@@ -95,9 +100,9 @@
                 continue
             price = machine_type.spot_price if spot else machine_type.price
             machines = counts.spot if spot else counts.on_demand
-            yield PurchaseOption(price / served_cpus, present, machine_type.label, zone, spot, machines)
+            yield PurchaseOption(price / served_cpus, machines_in_zone, machine_type.label, zone, spot, machines)
 
-    def _suits(self, machine_type: m.MachineType, demand: MachineDemand) -> bool:
+    def _is_suitable(self, machine_type: m.MachineType, demand: MachineDemand) -> bool:
         spec = demand.partition.spec
         return (
             fits(Resources.of_type(machine_type), spec)
@@ -111,17 +116,17 @@
         tasks_by_memory = machine_type.memory_gb / max(spec.memory_gb, MIN_TASK_MEMORY_GB)
         tasks_per_machine = max(1, int(min(tasks_by_cpus, tasks_by_memory, demand.tasks)))
         cpus_per_machine = max(tasks_per_machine * spec.cpus, MIN_TASK_CPUS)
-        machines = max(1, math.ceil(demand.cpus / cpus_per_machine - ROUNDING))
+        machines = max(1, math.ceil(demand.cpus / cpus_per_machine - MAX_UNSERVED_FRACTION))
         if not demand.spot or machine_type.spot_price <= 0 or spec.indivisible:
             return MachineCounts(tasks_per_machine, machines, machines)
-        # A dearer machine must have as much more waiting for it.
+        # A more expensive machine must have proportionally more work waiting for it.
         surcharge = machine_type.price / machine_type.spot_price - 1.0
-        remaining_cpus = demand.cpus - surcharge * absorbed_cpus(self.ctx, shard, MAX_ABSORBED_PART)
-        on_demand = math.ceil(remaining_cpus / cpus_per_machine - ON_DEMAND_ROUNDING)
+        remaining_cpus = demand.cpus - surcharge * absorbed_cpus(self.ctx, shard, MAX_ABSORBED_FRACTION)
+        on_demand = math.ceil(remaining_cpus / cpus_per_machine - MAX_ON_DEMAND_UNSERVED_FRACTION)
         return MachineCounts(tasks_per_machine, machines, on_demand)
 
     def _affordable_headroom(self, demand: MachineDemand, options: list[PurchaseOption]) -> list[PurchaseOption]:
-        """Headroom is for a few tasks: a large machine for one of them costs more than it can save."""
+        """Filter out costly options: headroom is for a few tasks, so a large machine costs more than it can save."""
         types = self.ctx.types
         fitting = [t for t in types.values() if fits(Resources.of_type(t), demand.partition.spec)]
         cheapest = min(t.price * max(1, math.ceil(demand.cpus / t.cpus)) for t in fitting)
--- a/quinceslip/coordination/autoscaling/scale_in.py
+++ b/quinceslip/coordination/autoscaling/scale_in.py
@@ -1,11 +1,11 @@
-"""When a machine is returned. The rules, in the order in which they are tried:
-
-1. inherited, and silent by its own failure: what it may hold can start elsewhere once it is gone for certain
-2. never heard: returned after several boot times
-3. silent for longer than a lease: it holds nothing any more
-4. silent by its own failure, with tasks: replaced before its lease ends
-5. sends heartbeats and does not hear us: it can be neither used nor found idle
-6. empty, and drained, faulty, or idle for longer than one is kept in reserve
+"""Decides when a machine is returned. A machine is returned if one of these rules applies, checked in this order:
+
+1. inherited and failed on its own: tasks that it may hold can start elsewhere once it is certainly gone
+2. never heard within several boot times
+3. silent for longer than a lease, so it holds no tasks any more
+4. failed on its own with tasks: replaced before its lease ends
+5. sends heartbeats but does not receive our messages, so it can be neither used nor found idle
+6. empty, and drained, faulty, or idle for longer than a reserve machine is kept
 """
 
 import logging
@@ -25,27 +25,28 @@
 
 log = logging.getLogger(__name__)
 
-#: a machine that was not heard after so many boot times, and a while, never comes up
+#: a machine that was not heard for this many boot times plus a margin is considered never to come up
 NEVER_UP_BOOT_TIMES = 4
 NEVER_UP_MARGIN_US = 20 * SECOND
-#: a machine on which more tasks than this failed is taken for faulty
+#: a machine on which more tasks than this failed is considered faulty
 MAX_TASK_FAILURES = 2
-#: one idle machine is kept in reserve for so long at the least
+#: shortest time for which one idle machine is kept in reserve
 MIN_IDLE_LIMIT_US = 10 * SECOND
 
 
 @dataclass(slots=True)
 class ScaleInPass:
-    """One pass over the workers of a shard: what is known of all, and what the pass has counted so far."""
+    """State of one pass over the workers of a shard."""
 
     shard: Shard
     reachability: ShardReachability
-    idle_rank: dict[bool, int] = field(default_factory=lambda: {True: 0, False: 0})  # idle workers met, by spot
-    spare_slots: SpareSlots | None = None  # only computed where a worker idles for long
+    #: idle workers seen so far, by spot
+    idle_counts: dict[bool, int] = field(default_factory=lambda: {True: 0, False: 0})
+    spare_slots: SpareSlots | None = None  # computed only once a worker has idled for long
 
 
 class ScaleIn:
-    """Chooses the machines of a shard to return, and has them deleted."""
+    """Chooses the machines of a shard to return and requests their deletion."""
 
     def __init__(
         self,
@@ -62,43 +63,43 @@
         self.headroom = headroom
 
     def run(self, shard: Shard) -> None:
-        """Return the machines of the shard that are of no use, those that idle for longest first."""
-        scale_in = ScaleInPass(shard, shard_reachability(shard, self.election.may_launch()))
+        """Return the machines that the shard does not need, those idle the longest first."""
+        scale_in_pass = ScaleInPass(shard, shard_reachability(shard, self.election.may_launch()))
         names = [
             worker.name
             for worker in sorted(shard.workers.values(), key=lambda worker: worker.idle_us)
-            if self._is_to_return(scale_in, worker)
+            if self._should_return(scale_in_pass, worker)
         ]
         if names:
             self.deletion.request(shard, names)
 
-    def _is_to_return(self, scale_in: ScaleInPass, worker: Worker) -> bool:
+    def _should_return(self, scale_in_pass: ScaleInPass, worker: Worker) -> bool:
         if worker.deleting or worker.type is None:
             return False
         boot_us = micros(worker.type.boot_s)
         answers = worker.delivery.unanswered_probes < MAX_UNANSWERED_PROBES
-        failed_alone = not answers and scale_in.reachability.failed_alone(worker)
-        if failed_alone and worker.name in scale_in.shard.unreconciled:
-            if not worker.draining:  # else it was asked for before, and the cloud did not answer
-                log.info("inherited worker replaced worker=%s", worker.name)
+        failed_alone = not answers and scale_in_pass.reachability.failed_alone(worker)
+        if failed_alone and worker.name in scale_in_pass.shard.unreconciled:
+            if not worker.draining:  # otherwise an earlier deletion request is still indeterminate
+                log.info("replacing inherited worker worker=%s", worker.name)
             return True
         if not worker.last_contact_us:
-            return self._never_came_up(scale_in.shard, worker, boot_us)
-        silent_us = self.ctx.now_us - max(worker.last_contact_us, scale_in.shard.led_since_us)
+            return self._never_came_up(scale_in_pass.shard, worker, boot_us)
+        silent_us = self.ctx.now_us - max(worker.last_contact_us, scale_in_pass.shard.led_since_us)
         if silent_us > self.ctx.timing.lease_expiry_us and self._holds_nothing(worker):
             return True
-        # A hung or partitioned machine keeps its tasks from starting elsewhere until its lease ends.
-        # Once it is deleted they are certain to be gone, so they start again at once.
+        # Tasks of a hung or partitioned machine can't start elsewhere until its lease ends.
+        # Once it is deleted they are certainly gone and can start again at once.
         if failed_alone and not worker.lease_expired and worker.attempts:
-            log.info("silent worker replaced worker=%s silent_s=%.1f", worker.name, silent_us / SECOND)
+            log.info("replacing silent worker worker=%s silent_s=%.1f", worker.name, silent_us / SECOND)
             return True
-        if not answers and self._does_not_hear_us(worker):
+        if not answers and self._does_not_receive(worker):
             if not worker.draining:
-                log.info("worker hears nothing: returned worker=%s", worker.name)
+                log.info("returning worker that does not receive messages worker=%s", worker.name)
             return True
         if worker.attempts or _has_reported_tasks(worker):
             return False
-        return self._is_dispensable(scale_in, worker, boot_us)
+        return self._is_dispensable(scale_in_pass, worker, boot_us)
 
     def _never_came_up(self, shard: Shard, worker: Worker, boot_us: int) -> bool:
         waited_us = self.ctx.now_us - worker.registered_us
@@ -108,43 +109,44 @@
         return True
 
     def _holds_nothing(self, worker: Worker) -> bool:
-        """Whether a worker that is silent for longer than a lease is in the cloud's list or known to have lost it."""
+        """Whether a worker silent for longer than a lease is in the cloud's list or known to have lost its lease."""
         return worker.name in self.inventory.listed or worker.lease_expired
 
-    def _does_not_hear_us(self, worker: Worker) -> bool:
-        """Its heartbeats arrive, so it would neither be used nor ever be found idle.
+    def _does_not_receive(self, worker: Worker) -> bool:
+        """Whether a worker without tasks has missed probes for longer than a lease, although its heartbeats may arrive.
 
-        Like one that is silent for so long it holds nothing, so a zone that is cut off loses nothing by it.
+        Such a worker would neither be used nor found idle. It holds no tasks, so none are lost even if its zone is cut
+        off.
         """
         missed_us = self.ctx.now_us - worker.delivery.first_missed_us
         return not worker.attempts and missed_us > self.ctx.timing.lease_expiry_us
 
-    def _is_dispensable(self, scale_in: ScaleInPass, worker: Worker, boot_us: int) -> bool:
+    def _is_dispensable(self, scale_in_pass: ScaleInPass, worker: Worker, boot_us: int) -> bool:
         """Whether an empty machine is drained, faulty or spare."""
-        # Judged in any case: a faulty machine that can still be used counts among the idle ones.
-        is_spare = self._is_spare(scale_in, worker, boot_us)
+        # Always evaluated: a faulty machine that is still usable counts among the idle ones.
+        is_spare = self._is_spare(scale_in_pass, worker, boot_us)
         return bool(worker.draining) or worker.task_failures > MAX_TASK_FAILURES or is_spare
 
-    def _is_spare(self, scale_in: ScaleInPass, worker: Worker, boot_us: int) -> bool:
-        """Whether it idles for longer than is worth it: one is kept in reserve for long; the more, the shorter."""
-        shard = scale_in.shard
-        # Until the registry is reconciled it is not known what it may have to run.
+    def _is_spare(self, scale_in_pass: ScaleInPass, worker: Worker, boot_us: int) -> bool:
+        """Whether an idle machine is unneeded and past its idle limit, which is shorter the more machines idle."""
+        shard = scale_in_pass.shard
+        # Until all workers are reconciled it is unknown which tasks may need this machine.
         if shard.unreconciled or not shard.placement.usable(worker):
             return False
-        scale_in.idle_rank[worker.spot] += 1
-        idle_limit_us = self._idle_limit_us(boot_us) // scale_in.idle_rank[worker.spot]
-        if self.ctx.now_us - worker.idle_us <= idle_limit_us or self._is_awaited_by_gang(shard, worker):
+        scale_in_pass.idle_counts[worker.spot] += 1
+        idle_limit_us = self._idle_limit_us(boot_us) // scale_in_pass.idle_counts[worker.spot]
+        if self.ctx.now_us - worker.idle_us <= idle_limit_us or self._is_needed_by_gang(shard, worker):
             return False
-        if scale_in.spare_slots is None:
-            scale_in.spare_slots = self.headroom.spare_slots(shard)
-        return not self.headroom.needs(worker, scale_in.spare_slots)
+        if scale_in_pass.spare_slots is None:
+            scale_in_pass.spare_slots = self.headroom.spare_slots(shard)
+        return not self.headroom.is_needed(worker, scale_in_pass.spare_slots)
 
     def _idle_limit_us(self, boot_us: int) -> int:
         return max(MIN_IDLE_LIMIT_US, int(self.ctx.tuning.idle_return_factor * boot_us))
 
     @staticmethod
-    def _is_awaited_by_gang(shard: Shard, worker: Worker) -> bool:
-        """Whether a gang waits that this machine may be a part of: it starts on all of them at once or on none."""
+    def _is_needed_by_gang(shard: Shard, worker: Worker) -> bool:
+        """Whether a waiting gang may need this machine; a gang starts on all of its machines at once or on none."""
         return any(
             partition.spec.gang
             and partition.startable()
@@ -156,5 +158,5 @@
 
 
 def _has_reported_tasks(worker: Worker) -> bool:
-    """Whether its last heartbeat showed a task that has not ended."""
+    """Whether the worker's last heartbeat reported a task that has not exited."""
     return any(task.state != m.EXITED for task in worker.reported_tasks.values())
--- a/quinceslip/coordination/autoscaling/scale_out_planner.py
+++ b/quinceslip/coordination/autoscaling/scale_out_planner.py
@@ -1,24 +1,24 @@
-"""How machines are bought: the demand that no coming machine will take, then headroom for services.
+"""Plans which machines to buy: for demand that no incoming machine will serve, then as headroom for services.
 
-`unmet_demand` says what is lacking, `machine_choice` what to buy for it, `scale_out_requests` carries the purchase
-through.
+`unmet_demand` computes the demand, `machine_choice` selects the machines, and `scale_out_requests` performs the
+purchase.
 """
 
 import logging
 
 from quinceslip.coordination.actor.context import Context
-from quinceslip.coordination.autoscaling.absorption import absorbed_cpus, unclaimed_part
+from quinceslip.coordination.autoscaling.absorption import absorbed_cpus, unclaimed_fraction
 from quinceslip.coordination.autoscaling.machine_choice import MachineChooser, MachineDemand
 from quinceslip.coordination.autoscaling.scale_out_requests import ScaleOutRequests
 from quinceslip.coordination.autoscaling.service_headroom import ServiceHeadroom
-from quinceslip.coordination.autoscaling.unmet_demand import ComingMachine, coming_machines, unmet_demand
+from quinceslip.coordination.autoscaling.unmet_demand import IncomingMachine, incoming_machines, unmet_demand
 from quinceslip.coordination.shard.shard import Shard
 
 log = logging.getLogger(__name__)
 
 
 class ScaleOutPlanner:
-    """Starts the scale-out requests that a shard needs."""
+    """Starts the scale-out requests of a shard."""
 
     def __init__(self, ctx: Context, requests: ScaleOutRequests, headroom: ServiceHeadroom) -> None:
         self.ctx = ctx
@@ -27,34 +27,34 @@
         self.chooser = MachineChooser(ctx, requests.capacity)
 
     def plan(self, shard: Shard) -> None:
-        """Rent for the waiting tasks of the shard that no coming machine will take, or else for services to come."""
-        if self.requests.has_unrecorded(shard.index):
+        """Buy machines for waiting tasks that no incoming machine will take, or else for expected services."""
+        if self.requests.has_unrecorded_request(shard.index):
             return
-        coming = coming_machines(self.ctx, shard, self.requests)
-        unmet = unmet_demand(shard, coming)
+        incoming = incoming_machines(self.ctx, shard, self.requests)
+        unmet = unmet_demand(shard, incoming)
         for key, demand in unmet.items():
             cpus = demand.cpus
             if not key.immediate:
                 cpus *= self.ctx.tuning.hire_fraction
-                cpus -= absorbed_cpus(self.ctx, shard, unclaimed_part(self.ctx))
+                cpus -= absorbed_cpus(self.ctx, shard, unclaimed_fraction(self.ctx))
             if cpus > 0:
                 self._buy(shard, MachineDemand(demand.partition, cpus, demand.tasks, key.spot))
         if not any(key.immediate for key in unmet):
-            self._keep_headroom(shard, coming)
+            self._keep_headroom(shard, incoming)
 
-    def _keep_headroom(self, shard: Shard, coming: list[ComingMachine]) -> None:
-        """Have room for the services that will arrive while a machine boots, one at least.
+    def _keep_headroom(self, shard: Shard, incoming: list[IncomingMachine]) -> None:
+        """Keep room for the services expected to arrive while a machine boots, at least one.
 
-        The lowest shard that has services rents for all: what one shard lacks, another may have.
+        Only the lowest shard that has services buys headroom, since shards can use each other's room.
         """
         services = [partition for partition in shard.partitions.values() if partition.spec.service]
         home_shards = [job.shard for job in self.ctx.cache.open_services.values()]
         if not services or min(home_shards, default=-1) != shard.index:
             return
         largest = max(services, key=lambda partition: partition.spec.cpus)
-        expected = self.headroom.expected()
-        slots = self.headroom.slots(expected.task_cpus)
-        slots += sum(int(machine.free.cpus // expected.task_cpus) for machine in coming if not machine.spot)
+        expected = self.headroom.expected_services()
+        slots = self.headroom.count_slots(expected.task_cpus)
+        slots += sum(int(machine.free.cpus // expected.task_cpus) for machine in incoming if not machine.spot)
         missing = expected.tasks - slots
         if missing > 0:
             log.debug("headroom missing slots=%d expected=%d", slots, expected.tasks)
--- a/quinceslip/coordination/autoscaling/scale_out_requests.py
+++ b/quinceslip/coordination/autoscaling/scale_out_requests.py
@@ -1,4 +1,4 @@
-"""Scale-out requests: recorded before they are sent, repeated under one name, registered when they are answered."""
+"""Scale-out requests: recorded before they are sent, retried under the same name, and registered once answered."""
 
 import logging
 from collections.abc import Callable
@@ -19,35 +19,35 @@
 
 log = logging.getLogger(__name__)
 
-#: bounds one record, one call to the cloud and the writes that register its machines, and so what one indeterminate
-#: request may cost. It does not bound the fleet: what is still lacking is planned again at each answer, and each second
-#: in any case, so that a shard asks for several times as many a second, and thousands within the time of a boot
+#: bounds one record, one call to the cloud and the writes that register its machines, and thus the cost of one
+#: indeterminate request. It does not bound the fleet: the remaining demand is planned again at each answer, and each
+#: second in any case, so a shard requests several times as many per second, and thousands within a boot time
 MAX_MACHINES_PER_REQUEST = 50
 REQUEST_TIMEOUT_US = 4 * SECOND
-#: between two attempts at one request
+#: interval between two attempts at one request
 RETRY_PERIOD_US = 2 * SECOND
 
 
 @dataclass(slots=True)
 class ScaleOutRequest:
-    """A scale-out request on its way."""
+    """A scale-out request that is not finished."""
 
     name: str
     shard: int
     record: records.ScaleOutRecord
-    recorded: bool = False  # durable: it may be sent
-    call_open: bool = False  # a call to the cloud or a write is in flight
+    recorded: bool = False  # durably recorded, so it may be sent
+    in_flight: bool = False  # a call to the cloud or a write is in flight
     next_attempt_us: int = 0
-    machines: list[str] | None = None  # what was rented, once the cloud has answered
+    machines: list[str] | None = None  # the machines granted, once the cloud has answered
     registered: set[str] = field(default_factory=set)
 
     def expected_machines(self) -> int:
-        """Machines that may come of it and are not in the registry yet."""
+        """Return how many machines may result from the request that are not in the registry yet."""
         return self.record.count if self.machines is None else len(self.machines) - len(self.registered)
 
 
 class ScaleOutRequests:
-    """Owns the open requests; `on_answer` is called at each, so that what is still lacking is planned at once."""
+    """Owns the open requests; calls `on_answer` at each answer, so that the remaining demand is planned at once."""
 
     def __init__(
         self, ctx: Context, election: LeaderElection, shards: dict[int, Shard], on_answer: Callable[[], None]
@@ -57,7 +57,7 @@
         self.shards = shards
         self.on_answer = on_answer
         self.open_requests: dict[str, ScaleOutRequest] = {}
-        self.started = 0  # requests of this process, never reset
+        self.started_count = 0  # requests started by this process, never reset
         settings = ctx.settings
         self.capacity = CapacityObservations(
             settings.label,
@@ -67,15 +67,15 @@
             ctx.tuning.tell_supply,
         )
 
-    def has_unrecorded(self, shard: int) -> bool:
-        """Whether a request of this shard is not durable yet."""
+    def has_unrecorded_request(self, shard: int) -> bool:
+        """Whether a request of this shard is not durably recorded yet."""
         return any(not request.recorded for request in self.open_requests.values() if request.shard == shard)
 
     def start(self, shard: Shard, machine_type: str, zone: str, spot: bool, count: int) -> None:
-        """Record a request durably; `carry_through` sends it afterwards."""
-        self.started += 1
-        # The term is this leader's alone and the counter is never reset, so no name comes twice.
-        name = f"{self.ctx.settings.label}-{shard.term}-{self.started}"
+        """Record a request durably; `process_open` sends it afterwards."""
+        self.started_count += 1
+        # Names are unique: a term belongs to one leader, and the counter is never reset.
+        name = f"{self.ctx.settings.label}-{shard.term}-{self.started_count}"
         record = records.ScaleOutRecord(shard.index, machine_type, zone, spot, min(count, MAX_MACHINES_PER_REQUEST))
         request = self.open_requests[name] = ScaleOutRequest(name, shard.index, record)
         self.ctx.compare_and_swap(
@@ -86,8 +86,8 @@
             Urgency.LAUNCH,
         )
 
-    def carry_through(self) -> None:
-        """Send and register what is recorded, also what an earlier leader recorded."""
+    def process_open(self) -> None:
+        """Send recorded requests and register their machines, including requests recorded by earlier leaders."""
         recorded = self.ctx.cache.by_kind["hire"]
         for name, record in recorded.items():
             if name not in self.open_requests and record.shard in self.shards:
@@ -95,7 +95,7 @@
         for request in list(self.open_requests.values()):
             if request.shard not in self.shards or (request.recorded and request.name not in recorded):
                 del self.open_requests[request.name]
-            elif request.recorded and not request.call_open and self.ctx.now_us >= request.next_attempt_us:
+            elif request.recorded and not request.in_flight and self.ctx.now_us >= request.next_attempt_us:
                 if request.machines is None:
                     self._send(request)
                 else:
@@ -108,24 +108,24 @@
             self.open_requests.pop(request.name, None)
 
     def _send(self, request: ScaleOutRequest) -> None:
-        request.call_open = True
+        request.in_flight = True
         record = request.record
         body = m.scale_out_request(request.name, record.type, record.zone, record.spot, record.count)
         on_answered = partial(self._on_answered, request)
         self.ctx.call("cloud", "POST", m.PATH_HOSTS, body, on_answered, timeout_us=REQUEST_TIMEOUT_US)
 
     def _on_answered(self, request: ScaleOutRequest, status: int, body: bytes) -> None:
-        request.call_open = False
+        request.in_flight = False
         request.next_attempt_us = self.ctx.now_us + RETRY_PERIOD_US
         names: list[str] = []
         if status == 200:
             try:
                 names = msgspec.json.decode(body, type=m.ScaleOutAnswer).machines
             except msgspec.DecodeError as error:
-                log.error("cloud answered nonsense: %s", error)
+                log.error("cloud sent an invalid scale-out answer: %s", error)
                 return
         elif not _is_refusal(status, body):
-            return  # 429, trouble or no answer: the same name again later
+            return  # 429, another error or no answer: retried later under the same name
         record = request.record
         pool = (record.type, record.zone, record.spot)
         self.capacity.request_answered(pool, record.count, len(names), self.ctx.now_us)
@@ -143,7 +143,7 @@
         self._register(request)
 
     def _register(self, request: ScaleOutRequest) -> None:
-        """Put rented machines into the registry; the record of the request goes with the last of them."""
+        """Add granted machines to the registry; the write of the last ones deletes the record of the request."""
         if not self.election.leads(request.shard) or request.machines is None:
             return
         record = request.record
@@ -152,8 +152,8 @@
         missing = [name for name in request.machines if name not in request.registered]
         batch = missing[: self.ctx.limits.txn_ops - 1]
         is_last = len(missing) <= len(batch)
-        # Guard: each of these writes renews the request's `mod_revision`, or deletes the request. One that is carried
-        # out late, after another, does not bring machines back that have left the registry since.
+        # Guard: each of these writes changes the request's `mod_revision` or deletes the request, so a write that is
+        # applied late, after another, does not bring back machines that have left the registry in the meantime.
         key = records.scale_out_key(request.name)
         conditions = self.election.fencing_condition(request.shard)
         conditions |= {key: self.ctx.cache.mod_revision(key), **{records.machine_key(name): 0 for name in batch}}
@@ -161,10 +161,10 @@
         puts: dict[str, tuple[Any, int | None]] = {records.machine_key(name): (machine_record, None) for name in batch}
         if not is_last:
             puts[key] = (record, None)
-        request.call_open = True
+        request.in_flight = True
 
         def on_registered(status: int, failed_conditions: list[str]) -> None:
-            request.call_open = False
+            request.in_flight = False
             if status == 200:
                 request.registered.update(batch)
                 if not is_last:
@@ -174,5 +174,5 @@
 
 
 def _is_refusal(status: int, body: bytes) -> bool:
-    """Whether the cloud has said for good that no machine comes of the request."""
+    """Whether the answer is final and grants no machines."""
     return (status == 503 and b"capacity" in body) or status == 400
--- a/quinceslip/coordination/autoscaling/unmet_demand.py
+++ b/quinceslip/coordination/autoscaling/unmet_demand.py
@@ -1,4 +1,4 @@
-"""Waiting tasks that neither a booting machine nor one that is being rented will take."""
+"""Waiting tasks that neither a booting machine nor one being requested will take."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -13,16 +13,16 @@
 from quinceslip.coordination.shard_state.worker import Worker, fits
 from quinceslip.protocol import messages as m
 
-#: a boot that takes so many times as long as usual is not counted on: boots take up to half as long again, and one
-#: that takes longer may never end
+#: a boot that takes longer than this many times the usual time is not relied on: boots take up to 1.5 times as long,
+#: and a longer one may never finish
 LATE_BOOT_FACTOR = 1.6
-#: the least that a task counts for, so that demand is never zero
+#: fewest CPUs that a task counts for, so that demand is never zero
 MIN_TASK_CPUS = 0.01
 
 
 @dataclass(slots=True)
-class ComingMachine:
-    """A machine that boots or is being rented, and what is still free on it."""
+class IncomingMachine:
+    """A machine that is booting or being requested, and the resources still free on it."""
 
     machine_type: m.MachineType
     zone: str
@@ -30,7 +30,7 @@
     free: Resources
 
     def allows(self, spec: m.JobSpec, eligible_zones: set[str] | None) -> bool:
-        """Whether tasks of that job may run on it, if they fit; None for zones: any."""
+        """Whether tasks of that job may run here if they fit; `eligible_zones` None means any zone."""
         return (
             (spec.spot or not self.spot)
             and spec.zone in (None, self.zone)
@@ -38,9 +38,9 @@
             and (spec.types is None or self.machine_type.label in spec.types)
         )
 
-    def take(self, spec: m.JobSpec, waiting: int) -> int:
-        """Reserve room for as many of the waiting tasks as fit; returns how many are left."""
-        # Bound: the tasks that wait, also where one of them takes nothing.
+    def reserve(self, spec: m.JobSpec, waiting: int) -> int:
+        """Reserve room for as many of the waiting tasks as fit, and return how many are left."""
+        # Bound: the number of waiting tasks, even if a task needs no resources.
         while waiting and fits(self.free, spec):
             self.free = self.free.without(spec)
             waiting -= 1
@@ -48,16 +48,16 @@
 
 
 class DemandKey(NamedTuple):
-    """What machines are bought for together."""
+    """Properties shared by tasks that machines are bought for together."""
 
-    zone: str  # empty: any
+    zone: str  # empty for any zone
     spot: bool
-    immediate: bool  # services and gangs: they do not wait for what present machines set free
+    immediate: bool  # services and gangs, which do not wait until existing machines have room
 
 
 @dataclass(slots=True)
 class UnmetDemand:
-    """Waiting tasks of one key; `partition` is the first in order of service, and stands for all of them."""
+    """Waiting tasks of one key, represented by `partition`, the first of them in service order."""
 
     partition: JobPartition
     cpus: float = 0.0
@@ -69,10 +69,10 @@
         self.tasks += tasks
 
 
-def coming_machines(ctx: Context, shard: Shard, requests: ScaleOutRequests) -> list[ComingMachine]:
-    """Machines of the shard that boot, then those that its open requests may bring."""
-    coming = [
-        ComingMachine(worker.type, worker.zone, worker.spot, Resources.of_type(worker.type))
+def incoming_machines(ctx: Context, shard: Shard, requests: ScaleOutRequests) -> list[IncomingMachine]:
+    """Return the booting machines of the shard, then those that its open requests may yield."""
+    incoming = [
+        IncomingMachine(worker.type, worker.zone, worker.spot, Resources.of_type(worker.type))
         for worker in shard.workers.values()
         if worker.type and _is_booting(ctx, worker, worker.type)
     ]
@@ -82,8 +82,8 @@
             continue
         for _ in range(request.expected_machines()):
             empty = Resources.of_type(machine_type)
-            coming.append(ComingMachine(machine_type, request.record.zone, request.record.spot, empty))
-    return coming
+            incoming.append(IncomingMachine(machine_type, request.record.zone, request.record.spot, empty))
+    return incoming
 
 
 def _is_booting(ctx: Context, worker: Worker, machine_type: m.MachineType) -> bool:
@@ -94,28 +94,28 @@
     )
 
 
-def unmet_demand(shard: Shard, coming: list[ComingMachine]) -> dict[DemandKey, UnmetDemand]:
-    """Demand that remains once the coming machines have taken what they can; their free resources go down."""
+def unmet_demand(shard: Shard, incoming: list[IncomingMachine]) -> dict[DemandKey, UnmetDemand]:
+    """Return the demand left after assigning tasks to incoming machines, whose free resources are reduced."""
     unmet: dict[DemandKey, UnmetDemand] = {}
     claimed_quota: dict[int, tuple[int, int, int, int]] = {}
-    kept = _kept_tasks(shard)
-    for partition in _partitions_in_order(shard, kept):
+    kept_tasks = _kept_tasks(shard)
+    for partition in _waiting_partitions(shard, kept_tasks):
         spec = partition.spec
-        # Tasks that pause after a failure need no machine: a job that crashes in a loop would rent many.
+        # Tasks that back off after a failure are left out, or a job in a crash loop would rent many machines.
         waiting = partition.startable()
         if shard.quota is not None:
             waiting = shard.quota.startable(spec, waiting, claimed_quota)
-        waiting += kept[partition.job_id]
+        waiting += kept_tasks[partition.job_id]
         if waiting <= 0:
             continue
         eligible_zones = shard.placement.eligible_zones(partition)
         if eligible_zones is not None and not eligible_zones:
             continue
-        for machine in coming:
+        for machine in incoming:
             if not waiting:
                 break
             if fits(machine.free, spec) and machine.allows(spec, eligible_zones):
-                waiting = machine.take(spec, waiting)
+                waiting = machine.reserve(spec, waiting)
         if waiting:
             key = DemandKey(spec.zone or "", spec.spot, spec.service or spec.gang)
             unmet.setdefault(key, UnmetDemand(partition)).add(spec, waiting)
@@ -123,16 +123,18 @@
 
 
 def _kept_tasks(shard: Shard) -> Counter[str]:
-    """How many tasks of each job will wait once the addresses of lost workers are settled: they count already.
+    """Count the tasks of each job that will wait once the addresses of lost workers are resolved.
 
-    Quotas count them as long as they are kept, so they are asked of no quota again.
+    They already count as demand. Quotas count kept tasks, so no quota is checked for them again.
     """
     return Counter(attempt.job_id for attempt in shard.kept_attempts if not attempt.stopping)
 
 
-def _partitions_in_order(shard: Shard, kept: Counter[str]) -> list[JobPartition]:
-    """The partitions that wait, in order of service, then those of which all tasks that will wait are kept."""
+def _waiting_partitions(shard: Shard, kept_tasks: Counter[str]) -> list[JobPartition]:
+    """Return the waiting partitions in service order, then those whose only tasks to wait are kept ones."""
     waiting = shard.waiting_in_order()
-    known = {partition.job_id for partition in waiting} if kept else set()
-    others = [shard.partitions[job_id] for job_id in kept if job_id in shard.partitions and job_id not in known]
+    waiting_ids = {partition.job_id for partition in waiting} if kept_tasks else set()
+    others = [
+        shard.partitions[job_id] for job_id in kept_tasks if job_id in shard.partitions and job_id not in waiting_ids
+    ]
     return waiting + others
