--- a/quinceslip/crash_loops/__init__.py
+++ b/quinceslip/crash_loops/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs that fail on every machine: when one is suspected, and what is tried meanwhile (docs/mistakes.md)."""
+"""Detection of jobs that fail on every machine, and the limits on retries of suspected ones (docs/mistakes.md)."""
--- a/quinceslip/dependencies/__init__.py
+++ b/quinceslip/dependencies/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs that depend on others: who may start, who is cancelled, and how urgent what comes before is."""
+"""Jobs that depend on others: which may start, which are cancelled, and how urgent their dependencies are."""
