--- a/quinceslip/feature_gate/__init__.py
+++ b/quinceslip/feature_gate/__init__.py
@@ -1,9 +1,9 @@
-"""Feature levels: what all controllers begin to do at once, when the last of them has the version that can.
+"""Feature levels: behaviour that controllers enable together once all of them run a version that supports it.
 
-Levels rise; a controller that supports one supports all below it.
+Levels only rise; a controller that supports one also supports all lower ones.
 """
 
-#: jobs that depend on others are accepted, kept, and cancelled with those before them
+#: jobs with dependencies are accepted, stored, and cancelled together with their dependencies
 PIPELINES = 1
 #: the highest level that this version supports
-CURRENT = PIPELINES
+CURRENT_LEVEL = PIPELINES
--- a/quinceslip/liveness/__init__.py
+++ b/quinceslip/liveness/__init__.py
@@ -1,1 +1,1 @@
-"""An actor that makes no progress: how a stall differs from a wait, and what follows from it."""
+"""Detection of a stalled actor, and the consequences of repeated stalls."""
