--- a/quinceslip/coordination/autoscaling/capacity.py
+++ b/quinceslip/coordination/autoscaling/capacity.py
@@ -65,7 +65,7 @@
 
 
 class CapacityObservations:
-    """Stores observations of the cloud's capacity; `backs_off` tells whether to hold back requests for a pool."""
+    """Stores observations of the cloud's capacity, and decides which pools not to request for a while."""
 
     def __init__(
         self,
