--- a/quinceslip/coordination/autoscaling/capacity.py
+++ b/quinceslip/coordination/autoscaling/capacity.py
@@ -27,7 +27,7 @@
 #: pools stored per peer: more than a frame carries, and a bound on the memory that a faulty peer can take up
 MAX_POOLS_PER_PEER = 64
 #: delay between the retries of two controllers: time for the first one's answer and for the others to receive it
-TURN_US = SECOND
+RETRY_STAGGER_US = SECOND
 
 
 class ObservationVersion(NamedTuple):
@@ -84,7 +84,7 @@
         #: the newest observation by controller and pool
         self.by_origin: dict[str, dict[MachinePool, DatedObservation]] = {}
         self.backoffs: dict[MachinePool, Backoff] = {}
-        self.has_news = False  # there are observations not sent to peers yet
+        self.has_unsent_observations = False  # there are observations not sent to peers yet
 
     # Own observations.
 
@@ -98,7 +98,7 @@
 
     def own_observations(self, now_us: int) -> list[Observation]:
         """Return this controller's own observations with their ages, newest first."""
-        self.has_news = False
+        self.has_unsent_observations = False
         if not self.shares_observations:
             return []
         own = self.by_origin.get(self.label, {})
@@ -116,7 +116,7 @@
         self.observation_count += 1
         observation = Observation(pool, self.process_started_ms, self.observation_count, 0, requested, granted)
         own[pool] = DatedObservation(observation, now_us)
-        self.has_news = True
+        self.has_unsent_observations = True
         self._update_backoff(pool, now_us)
 
     # Observations received from peers.
@@ -137,7 +137,7 @@
 
     # Decisions.
 
-    def backs_off(self, pool: MachinePool, now_us: int) -> bool:
+    def is_backing_off(self, pool: MachinePool, now_us: int) -> bool:
         """Whether the pool should not be requested yet."""
         backoff = self.backoffs.get(pool)
         if backoff is None:
@@ -156,7 +156,7 @@
         """Return this controller's retry delay: they retry in turn, `origin` last, so that one answer serves all."""
         controllers = len(self.labels)
         position = (self.labels.index(self.label) - self.labels.index(origin) - 1) % controllers
-        return position * min(TURN_US, MAX_BACKOFF_US // 4 // controllers)
+        return position * min(RETRY_STAGGER_US, MAX_BACKOFF_US // 4 // controllers)
 
     def all_observations(self) -> Mapping[str, Mapping[MachinePool, DatedObservation]]:
         """Return the stored observations by controller, for tests and logs."""
--- a/quinceslip/coordination/jobs/urgency.py
+++ b/quinceslip/coordination/jobs/urgency.py
@@ -60,9 +60,9 @@
         if inherited is None or not self.ctx.tuning.urge_ancestors:
             return EffectiveUrgency(spec, sorted(dues))
         priority = inherited.priority
-        if priority < spec.priority and inherited.dues_us:
-            priority = self._priority_now(job_id, spec, priority, inherited.dues_us[0])
-        dues.update(inherited.dues_us)
+        if priority < spec.priority and inherited.due_times_us:
+            priority = self._priority_now(job_id, spec, priority, inherited.due_times_us[0])
+        dues.update(inherited.due_times_us)
         return EffectiveUrgency(m.with_priority(spec, min(spec.priority, priority)), sorted(dues))
 
     def _priority_now(self, job_id: str, spec: m.JobSpec, inherited: int, first_due_us: int) -> int:
--- a/quinceslip/coordination/scheduling/machine_preference.py
+++ b/quinceslip/coordination/scheduling/machine_preference.py
@@ -41,7 +41,7 @@
         Where quotas give few tasks to many teams the order is found once a pass for all partitions of one shape: the
         machine that was best stays so as it fills up; the order of the others is that of the first look.
         """
-        if self.state.quota is None or partition.crash_loop.blamed_machines:
+        if self.state.quota is None or partition.crash_loop.failure_workers:
             return self._sorted(partition, workers)
         shape = _task_shape(partition.spec)
         order = self._order_by_task_shape.get(shape)
@@ -94,7 +94,7 @@
         free_cpus, _, free_memory_gb = worker.free()
         return (
             worker.task_failures > MAX_TRUSTED_FAILURES,
-            worker.name in partition.crash_loop.blamed_machines,
+            worker.name in partition.crash_loop.failure_workers,
             *self._before_best_fit(worker, spec),
             free_cpus - spec.cpus,
             free_memory_gb - spec.memory_gb,
--- a/quinceslip/crash_loops/detector.py
+++ b/quinceslip/crash_loops/detector.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 #: a job that failed on this many machines and never completed a task is suspected
-MIN_BLAMED_MACHINES = 3
+MIN_FAILURE_WORKERS = 3
 #: with fewer machines, a job is suspected once one of its tasks failed this often
 MIN_TASK_FAILURES = 4
 #: a replica that runs this many times as long as the longest failed run, plus a margin, clears the job
@@ -25,7 +25,7 @@
 
     enabled: bool = True  # whether jobs may be suspected at all
     cleared: bool = False  # permanent: some task completed or ran for long
-    blamed_machines: set[str] = field(default_factory=set)  # workers on which tasks failed
+    failure_workers: set[str] = field(default_factory=set)  # workers on which tasks failed
     failures: int = 0
     max_task_failures: int = 0  # largest number of failures of any one task
     longest_failed_run_us: int = 0  # longest run of a task before it failed
@@ -36,13 +36,13 @@
         """Whether the job is suspected, so that one task is tried at a time."""
         if not self.enabled or self.cleared:
             return False
-        return len(self.blamed_machines) >= MIN_BLAMED_MACHINES or self.max_task_failures >= MIN_TASK_FAILURES
+        return len(self.failure_workers) >= MIN_FAILURE_WORKERS or self.max_task_failures >= MIN_TASK_FAILURES
 
     def task_failed(self, worker: str, task_failures: int, ran_us: int) -> bool:
         """Record a failure of a task, `task_failures` in all; return whether the job has become suspected."""
         was_suspected = self.suspected
         self.failures += 1
-        self.blamed_machines.add(worker)
+        self.failure_workers.add(worker)
         self.max_task_failures = max(self.max_task_failures, task_failures)
         self.longest_failed_run_us = max(self.longest_failed_run_us, ran_us)
         return self.suspected and not was_suspected
@@ -60,5 +60,5 @@
     def reason(self) -> str:
         """Return an explanation for the job's user."""
         return (
-            f"all {self.failures} attempts failed, on {len(self.blamed_machines)} machines: one task is tried at a time"
+            f"all {self.failures} attempts failed, on {len(self.failure_workers)} machines: one task is tried at a time"
         )
--- a/quinceslip/dependencies/urgency.py
+++ b/quinceslip/dependencies/urgency.py
@@ -15,18 +15,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Urgency:
-    """Priority of a job, and `dues_us`, the times by which it should be done, earliest first."""
+    """Priority of a job, and `due_times_us`, the times by which it should be done, earliest first."""
 
     priority: int
-    dues_us: tuple[int, ...] = ()
+    due_times_us: tuple[int, ...] = ()
 
     def earlier_by(self, run_us: int) -> "Urgency":
         """Return this urgency with all due times `run_us` earlier."""
-        return Urgency(self.priority, tuple(due_us - run_us for due_us in self.dues_us))
+        return Urgency(self.priority, tuple(due_us - run_us for due_us in self.due_times_us))
 
     def merged(self, other: "Urgency") -> "Urgency":
         """Return the higher priority and, position by position, the earlier due time of both."""
-        longer, shorter = sorted((self.dues_us, other.dues_us), key=len, reverse=True)
+        longer, shorter = sorted((self.due_times_us, other.due_times_us), key=len, reverse=True)
         common = len(shorter)
         earlier = tuple(min(pair) for pair in zip(longer[:common], shorter, strict=True))
         return Urgency(min(self.priority, other.priority), earlier + longer[common:])
@@ -77,7 +77,7 @@
         if node is None:
             return
         passed_on = dependent.urgency_for_dependencies()
-        same_due = any(own == due for own, due in zip(node.urgency.dues_us, passed_on.dues_us, strict=False))
+        same_due = any(own == due for own, due in zip(node.urgency.due_times_us, passed_on.due_times_us, strict=False))
         if passed_on.priority <= node.urgency.priority or same_due:
             self._stale.add(job_id)
 
