--- a/quinceslip/coordination/controller/cancellations.py
+++ b/quinceslip/coordination/controller/cancellations.py
@@ -1,4 +1,4 @@
-"""Cancellations: one conditional write that makes a job's record final, answered after it succeeded."""
+"""Cancellations: a conditional write makes the job's record final, and the user is answered once it succeeded."""
 
 import logging
 from dataclasses import dataclass
@@ -15,14 +15,14 @@
 
 log = logging.getLogger(__name__)
 
-#: writes of one cancellation; each fails only where the job's record changed at the same time
+#: write attempts per cancellation; an attempt fails only if the job's record changed concurrently
 MAX_ATTEMPTS = 3
 RETRY_DELAY_US = SECOND // 5
 
 
 @dataclass(frozen=True, slots=True)
 class CancellationRetry:
-    """A cancellation whose write failed on its condition, to be tried again."""
+    """A cancellation whose conditional write failed, to be retried."""
 
     request: int
     job_id: str
@@ -31,7 +31,7 @@
 
 
 class Cancellations:
-    """Cancels jobs for users."""
+    """Cancels jobs at the request of users."""
 
     def __init__(self, ctx: Context, status: JobStatusReader, barrier: ReadBarrier, polls: Polls) -> None:
         self.ctx = ctx
@@ -41,7 +41,7 @@
         self.retries: list[CancellationRetry] = []
 
     def tick(self) -> None:
-        """Try again what is due."""
+        """Retry the cancellations that are due."""
         now_us = self.ctx.now_us
         due = [retry for retry in self.retries if retry.due_us <= now_us]
         self.retries = [retry for retry in self.retries if retry.due_us > now_us]
@@ -49,10 +49,10 @@
             self.cancel(retry.request, retry.job_id, retry.attempts_left)
 
     def cancel(self, request: int, job_id: str, attempts_left: int = MAX_ATTEMPTS) -> None:
-        """Cancel a job that is not final yet; a final one keeps its state, which is the answer."""
+        """Cancel a job; one that is already final keeps its state, which is the answer."""
         job = self.ctx.cache.job(job_id)
         if job is None:
-            # A job that this controller has not heard of yet may exist all the same.
+            # The job may exist even though this controller has not seen its record yet.
             self.barrier.wait(request, lambda: self._cancel_if_known(request, job_id))
         elif self.status.is_final(job_id, job):
             state = job.state if records.is_final(job) else m.CANCELLED
@@ -60,31 +60,31 @@
         elif not self.ctx.store_available():
             reply_unavailable(self.ctx, request)
         else:
-            self._write(request, job_id, job, attempts_left)
+            self._write_final_record(request, job_id, job, attempts_left)
 
     def _cancel_if_known(self, request: int, job_id: str) -> None:
-        """Continue behind the read barrier.
+        """Cancel the job, or answer 404, after the read barrier.
 
-        Bound: here the job is known to `cancel`, which so waits for no second barrier.
+        Bound: `cancel` finds the job in the cache, so it does not wait for a second barrier.
         """
         if self.ctx.cache.job(job_id) is None:
-            self.polls.reply_absent(request)
+            self.polls.reply_not_found(request)
         else:
             self.cancel(request, job_id)
 
-    def _write(self, request: int, job_id: str, job: records.JobRecord, attempts_left: int) -> None:
-        """Write the final record, and delete the partition records that nobody reads then."""
+    def _write_final_record(self, request: int, job_id: str, job: records.JobRecord, attempts_left: int) -> None:
+        """Write the final record, and delete the partition records, which are not read after that."""
         ctx = self.ctx
         key = records.job_key(job_id)
         final = records.final_record(job, m.CANCELLED, ctx.cache.done_count(job_id))
         partition_keys = [records.partition_key(shard, job_id) for shard in job.parts]
-        obsolete = [k for k in partition_keys if ctx.cache.mod_revision(k)]
-        max_drops = ctx.limits.txn_ops - 1
+        obsolete_keys = [k for k in partition_keys if ctx.cache.mod_revision(k)]
+        max_deletes = ctx.limits.txn_ops - 1
 
         def on_written(status: int, failed: list[str]) -> None:
             if status == 200:
                 log.info("job cancelled job=%s", job_id)
-                ctx.delete_unneeded(obsolete[max_drops:])
+                ctx.delete_unneeded(obsolete_keys[max_deletes:])
                 ctx.reply(request, 200, m.job_answer(job_id, m.CANCELLED))
             elif status == 409 and attempts_left > 1:
                 due_us = ctx.now_us + RETRY_DELAY_US
@@ -93,4 +93,4 @@
                 reply_unavailable(ctx, request)
 
         conditions = {key: ctx.cache.mod_revision(key)}
-        ctx.compare_and_swap(conditions, {key: (final, None)}, obsolete[:max_drops], on_written, Urgency.USER)
+        ctx.compare_and_swap(conditions, {key: (final, None)}, obsolete_keys[:max_deletes], on_written, Urgency.USER)
--- a/quinceslip/coordination/controller/job_status.py
+++ b/quinceslip/coordination/controller/job_status.py
@@ -1,4 +1,4 @@
-"""The status of a job as users see it, from the cached records and the shards that this controller leads."""
+"""The status of a job as users see it, from cached records and the shards that this controller leads."""
 
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.shard.shard import Shard
@@ -7,18 +7,18 @@
 
 
 class JobStatusReader:
-    """Reads the status of jobs. Only a final one is certain without a read barrier."""
+    """Reads the status of jobs. Without a read barrier, only a final status is certain."""
 
     def __init__(self, ctx: Context, shards: dict[int, Shard]) -> None:
         self.ctx = ctx
         self.shards = shards
 
     def is_final(self, job_id: str, job: records.JobRecord) -> bool:
-        """Whether a job's state is final: by its own record, or by that of a job that it depends on."""
+        """Whether a job's state is final, by its own record or because a job that it depends on was cancelled."""
         return records.is_final(job) or self.ctx.graph.is_cancelled(job_id)
 
     def answer(self, job_id: str, job: records.JobRecord) -> dict[str, object]:
-        """The body of the answer to a poll."""
+        """Return the body of the answer to a poll."""
         if records.is_final(job):
             return m.job_answer(job_id, job.state, job.done, 0)
         if self.ctx.graph.is_cancelled(job_id):
@@ -27,5 +27,5 @@
         running = sum(attempt.state == m.RUNNING for p in partitions for attempt in p.attempts.values())
         state = m.RUNNING if running else m.QUEUED
         done = self.ctx.cache.done_count(job_id)
-        why = next((p.crash_loop.reason() for p in partitions if p.crash_loop.suspected), None)
-        return m.job_answer(job_id, state, done, running, why)
+        reason = next((p.crash_loop.reason() for p in partitions if p.crash_loop.suspected), None)
+        return m.job_answer(job_id, state, done, running, reason)
--- a/quinceslip/coordination/controller/polls.py
+++ b/quinceslip/coordination/controller/polls.py
@@ -1,4 +1,4 @@
-"""Polls: the status of a job, behind a read barrier unless it is final."""
+"""Polls of a job's status, answered after a read barrier unless the status is final."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 
 class Polls:
-    """Answers what the status of a job is, or that there is no such job."""
+    """Answers polls with the status of a job, or that the job does not exist."""
 
     def __init__(self, ctx: Context, status: JobStatusReader, barrier: ReadBarrier) -> None:
         self.ctx = ctx
@@ -17,7 +17,7 @@
         self.barrier = barrier
 
     def poll(self, request: int, job_id: str, if_absent: Callable[[], None] | None = None) -> None:
-        """Answer with a job's status; `if_absent` answers instead of a 404 once it is certain that there is none."""
+        """Answer with a job's status; if it certainly does not exist, call `if_absent`, or answer 404 without one."""
         job = self.ctx.cache.job(job_id)
         if job is not None and self.status.is_final(job_id, job):
             self.ctx.reply(request, 200, self.status.answer(job_id, job))
@@ -29,14 +29,14 @@
         self.barrier.wait(request, on_cache_current)
 
     def poll_or_error(self, request: int, job_id: str, status: int, error: str) -> None:
-        """Answer with an error once it is certain that the job is not known, else with its status.
+        """Answer with an error once it is certain that the job does not exist, else with its status.
 
-        An accepted job never gets 400 or 422, however the repetition of its submission is written.
+        An accepted job never gets 400 or 422, whatever a repeated submission of it contains.
         """
         self.poll(request, job_id, lambda: reply_error(self.ctx, request, status, error))
 
-    def reply_absent(self, request: int) -> None:
-        """Answer that there is no such job. Only behind a read barrier."""
+    def reply_not_found(self, request: int) -> None:
+        """Answer that the job does not exist. Call only after a read barrier."""
         reply_error(self.ctx, request, 404, "no such job")
 
     def _answer(self, request: int, job_id: str, if_absent: Callable[[], None] | None) -> None:
@@ -46,4 +46,4 @@
         elif if_absent is not None:
             if_absent()
         else:
-            self.reply_absent(request)
+            self.reply_not_found(request)
--- a/quinceslip/coordination/controller/read_barrier.py
+++ b/quinceslip/coordination/controller/read_barrier.py
@@ -1,4 +1,4 @@
-"""Read barrier: what waits is continued once the store cache holds all that was written before it asked."""
+"""Read barrier: holds a request until the store cache has everything that was written before it arrived."""
 
 import logging
 from collections.abc import Callable
@@ -14,42 +14,42 @@
 
 log = logging.getLogger(__name__)
 
-#: requests of users that wait for a read at the same time; more are answered 503. A fleet of 4,000 machines has users
-#: who poll each of its jobs; one entry costs some hundred bytes.
+#: user requests that may wait for a read at the same time; further ones are answered 503. Users of a fleet of 4,000
+#: machines poll each of its jobs; one entry takes a few hundred bytes.
 MAX_PENDING_REQUESTS = 8_000
-#: part of this controller's requests to the key-value store that barriers may take
+#: share of this controller's requests to the key-value store that read barriers may use
 MAX_READ_SHARE = 0.25
-#: a request waits no longer than this for others that share its read
+#: longest time that a request waits for others to share its read with
 MAX_READ_INTERVAL_US = SECOND // 4
 MAX_READ_TIMEOUT_US = SECOND
-#: users wait 2 s for an answer (PROTOCOL); what cannot be known by this time is 503
-ANSWER_WITHIN_US = 7 * SECOND // 4
+#: users wait 2 s for an answer (PROTOCOL); a request that is still undecided after this time is answered 503
+ANSWER_TIMEOUT_US = 7 * SECOND // 4
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A user's request that needs a read barrier, and what continues it then."""
+    """A user request that waits for a read barrier, and the callback that continues it."""
 
     request: int
-    asked_us: int
+    received_us: int
     on_cache_current: Callable[[], None]
 
 
 @dataclass(slots=True)
-class PassedBarrier:
-    """Requests whose read gave this store revision, which the cache has yet to reach."""
+class CompletedRead:
+    """Requests whose read returned this store revision, which the cache has not reached yet."""
 
     revision: int
     pending: list[PendingRequest]
 
 
 class ReadBarrier:
-    """Linearizable reads of the store's revision, each shared by the requests that came before it."""
+    """Linearizable reads of the store's revision, each shared by the requests that arrived before it started."""
 
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
         self.awaiting_read: list[PendingRequest] = []
-        self.awaiting_cache: list[PassedBarrier] = []
+        self.awaiting_cache: list[CompletedRead] = []
         self.reading = False
         request_interval_us = SECOND * ctx.settings.facts.size / (MAX_READ_SHARE * ctx.limits.rps)
         self.read_interval_us = min(int(request_interval_us), MAX_READ_INTERVAL_US)
@@ -57,7 +57,7 @@
         self.reads_started = 0
 
     def wait(self, request: int, on_cache_current: Callable[[], None]) -> None:
-        """Continue a request behind a barrier; it is answered 503 if too many wait, or no read succeeds in time."""
+        """Continue a request after a barrier; answer 503 if too many requests wait or no read succeeds in time."""
         if len(self.awaiting_read) >= MAX_PENDING_REQUESTS:
             reply_unavailable(self.ctx, request)
             return
@@ -65,30 +65,30 @@
         self._start_read()
 
     def tick(self) -> None:
-        """Continue what can be, answer what is out of time, and start a read that is due."""
+        """Continue requests whose revision is cached, answer expired ones, and start a read that is due."""
         self.cache_advanced()
-        # Guard: a read that hangs holds up nobody past the time that users wait, however many ask meanwhile.
+        # Guard: a hanging read delays no request past the time that users wait, however many arrive meanwhile.
         self.awaiting_read = self._drop_expired(self.awaiting_read)
         self._start_read()
 
     def cache_advanced(self) -> None:
         """Continue the requests whose revision the cache has reached."""
-        barriers, self.awaiting_cache = self.awaiting_cache, []
-        for barrier in barriers:
-            if self.ctx.cache.synced and self.ctx.cache.revision >= barrier.revision:
-                for pending in barrier.pending:
+        completed_reads, self.awaiting_cache = self.awaiting_cache, []
+        for read in completed_reads:
+            if self.ctx.cache.synced and self.ctx.cache.revision >= read.revision:
+                for pending in read.pending:
                     pending.on_cache_current()
                 continue
-            in_time = self._drop_expired(barrier.pending)
-            if in_time:
-                self.awaiting_cache.append(PassedBarrier(barrier.revision, in_time))
+            unexpired = self._drop_expired(read.pending)
+            if unexpired:
+                self.awaiting_cache.append(CompletedRead(read.revision, unexpired))
 
     def _start_read(self) -> None:
-        """Start one read for all that wait, if none is under way.
+        """Start one read for all waiting requests, if none is in progress.
 
-        Reads keep a distance: however many users ask, they take no more than their share of the requests, and
-        heartbeats and results keep theirs. A read made before a request came proves nothing for it, so none is
-        shared with later requests.
+        Reads are spaced out: however many users ask, reads use no more than their share of the store requests and
+        leave the rest to heartbeats and results. A read proves nothing for a request that arrives after its start, so
+        later requests never share it.
         """
         if not self.awaiting_read or self.reading or self.ctx.now_us < self.next_read_us:
             return
@@ -100,7 +100,7 @@
         def on_read(status: int, body: bytes) -> None:
             self._finish_read(pending, status, body)
 
-        remaining_us = pending[0].asked_us + ANSWER_WITHIN_US - self.ctx.now_us
+        remaining_us = pending[0].received_us + ANSWER_TIMEOUT_US - self.ctx.now_us
         self.ctx.call(
             "state",
             "GET",
@@ -111,9 +111,9 @@
         )
 
     def _finish_read(self, pending: list[PendingRequest], status: int, body: bytes) -> None:
-        """Let the requests of a read wait for the cache, or answer 503 where it failed; start the next read.
+        """Let the requests of a read wait for the cache, or answer 503 if it failed; then start the next read.
 
-        Bound: called by an answer of the key-value store alone, so no read finishes within another.
+        Bound: called only for an answer of the key-value store, so calls do not nest.
         """
         self.reading = False
         self.ctx.note_store_status(status)
@@ -122,23 +122,23 @@
             for entry in pending:
                 reply_unavailable(self.ctx, entry.request)
         else:
-            self.awaiting_cache.append(PassedBarrier(revision, pending))
+            self.awaiting_cache.append(CompletedRead(revision, pending))
             self.cache_advanced()
         self._start_read()
 
     def _drop_expired(self, pending: list[PendingRequest]) -> list[PendingRequest]:
-        """Those whose users still wait; the others are answered 503."""
-        in_time = []
+        """Return the requests whose users still wait; answer 503 to the others."""
+        unexpired = []
         for entry in pending:
-            if self.ctx.now_us < entry.asked_us + ANSWER_WITHIN_US:
-                in_time.append(entry)
+            if self.ctx.now_us < entry.received_us + ANSWER_TIMEOUT_US:
+                unexpired.append(entry)
             else:
                 reply_unavailable(self.ctx, entry.request)
-        return in_time
+        return unexpired
 
 
 def _store_revision(status: int, body: bytes) -> int | None:
-    """The revision at which the key that never exists was read as absent; None where the read failed."""
+    """Return the revision at which a key that never exists was read as absent; None if the read failed."""
     if status != 404:
         return None
     try:
--- a/quinceslip/coordination/controller/user_requests.py
+++ b/quinceslip/coordination/controller/user_requests.py
@@ -1,4 +1,4 @@
-"""Requests of users: each verb goes to the part that answers it."""
+"""Requests of users, each dispatched by its verb to the component that answers it."""
 
 from collections.abc import Callable, Sequence
 from enum import StrEnum
@@ -16,10 +16,10 @@
 
 
 class UserVerb(StrEnum):
-    """What a user asks for; the verb of a `UserRequest`."""
+    """What a user asks for: the verb of a `UserRequest`."""
 
     SUBMIT = "submit"
-    MALFORMED = "malformed"  # a submission that can't be read, but for its job's name
+    MALFORMED = "malformed"  # a submission that cannot be parsed, except for its job id
     POLL = "poll"
     CANCEL = "cancel"
     READY = "ready"  # whether users should be sent here
@@ -53,20 +53,20 @@
 
     @property
     def read_barriers(self) -> int:
-        """Read barriers so far."""
+        """Number of reads started for read barriers so far."""
         return self.barrier.reads_started
 
     def handle(self, request: UserRequest) -> None:
-        """Answer a request, now or behind the reads and writes that it takes."""
+        """Answer a request, at once or after the reads and writes that it needs."""
         self._handlers[request.verb](request)
 
     def tick(self) -> None:
-        """Go on with what waits."""
+        """Retry cancellations and continue requests that wait for a read barrier."""
         self.cancellations.tick()
         self.barrier.tick()
 
     def cache_advanced(self) -> None:
-        """The store cache has applied changes."""
+        """Called when the store cache has applied changes."""
         self.barrier.cache_advanced()
 
     def _submit(self, request: UserRequest) -> None:
