--- a/quinceslip/coordination/controller/submission_checks.py
+++ b/quinceslip/coordination/controller/submission_checks.py
@@ -1,4 +1,4 @@
-"""Why a job can never run, or never start, for the error that its submission is answered with."""
+"""Checks whether a submitted job can ever start and run; the reason against it goes into the answer to its user."""
 
 from collections.abc import Sequence
 
@@ -18,12 +18,12 @@
         self.subsystems = subsystems
 
     def never_runs_reason(self, job: records.JobRecord, spec: m.JobSpec) -> str | None:
-        """Why a job can never run, shown to its user; None if it can."""
+        """Return the reason, for the user, why a job can never run; None if it can."""
         if not self.ctx.fits_record(job):
             return "its description is larger than a record may be"
         if self.ctx.team(spec.team) is None:
             return f"unknown team {spec.team}"
-        reason = self._fits_nowhere_reason(spec)
+        reason = self._no_fitting_type_reason(spec)
         if reason is not None:
             return reason
         for subsystem in self.subsystems:
@@ -33,7 +33,7 @@
         return None
 
     def dependency_error(self, spec: m.JobSpec) -> str | None:
-        """Why a job can never start for what it depends on; None if it can, as far as this controller knows."""
+        """Return why its dependencies keep a job from ever starting; None if this controller knows of no reason."""
         if spec.job_id in spec.dependencies:
             return f"{spec.job_id} waits on itself"
         for job_id in spec.dependencies:
@@ -45,27 +45,27 @@
         return None
 
     def depends_on_cancelled(self, spec: m.JobSpec) -> bool:
-        """Whether a job that it depends on is cancelled already."""
+        """Whether a dependency of the job is already cancelled."""
         for job_id in spec.dependencies:
             job = self.ctx.cache.job(job_id)
             if job is not None and job.state != m.DONE and self.status.is_final(job_id, job):
                 return True
         return False
 
-    def _fits_nowhere_reason(self, spec: m.JobSpec) -> str | None:
-        """Why no allowed machine type holds one task; None if one does."""
+    def _no_fitting_type_reason(self, spec: m.JobSpec) -> str | None:
+        """Return why no allowed machine type can hold one task; None if one can."""
         allowed = [t for t in self.ctx.types.values() if spec.types is None or t.label in spec.types]
-        if any(_holds_task(machine_type, spec) for machine_type in allowed):
+        if any(_can_hold_task(machine_type, spec) for machine_type in allowed):
             return None
-        where = "" if spec.zone is None else f" in {spec.zone}"
+        zone_text = "" if spec.zone is None else f" in {spec.zone}"
         labels = ", ".join(sorted(t.label for t in allowed)) or "there is none"
         return (
             f"a task of {spec.cpus:g} CPUs, {spec.gpus:g} GPUs and {spec.memory_gb:g} GB fits no allowed "
-            f"machine type{where}: {labels}"
+            f"machine type{zone_text}: {labels}"
         )
 
 
-def _holds_task(machine_type: m.MachineType, spec: m.JobSpec) -> bool:
+def _can_hold_task(machine_type: m.MachineType, spec: m.JobSpec) -> bool:
     return (
         machine_type.cpus >= spec.cpus
         and machine_type.gpus >= spec.gpus
--- a/quinceslip/coordination/controller/submissions.py
+++ b/quinceslip/coordination/controller/submissions.py
@@ -1,4 +1,4 @@
-"""Submissions: a job is accepted by one write, conditional on there being no record of it."""
+"""Submissions: a job is accepted by one write, conditional on the absence of its record."""
 
 import logging
 from collections.abc import Sequence
@@ -19,7 +19,7 @@
 
 
 class Submissions:
-    """Accepts jobs; the repetition of a submission is answered like a poll."""
+    """Accepts jobs; a repeated submission is answered like a poll."""
 
     def __init__(
         self,
@@ -35,11 +35,11 @@
         self.checks = SubmissionChecks(ctx, status, subsystems)
 
     def submit(self, request: int, spec: m.JobSpec) -> None:
-        """Accept a job, or answer why not."""
+        """Accept a job, or answer why it is not accepted."""
         self._submit(request, spec, behind_barrier=False)
 
     def _submit(self, request: int, spec: m.JobSpec, behind_barrier: bool) -> None:
-        """`behind_barrier`: the cache has all that was written before the user asked."""
+        """Handle a submission; `behind_barrier`: the cache has everything written before the user asked."""
         ctx = self.ctx
         if ctx.cache.job(spec.job_id) is not None:
             self.polls.poll(request, spec.job_id)
@@ -47,7 +47,7 @@
         if not ctx.cache.synced or not ctx.types or not ctx.store_available():
             reply_unavailable(ctx, request)
             return
-        spec = m.waiting_on(spec, list(dict.fromkeys(spec.dependencies)))  # each dependency once
+        spec = m.waiting_on(spec, list(dict.fromkeys(spec.dependencies)))  # drop duplicates
         job = self._new_record(spec)
         reason = self.checks.never_runs_reason(job, spec)
         if reason is not None:
@@ -65,15 +65,15 @@
         self._accept(request, spec, job)
 
     def _new_record(self, spec: m.JobSpec) -> records.JobRecord:
-        """The record of a new job, with the shard number that takes longest to write: its size is checked first."""
+        """Create the record of a new job with the longest shard number, since its size is checked first."""
         last_shard = self.ctx.settings.facts.size - 1
         all_tasks = records.PartitionRecord(task_sets.encode(set(range(spec.tasks))))
         return records.JobRecord(m.QUEUED, spec.tasks, spec, last_shard, all_tasks, self.ctx.wall_us)
 
     def _reject_dependencies(self, request: int, spec: m.JobSpec, error: str, behind_barrier: bool) -> None:
-        """Answer 422, which is final: only once this controller knows what others accepted until now.
+        """Answer 422, but as that is final, only once this controller knows what others have accepted until now.
 
-        Bound: the submission is checked once more behind a read barrier, and answered then.
+        Bound: the submission is checked once more after a read barrier, and answered then.
         """
         if behind_barrier:
             reply_error(self.ctx, request, 422, error)
@@ -81,7 +81,7 @@
             self.polls.poll(request, spec.job_id, lambda: self._submit(request, spec, behind_barrier=True))
 
     def _without_done_dependencies(self, spec: m.JobSpec) -> m.JobSpec:
-        """What is done stays done and needs no place in the record; a cancelled dependency does."""
+        """Remove dependencies that are done, which stay done and need no space in the record; keep cancelled ones."""
         unfinished = []
         for job_id in spec.dependencies:
             job = self.ctx.cache.job(job_id)
@@ -90,7 +90,7 @@
         return m.waiting_on(spec, unfinished)
 
     def _accept(self, request: int, spec: m.JobSpec, job: records.JobRecord) -> None:
-        """Write the record at the shard that the load balancer chooses; the answer follows the write."""
+        """Write the record with the shard that the load balancer chooses; answer after the write."""
         shard = self.load_balancer.shard_for()
         if shard is None:
             reply_unavailable(self.ctx, request)
--- a/quinceslip/coordination/controller/subsystem.py
+++ b/quinceslip/coordination/controller/subsystem.py
@@ -1,8 +1,8 @@
-"""The interface through which a further subsystem takes part in a controller's actor.
+"""The interface of optional subsystems of a controller's actor.
 
-A subsystem owns its own records and state. It gets the actor's messages through these methods, in the actor's thread,
-acts through `Context` like every other part, and does no I/O of its own. Where it is switched off it is not made at
-all, so nothing of it is loaded.
+A subsystem owns its own records and state. It receives the actor's messages through these methods, in the actor's
+thread, acts through `Context` like every other component, and does no I/O itself. A subsystem that is switched off is
+not created, so none of its code is loaded.
 """
 
 from collections.abc import Callable, Mapping
@@ -17,36 +17,36 @@
 
 
 class Subsystem:
-    """Does nothing at every point; each subsystem overrides what concerns it."""
+    """Base class whose methods do nothing; each subsystem overrides those that it needs."""
 
-    #: kinds of records it owns (the part of a key after PREFIX), with their types; no other part writes them
+    #: kinds of records it owns (the part of a key after PREFIX), with their types; no other component writes them
     kinds: Mapping[str, Any] = {}
-    #: questions to this controller that it answers, by the last part of their path
+    #: queries to this controller that it answers, by the last segment of their path
     questions: tuple[str, ...] = ()
 
     def shard_gained(self, shard: "Shard") -> None:
-        """This controller leads a shard, after a start or a failover."""
+        """Called when this controller starts to lead a shard, after a start or a failover."""
 
     def shard_lost(self, index: int) -> None:
-        """This controller no longer leads a shard."""
+        """Called when this controller stops leading a shard."""
 
     def record_changed(self, kind: str, name: str) -> None:
-        """One of its records changed in the cache."""
+        """Called when one of its records changed in the cache."""
 
     def tick(self) -> None:
-        """About ten times a second."""
+        """Called about ten times a second."""
 
     def batch_ended(self) -> None:
-        """A batch of messages was handled and every shard has placed what it can."""
+        """Called when a batch of messages is handled and every shard has placed what it can."""
 
     def never_runs_reason(self, spec: m.JobSpec) -> str | None:
-        """Why a job can never run, for the 422 to its user; None if it may run."""
+        """Return why a job can never run, for the 422 to its user; None if it may run."""
         return None
 
     def answer(self, question: str, after: str) -> Any:
-        """The answer to one of `questions`; `after` continues a page."""
+        """Return the answer to one of `questions`; `after` says where the next page starts."""
         return None
 
 
-#: makes a subsystem out of what a controller shares with it: the context, its leadership, and the shards that it leads
+#: creates a subsystem from what a controller shares with it: the context, the election, and the shards that it leads
 SubsystemFactory = Callable[[Context, LeaderElection, "dict[int, Shard]"], Subsystem]
