--- a/quinceslip/coordination/controller/__init__.py
+++ b/quinceslip/coordination/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controller actor: routes messages to its parts, and answers users."""
+"""The controller actor: routes messages to its components, and answers users."""
--- a/quinceslip/coordination/controller/controller.py
+++ b/quinceslip/coordination/controller/controller.py
@@ -1,4 +1,4 @@
-"""The actor of one controller: takes messages, returns effects, does no I/O of its own."""
+"""The actor of one controller: handles messages and returns effects; does no I/O itself."""
 
 import logging
 from collections.abc import Callable, Sequence
@@ -22,7 +22,7 @@
 from quinceslip.coordination.autoscaling.autoscaler import Autoscaler
 from quinceslip.coordination.connectivity.connectivity import WorkerConnectivity
 from quinceslip.coordination.controller.peer_heartbeats import PeerHeartbeats
-from quinceslip.coordination.controller.periodic_work import PeriodicPart, PeriodicWork
+from quinceslip.coordination.controller.periodic_work import PeriodicComponent, PeriodicWork
 from quinceslip.coordination.controller.record_changes import RecordChanges
 from quinceslip.coordination.controller.shard_hand_over import ShardHandOver
 from quinceslip.coordination.controller.subsystem import SubsystemFactory
@@ -42,7 +42,7 @@
 
 
 class Controller:
-    """Routes messages to its parts. Owned by one thread; whoever runs it carries out the effects."""
+    """Routes messages to its components. Owned by one thread; the caller carries out the effects."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self.election = LeaderElection(self.ctx, self.home_shard, self._shard_gained, self._shard_lost)
         self.feature_gate = FeatureGate(self.ctx, self.election, self.labels)
         self.ctx.feature_active = self.feature_gate.is_open
-        self.subsystems = [make(self.ctx, self.election, self.shards) for make in subsystem_factories]
+        self.subsystems = [create(self.ctx, self.election, self.shards) for create in subsystem_factories]
         for subsystem in self.subsystems:
             self.ctx.cache.register_kind(subsystem.kinds)
         self.load_balancer = LoadBalancer(self.ctx, self.election, self.shards)
@@ -67,13 +67,13 @@
         self.autoscaler.quick_service_cpus = self.load_balancer.quick_service_cpus
         self.cancellation_propagator = CancellationPropagator(self.ctx, self.ctx.graph, self.election.leads)
         self.connectivity = WorkerConnectivity(self.ctx, self.home_shard)
-        self._add_message_parts()
+        self._create_message_components()
         self._message_handlers = self._make_message_handlers()
-        self.periodic_work = PeriodicWork(self.ctx, self._make_periodic_parts())
+        self.periodic_work = PeriodicWork(self.ctx, self._make_periodic_components())
         self.next_summary_us = now_us + SUMMARY_PERIOD_US
 
-    def _add_message_parts(self) -> None:
-        """Make the parts that messages are routed to, out of those that own the state."""
+    def _create_message_components(self) -> None:
+        """Create the components that messages are routed to, from those that own the state."""
         self.user_requests = UserRequests(self.ctx, self.shards, self.load_balancer, self.subsystems, self.ready)
         self.record_changes = RecordChanges(
             self.ctx,
@@ -94,7 +94,7 @@
         )
 
     def _make_message_handlers(self) -> dict[type[Message], Callable[[Any], None]]:
-        """What takes each type of message; a handler's parameter is of the type that it stands under."""
+        """Return the handler of each message type; its parameter is of the type that it is registered for."""
         return {
             Tick: self._handle_tick,
             BatchEnd: self._handle_batch_end,
@@ -107,34 +107,34 @@
             PeerFrameReceived: self._handle_peer_frame,
         }
 
-    def _make_periodic_parts(self) -> list[PeriodicPart]:
-        """The parts of a tick in their order; their names are those of stall records."""
+    def _make_periodic_components(self) -> list[PeriodicComponent]:
+        """Return the components that a tick runs, in order; their names appear in stall records."""
         return [
-            PeriodicPart("refused", self.ctx.answer_rejected_again),
-            PeriodicPart("rights", self.election.tick),
-            PeriodicPart("rollout", self.feature_gate.tick),
-            PeriodicPart("shards", self._tick_shards),
-            PeriodicPart("machines", self.autoscaler.tick),
-            PeriodicPart("beat", self.peer_heartbeats.tick),
-            PeriodicPart("balance", self.load_balancer.tick),
-            PeriodicPart("peers", self._tick_leadership),
-            *(PeriodicPart(type(subsystem).__name__, subsystem.tick) for subsystem in self.subsystems),
-            PeriodicPart("users", self.user_requests.tick),
-            PeriodicPart("withdrawals", self.cancellation_propagator.tick),
+            PeriodicComponent("refused", self.ctx.answer_rejected_again),
+            PeriodicComponent("rights", self.election.tick),
+            PeriodicComponent("rollout", self.feature_gate.tick),
+            PeriodicComponent("shards", self._tick_shards),
+            PeriodicComponent("machines", self.autoscaler.tick),
+            PeriodicComponent("beat", self.peer_heartbeats.tick),
+            PeriodicComponent("balance", self.load_balancer.tick),
+            PeriodicComponent("peers", self._tick_leadership),
+            *(PeriodicComponent(type(subsystem).__name__, subsystem.tick) for subsystem in self.subsystems),
+            PeriodicComponent("users", self.user_requests.tick),
+            PeriodicComponent("withdrawals", self.cancellation_propagator.tick),
         ]
 
     def handle(self, message: Message, now_us: int) -> list[Effect]:
-        """Take one message at `now_us`, and return what is to be done for it, in order."""
+        """Handle one message at `now_us`, and return the resulting effects in order."""
         self.ctx.now_us = now_us
         self.ctx.effects = []
         self._message_handlers[type(message)](message)
         return self.ctx.effects
 
     def ready(self) -> bool:
-        """Whether users should be sent here; not where this controller alone has lost the key-value store.
+        """Whether users should be sent here: not if this controller alone has lost the key-value store.
 
-        One that has lost its peers as well cannot tell an outage from its own network. Were it called ready, users
-        would stay with it for as long as that lasts, and others may serve them.
+        A controller that has lost its peers as well cannot tell a store outage from a fault of its own network. If it
+        reported ready, users would stay with it for as long as that lasts, although other controllers may serve them.
         """
         if not self.ctx.cache.synced:
             return False
@@ -186,10 +186,10 @@
     # Leadership.
 
     def _shard_gained(self, index: int, term: int, previous_own_term: int) -> None:
-        """This controller leads a shard, or leads it under a higher term than before."""
-        known = self.shards.get(index)
-        if known is not None:
-            known.term_raised(term)
+        """Start to lead a shard, or continue to lead it under a higher term."""
+        existing = self.shards.get(index)
+        if existing is not None:
+            existing.term_raised(term)
             return
         shard = Shard(self.ctx, self.election, index, term, previous_own_term)
         self.shards[index] = shard
@@ -197,19 +197,19 @@
             subsystem.shard_gained(shard)
 
     def _shard_lost(self, index: int) -> None:
-        """This controller leads a shard no longer."""
+        """Stop leading a shard."""
         self.shards.pop(index, None)
         for subsystem in self.subsystems:
             subsystem.shard_lost(index)
 
-    # Time.
+    # Periodic work.
 
     def _tick_shards(self) -> None:
         for shard in list(self.shards.values()):
             shard.tick()
 
     def _tick_leadership(self) -> None:
-        """Log the shards, hand over what others should lead, and follow whether workers reach this controller."""
+        """Log shard summaries, hand over shards that peers should lead, and check whether workers reach this one."""
         self._log_summary()
         self.shard_hand_over.tick()
         if self.election.may_launch():
--- a/quinceslip/coordination/controller/peer_heartbeats.py
+++ b/quinceslip/coordination/controller/peer_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of this controller to its peers, with its observations of the cloud's capacity behind them."""
+"""Heartbeats of this controller to its peers, followed by its observations of the cloud's capacity."""
 
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.effects import ToPeers
@@ -9,12 +9,12 @@
 from quinceslip.protocol import frames
 
 HEARTBEAT_PERIOD_US = SECOND
-#: with new observations of the cloud's capacity, a heartbeat may be sent this much before it is due
+#: a heartbeat with new observations of the cloud's capacity may be sent this long before it is due
 MAX_EARLY_US = 3 * SECOND // 4
 
 
 class PeerHeartbeats:
-    """Sends a heartbeat to every peer, once a period."""
+    """Sends a heartbeat to every peer once a period."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self.next_heartbeat_us = 0
 
     def tick(self) -> None:
-        """Send a heartbeat when it is due, or early where peers are about to ask the cloud for the same."""
+        """Send a heartbeat when it is due, or early if its news saves peers a request to the cloud."""
         early_us = MAX_EARLY_US if self.capacity.has_news else 0
         if self.ctx.now_us >= self.next_heartbeat_us - early_us:
             self.next_heartbeat_us = self.ctx.now_us + HEARTBEAT_PERIOD_US
@@ -46,8 +46,8 @@
             self.connectivity.yielding,
             self.connectivity.misrouted.counts(),
         )
-        packed = frames.pack_heartbeat(heartbeat)
+        frame_bytes = frames.pack_heartbeat(heartbeat)
         observations = self.capacity.own_observations(self.ctx.now_us)
         if observations:
-            packed += frames.pack_observations(frames.PeerObservations(label, observations))
-        self.ctx.effects.append(ToPeers(packed))
+            frame_bytes += frames.pack_observations(frames.PeerObservations(label, observations))
+        self.ctx.effects.append(ToPeers(frame_bytes))
--- a/quinceslip/coordination/controller/periodic_work.py
+++ b/quinceslip/coordination/controller/periodic_work.py
@@ -1,4 +1,4 @@
-"""Periodic work: every part of a controller takes its turn in each tick."""
+"""Periodic work: each tick runs every component of a controller once."""
 
 import logging
 from collections.abc import Callable
@@ -9,26 +9,26 @@
 log = logging.getLogger(__name__)
 
 
-class PeriodicPart(NamedTuple):
-    """A part and its name, by which stall records know it."""
+class PeriodicComponent(NamedTuple):
+    """A component, and its name in stall records."""
 
     name: str
     tick: Callable[[], None]
 
 
 class PeriodicWork:
-    """Runs the parts in their order."""
+    """Runs the components in order."""
 
-    def __init__(self, ctx: Context, parts: list[PeriodicPart]) -> None:
+    def __init__(self, ctx: Context, components: list[PeriodicComponent]) -> None:
         self.ctx = ctx
-        self.parts = parts
+        self.components = components
 
     def tick(self) -> None:
-        """Run every part on its own: a defect in one of them costs that part its turn and nothing else."""
-        for part in self.parts:
-            self.ctx.active_part = part.name
+        """Run every component separately: if one raises, only its own turn is lost."""
+        for component in self.components:
+            self.ctx.active_part = component.name
             try:
-                part.tick()
+                component.tick()
             except Exception:
-                log.exception("a part of the tick failed part=%s", part.name)
+                log.exception("periodic work of a component failed part=%s", component.name)
         self.ctx.active_part = ""
--- a/quinceslip/coordination/controller/record_changes.py
+++ b/quinceslip/coordination/controller/record_changes.py
@@ -1,4 +1,4 @@
-"""Changes of records in the store cache: each kind goes to the part that acts on it."""
+"""Dispatch of changed records in the store cache to the components that handle their kind."""
 
 from collections.abc import Callable, Iterable, Sequence
 from functools import partial
@@ -12,12 +12,12 @@
 from quinceslip.coordination.shard.shard import Shard
 from quinceslip.storage.cache import StoreCache
 
-#: the kind of job records, as stored
+#: kind of job records in the store
 JOB_KIND = "job"
 
 
 class RecordChanges:
-    """Passes changes on, one record after the other; handlers get the name of the record within its kind."""
+    """Dispatches changed records one by one; a handler gets the name of the record within its kind."""
 
     def __init__(
         self,
@@ -48,21 +48,21 @@
         }
 
     def apply(self, changed_keys: Iterable[str]) -> None:
-        """Act on records that changed in the cache.
+        """Handle records that changed in the cache.
 
-        Dependencies come first: whether a job may start rests on the records of others in the same batch. Jobs that
-        became ready or more urgent by it come last.
+        The dependency graph is updated first: whether a job may start depends on other records of the same batch. Jobs
+        that became ready or more urgent as a result come last.
         """
         keys = [StoreCache.split(key) for key in changed_keys]
-        pipelines = self.ctx.graph.records_changed([name for kind, name in keys if kind == JOB_KIND])
+        graph_changes = self.ctx.graph.records_changed([name for kind, name in keys if kind == JOB_KIND])
         for kind, name in keys:
             self.ctx.records_applied += 1
             handler = self._handlers.get(kind)
             if handler is not None:
                 handler(name)
-        for job_id in pipelines.ready:
+        for job_id in graph_changes.ready:
             self._job_ready(job_id)
-        for job_id in pipelines.urgency_changed:
+        for job_id in graph_changes.urgency_changed:
             for shard in self.shards.values():
                 shard.persistence.urgency_changed(job_id)
 
@@ -71,7 +71,7 @@
             shard.persistence.load(job_id)
 
     def _partition_changed(self, name: str) -> None:
-        """A partition record is named by its shard and its job."""
+        """Load the job of a partition record, whose name consists of shard and job."""
         _, _, job_id = name.partition("/")
         self._load_job(job_id)
 
@@ -87,7 +87,7 @@
         self.autoscaler.types_changed()
 
     def _job_ready(self, job_id: str) -> None:
-        """A job waits for no other any more: now it arrives, as by the paper's model."""
+        """Load a job whose dependencies are done: in the paper's model it arrives now."""
         for shard in self.shards.values():
             shard.persistence.load(job_id)
             partition = shard.partitions.get(job_id)
--- a/quinceslip/coordination/controller/shard_hand_over.py
+++ b/quinceslip/coordination/controller/shard_hand_over.py
@@ -1,4 +1,4 @@
-"""Hand-over of shards by their leader: to their home controller, or to peers that reach their workers."""
+"""Hand-over of shards by their leader, to their home controller or to peers that reach their workers."""
 
 from collections.abc import Sequence
 
@@ -11,12 +11,12 @@
 from quinceslip.coordination.shard_state.worker import Worker
 
 CHECK_PERIOD_US = SECOND
-#: home controller and present leader have been steady for this many worker leases before a shard goes home
-STEADY_WORKER_LEASES = 2
+#: a shard returns home once its home controller and its present leader have been stable for this many worker leases
+MIN_STABLE_LEASES = 2
 
 
 class ShardHandOver:
-    """Decides when this controller hands over a shard that it leads; at most one each way at a time."""
+    """Decides when this controller hands over a shard that it leads: at most one of each kind per check."""
 
     def __init__(
         self,
@@ -36,54 +36,58 @@
         self.next_check_us = 0
 
     def tick(self) -> None:
-        """Hand over what is due."""
+        """Hand over shards, if a check is due."""
         if self.ctx.now_us < self.next_check_us:
             return
         self.next_check_us = self.ctx.now_us + CHECK_PERIOD_US
-        self._hand_one_home()
-        self._hand_over_one_out_of_contact()
+        self._return_one_home()
+        self._hand_over_one_unreachable()
 
-    def _hand_one_home(self) -> None:
-        """Hand a shard to its home controller."""
+    def _return_one_home(self) -> None:
+        """Hand over one shard to its home controller, if there is one that may return."""
         if not self.election.may_launch():
             return
         for shard in self.shards.values():
-            if self._may_go_home(shard):
+            if self._may_return_home(shard):
                 self.election.hand_over(shard.index)
                 return
 
-    def _may_go_home(self, shard: Shard) -> bool:
-        """Whether a shard's home has been back long enough, and nothing of the shard is indeterminate."""
+    def _may_return_home(self, shard: Shard) -> bool:
+        """Whether a shard's home controller has been back long enough, and nothing in the shard is indeterminate."""
         home = self.labels[shard.index]
         if home == self.ctx.settings.label or not self.peers.is_alive(home):
             return False
         peer = self.peers.by_label[home]
         if not peer.heartbeat.state_ok or peer.heartbeat.yielding:
             return False
-        steady_us = self.ctx.now_us - max(peer.alive_since_us, shard.led_since_us)
-        if steady_us <= STEADY_WORKER_LEASES * self.ctx.timing.worker_lease_us:
+        stable_us = self.ctx.now_us - max(peer.alive_since_us, shard.led_since_us)
+        if stable_us <= MIN_STABLE_LEASES * self.ctx.timing.worker_lease_us:
             return False
-        return not shard.unreconciled and not shard.addresses.open and all(map(_is_settled, shard.workers.values()))
+        return (
+            not shard.unreconciled
+            and not shard.addresses.open
+            and all(map(_is_fenced_or_unreachable, shard.workers.values()))
+        )
 
-    def _hand_over_one_out_of_contact(self) -> None:
-        """Hand over a shard whose workers reach peers and not this controller."""
+    def _hand_over_one_unreachable(self) -> None:
+        """Hand over one shard whose workers reach peers but not this controller."""
         if not self.election.may_launch():
             return
         for index, shard in self.shards.items():
-            misrouted = self._misrouted_workers(index)
+            misrouted = self._misrouted_worker_count(index)
             if misrouted and self.connectivity.lost_contact(shard.workers.values(), misrouted):
                 self.connectivity.start_yielding(index)
                 self.election.hand_over(index)
                 return
 
-    def _misrouted_workers(self, shard: int) -> int:
-        """How many workers of a shard came to peers, by their heartbeats and their records."""
-        heard = 0
+    def _misrouted_worker_count(self, shard: int) -> int:
+        """Return how many workers of a shard reported to peers, by the peers' heartbeats and records."""
+        reported = 0
         for peer in self.peers.alive():
-            heard += sum(count for index, count in peer.heartbeat.misrouted if index == shard)
-        return heard + self.connectivity.misrouted.recorded_by_peers(shard)
+            reported += sum(count for index, count in peer.heartbeat.misrouted if index == shard)
+        return reported + self.connectivity.misrouted.recorded_by_peers(shard)
 
 
-def _is_settled(worker: Worker) -> bool:
-    """Whether a worker has shown this leadership's term, or can't for now."""
+def _is_fenced_or_unreachable(worker: Worker) -> bool:
+    """Whether a worker has acknowledged this leadership's term, or cannot do so for now."""
     return worker.fenced or worker.lease_expired or not worker.last_contact_us or worker.delivery.unreachable
--- a/quinceslip/coordination/controller/worker_heartbeats.py
+++ b/quinceslip/coordination/controller/worker_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of workers: answered by the shard that the machine belongs to, or sent on to its leader."""
+"""Heartbeats of workers: answered by the leader of the machine's shard; others redirect the worker to it."""
 
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.effects import HeartbeatReceived
@@ -10,7 +10,7 @@
 
 
 class WorkerHeartbeats:
-    """Answers heartbeats: 200 with commands, 421 with the leader's address, 503 where nothing is certain."""
+    """Answers heartbeats: 200 with commands, 421 with the leader's address, 503 while neither is certain."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
     def _answer(self, message: HeartbeatReceived, shard: Shard) -> None:
         """Answer as the leader of the machine's shard."""
         request, heartbeat = message.request, message.heartbeat
-        # A machine that is proven gone is registered until the write that removes it: a late heartbeat revives nothing.
+        # A machine that is proven gone stays registered until a write removes it; a late heartbeat must not revive it.
         if not self.election.may_answer() or heartbeat.worker in self.inventory.to_deregister:
             self.ctx.reply(request, 503)
             return
@@ -56,13 +56,13 @@
         if answer is None:
             self.ctx.reply(request, 503)
             return
-        # A heartbeat that proves no more than its sending is no contact.
+        # The heartbeat of a suspect worker proves only that it was sent, so it does not count as contact.
         if not shard.workers[heartbeat.worker].delivery.suspect:
             self.connectivity.worker_contacted()
         self.ctx.reply(request, 200, answer)
 
     def _redirect(self, message: HeartbeatReceived, shard: int) -> None:
-        """Send a worker to the leader of its shard."""
+        """Redirect a worker to the leader of its shard."""
         leader = self.election.leader(shard)
         if leader is None or leader == self.ctx.settings.label:
             self.ctx.reply(message.request, 503)
@@ -71,7 +71,7 @@
         self.ctx.reply(message.request, 421, m.redirect(leader))
 
     def _adopt_machine(self, message: HeartbeatReceived) -> None:
-        """Register a machine that nobody expected, and answer it afterwards."""
+        """Register a machine that has no record yet, then answer its heartbeat."""
         if not self.election.may_launch() or not self.shards:
             self.ctx.reply(message.request, 503)
             return
