--- a/quinceslip/coordination/load_balancing/mmm_queue.py
+++ b/quinceslip/coordination/load_balancing/mmm_queue.py
@@ -1,36 +1,36 @@
 """One shard as an M/M/m queue: eqs. 1 to 5 of He et al. (see `queueing_model`), and the marginal cost of eq. 9.
 
-A point between no arrivals and saturation is given by the logarithm of its odds: of both the arrivals and what they
-leave of the capacity, the small one keeps its digits, which a queue close to saturation is all about.
+An operating point between no arrivals and saturation is given by the log-odds of its utilization. This keeps the full
+precision of the utilization and of the spare fraction, whichever is small, which matters close to saturation.
 """
 
 import math
 from dataclasses import dataclass
 from typing import NamedTuple
 
-#: beyond this, the inverse of a blocking probability is as good as infinite: nobody waits
+#: above this, the inverse of a blocking probability counts as infinite: no task waits
 MAX_INVERSE_BLOCKING = 1e30
-#: terms of the sum whose remainder is less than this part of it are left out
+#: the sum is truncated once the remaining terms are less than this fraction of it
 MAX_TRUNCATION_ERROR = 1e-17
-#: log-odds of a share so small that it is none, of arrivals and of what they leave alike
+#: log-odds beyond which the utilization, or at the other end the spare fraction, is negligible
 MAX_LOG_ODDS = 60.0
-#: a task takes a microsecond, the unit of our times, or thirty years; other rates are no measurement
-MAX_RATE = 1e6
-MIN_RATE = 1e-9
-#: beyond the sockets of any controller a thousandfold: not a number of task slots
+#: plausible rates: a task takes between a microsecond, the unit of our times, and thirty years
+MAX_TASKS_PER_S = 1e6
+MIN_TASKS_PER_S = 1e-9
+#: plausible number of task slots: a thousand times the sockets of any controller
 MAX_SLOTS = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Station:
-    """One shard as the model sees it: m task slots, each serving `rate` (u) tasks a second."""
+    """A shard in the model: m task slots, each serving `rate` (u) tasks per second."""
 
     slots: int
     rate: float
 
     @property
     def capacity(self) -> float:
-        """Tasks a second that all slots serve, m u."""
+        """Tasks per second that all slots serve together, m u."""
         return self.slots * self.rate
 
 
@@ -39,27 +39,27 @@
 
 
 class QueueLength(NamedTuple):
-    """Mean length of a queue, and its derivative by the offered load."""
+    """Mean length of a queue, and its derivative with respect to the offered load."""
 
     mean: float
     slope: float
 
 
 def credible_rate(arrivals: float) -> bool:
-    """Whether so many tasks a second can come; False of what is no number."""
-    return 0.0 <= arrivals <= MAX_RATE
+    """Whether this many tasks per second can arrive; False for NaN."""
+    return 0.0 <= arrivals <= MAX_TASKS_PER_S
 
 
 def credible(station: Station) -> bool:
-    """Whether a shard's load can have been measured, and it has anything to serve tasks with."""
-    return 0 < station.slots <= MAX_SLOTS and MIN_RATE <= station.rate <= MAX_RATE
+    """Whether a shard's load can have been measured, and the shard has slots to serve tasks."""
+    return 0 < station.slots <= MAX_SLOTS and MIN_TASKS_PER_S <= station.rate <= MAX_TASKS_PER_S
 
 
-def blocking(slots: int, offered: float) -> float:
-    """Erlang B as the inverse of sum(m (m-1) ... (m-j+1) / a^j); no factorials.
+def erlang_b(slots: int, offered: float) -> float:
+    """Erlang B, the blocking probability, as the inverse of sum(m (m-1) ... (m-j+1) / a^j), without factorials.
 
-    Its terms fall from the m - a th on, or make the sum so large that nobody waits: a part of the
-    thousands of slots that a large shard has is looked at, where the usual recurrence takes each of them.
+    From about term m - a on the terms decrease, or else the sum becomes so large that no task waits. So only a part of
+    the thousands of slots of a large shard is evaluated, where the usual recurrence evaluates each of them.
     """
     total = term = 1.0
     for k in range(slots, 0, -1):
@@ -72,18 +72,18 @@
     return 1.0 / total
 
 
-def series_terms(slots: int) -> int:
-    """About as many terms as the sum of `blocking` takes: they fall like exp(-j^2 / 2m)."""
+def estimated_terms(slots: int) -> int:
+    """Estimate how many terms the sum of `erlang_b` needs: they decrease like exp(-j^2 / 2m)."""
     return min(slots, int(9 * math.sqrt(slots))) + 10
 
 
 def queue_length(slots: int, offered: float, spare: float) -> QueueLength:
-    """Mean length of the queue, C a/(m - a), and its derivative by the offered load a.
+    """Mean length of the queue, C a/(m - a), and its derivative with respect to the offered load a.
 
-    `spare` is m - a, given apart since the difference has no digits left close to saturation. All terms are
-    positive, so none is lost in a difference here: B' = B ((m - a)/a + B), and C = m B / (m - a + a B).
+    `spare` is m - a, passed separately since the difference loses its precision close to saturation. All terms are
+    positive, so there is no cancellation here: B' = B ((m - a)/a + B), and C = m B / (m - a + a B).
     """
-    b = blocking(slots, offered)
+    b = erlang_b(slots, offered)
     slope_b = b * (spare / offered + b)
     denominator = spare + offered * b
     c = slots * b / denominator
@@ -92,7 +92,7 @@
 
 
 def wait_probability(slots: int, offered: float) -> float:
-    """Erlang C, P_m of eq. 5."""
+    """Erlang C, the probability of waiting, P_m of eq. 5."""
     if offered <= 0:
         return 0.0
     if offered >= slots:
@@ -110,7 +110,7 @@
 
 
 def marginal_cost(station: Station, arrivals: float) -> float:
-    """d(x R(x))/dx at arrival rate x, in seconds, which is eq. 9.b with x = share times total rate."""
+    """d(x R(x))/dx at arrival rate x, in seconds: eq. 9.b with x = share times total rate."""
     if station.slots <= 0 or station.rate <= 0:
         return math.inf
     offered = arrivals / station.rate
@@ -121,16 +121,16 @@
     return (1.0 + queue_length(station.slots, offered, station.slots - offered).slope) / station.rate
 
 
-def taken_part(log_odds: float) -> float:
-    """The part of a capacity that arrivals take, from the logarithm of its odds."""
+def utilization(log_odds: float) -> float:
+    """Fraction of the capacity that arrivals use, from its log-odds."""
     if log_odds <= -MAX_LOG_ODDS:
         return 0.0
     odds = math.exp(-abs(log_odds))
     return odds / (1.0 + odds) if log_odds < 0 else 1.0 / (1.0 + odds)
 
 
-def left_part(log_odds: float) -> float:
-    """The part of a capacity that arrivals leave; with `taken_part` it sums to 1."""
+def spare_fraction(log_odds: float) -> float:
+    """Fraction of the capacity that arrivals leave unused: 1 - `utilization`, without cancellation."""
     if log_odds <= -MAX_LOG_ODDS:
         return 1.0
     odds = math.exp(-abs(log_odds))
@@ -138,17 +138,17 @@
 
 
 def marginal_cost_at(station: Station, log_odds: float) -> float:
-    """The same as `marginal_cost`, at a point that is given by its log-odds."""
-    offered = station.slots * taken_part(log_odds)
+    """The same as `marginal_cost`, at an operating point given by its log-odds."""
+    offered = station.slots * utilization(log_odds)
     if offered <= 0:
         return 1.0 / station.rate
-    spare = station.slots * left_part(log_odds)
+    spare = station.slots * spare_fraction(log_odds)
     return (1.0 + queue_length(station.slots, offered, spare).slope) / station.rate
 
 
 def mean_queue_length_at(station: Station, log_odds: float) -> float:
-    """Mean length of the queue at a point that is given by its log-odds."""
-    offered = station.slots * taken_part(log_odds)
+    """Mean length of the queue, at an operating point given by its log-odds."""
+    offered = station.slots * utilization(log_odds)
     if offered <= 0:
         return 0.0
-    return queue_length(station.slots, offered, station.slots * left_part(log_odds)).mean
+    return queue_length(station.slots, offered, station.slots * spare_fraction(log_odds)).mean
--- a/quinceslip/coordination/load_balancing/queueing_model.py
+++ b/quinceslip/coordination/load_balancing/queueing_model.py
@@ -1,6 +1,6 @@
 """The ORT strategy of "Performance-aware Load Balancing for Multiclusters" (He et al.).
 
-Each shard is an M/M/m queue (eqs. 1 to 5, `mmm_queue`). Minimising the mean response time (eq. 7) asks for
+Each shard is an M/M/m queue (eqs. 1 to 5, `mmm_queue`). Minimising the mean response time (eq. 7) requires
 shares at which the derivative of share times response time is the same for every shard (eq. 9);
 Algorithm 1 finds them by bisection (`share_search`). The level of a shard is the mean length of its queue at that
 share, rounded up (eq. 10).
@@ -14,30 +14,30 @@
     Station,
     credible,
     mean_queue_length_at,
-    taken_part,
+    utilization,
 )
 from quinceslip.coordination.load_balancing.share_search import (
     TOLERANCE,
     ShareSearch,
 )
 
-#: rates added up from the records of many shards are known to this part: closer to capacity, they are at it
+#: relative precision of rates summed over many records; a total this close to the capacity counts as at capacity
 ROUNDING = 1e-12
 
 
 def shares(stations: Sequence[Station], total: float) -> list[float]:
-    """The shares of Algorithm 1, 0 where a record is not credible.
+    """Return the shares of Algorithm 1; 0 where a record is not plausible.
 
-    Raises ValueError unless `total`, in tasks a second, is above 0 and below the summed capacity.
+    Raises ValueError unless `total`, in tasks per second, is above 0 and below the summed capacity.
     """
     points = _solve(stations, total)
     if points is None:
-        raise ValueError(f"no shares of {total} tasks a second among {len(stations)} shards")
-    return [s.capacity * taken_part(z) / total if credible(s) else 0.0 for s, z in zip(stations, points, strict=True)]
+        raise ValueError(f"no shares of {total} tasks per second among {len(stations)} shards")
+    return [s.capacity * utilization(z) / total if credible(s) else 0.0 for s, z in zip(stations, points, strict=True)]
 
 
 def fair_levels(stations: Sequence[Station], total: float) -> list[int]:
-    """Fair workload level of each shard; m where the model has no answer, 0 where a record is not credible."""
+    """Return the fair workload level of each shard; m if the model has no solution, 0 for implausible records."""
     points = _solve(stations, total)
     if points is None:
         return [s.slots if credible(s) else 0 for s in stations]
@@ -45,14 +45,14 @@
 
 
 def load(waiting: int, station: Station) -> float:
-    """The load of a shard with so many waiting tasks, in seconds (eq. 11)."""
+    """The load of a shard with this many waiting tasks, in seconds (eq. 11)."""
     if station.capacity <= 0:
         return math.inf
     return (waiting + station.slots) / station.capacity
 
 
 def choose_shard(home: int, stations: dict[int, Station], waiting: dict[int, int], levels: dict[int, int]) -> int:
-    """Where a new job goes: home below its level, else the least loaded as the paper says."""
+    """Choose the shard of a new job: home below its level, else the least loaded, by the rule of the paper."""
 
     def below_level(shard: int) -> bool:
         return waiting.get(shard, 0) < levels.get(shard, 0)
@@ -67,13 +67,13 @@
 
 
 def _solve(stations: Sequence[Station], total: float) -> list[float] | None:
-    """Log-odds of each shard, those of no share where a record is not credible.
+    """Return the log-odds of each shard's utilization; those of utilization 0 where a record is not plausible.
 
-    None where the rate is nothing, or all that the credible ones can serve.
+    None if the total is zero, or reaches what the plausible shards can serve.
     """
     usable = [s for s in stations if credible(s)]
     capacity = math.fsum(s.capacity for s in usable)
-    # Rates are sums of quotients: what differs by their rounding is the same (docs/incidents/endless-levels.md).
+    # Rates are sums of quotients: values within their rounding are equal (docs/incidents/endless-levels.md).
     if not capacity * ROUNDING < total < capacity * (1.0 - ROUNDING):
         return None
     points = iter(ShareSearch(usable, total).run())
@@ -82,5 +82,5 @@
 
 def _fair_level(station: Station, log_odds: float) -> int:
     """Eq. 10: rate times share times mean wait, which is the mean length of the queue, rounded up."""
-    # What the search leaves open must not make a whole number one more.
+    # The tolerance of the search must not round a whole number up to the next.
     return math.ceil(mean_queue_length_at(station, log_odds) * (1.0 - 10 * TOLERANCE))
--- a/quinceslip/coordination/load_balancing/share_search.py
+++ b/quinceslip/coordination/load_balancing/share_search.py
@@ -7,59 +7,59 @@
 from quinceslip.coordination.load_balancing.mmm_queue import (
     MAX_LOG_ODDS,
     Station,
-    left_part,
+    estimated_terms,
     marginal_cost_at,
-    series_terms,
-    taken_part,
+    spare_fraction,
+    utilization,
 )
 
-#: bisections end where the bounds differ by less than this part
+#: bisections end where the bounds differ by no more than this
 TOLERANCE = 1e-8
-#: halvings of the multiplier, and of every share in each of them: what is left of a range is below rounding
+#: bisection steps of the multiplier, and of every share in each of them: a range is below rounding after that
 HALVINGS = 128
 NARROWINGS = 64
-#: terms of sums that one solution may take (about half a second): what is found by then is used
+#: series terms that one solution may evaluate (about half a second); what is found by then is used
 MAX_SERIES_TERMS = 2_000_000
 
 
 class Bounds(NamedTuple):
-    """Log-odds of every shard between which its point lies."""
+    """Lower and upper bounds of every shard's log-odds."""
 
     low: list[float]
     high: list[float]
 
     def copied(self) -> "Bounds":
-        """Bounds that can be narrowed on their own."""
+        """Return a copy that can be narrowed independently."""
         return Bounds(self.low.copy(), self.high.copy())
 
-    def widest(self) -> float:
-        """The distance of the two bounds of the shard where it is largest."""
+    def max_width(self) -> float:
+        """Return the largest distance between the two bounds of a shard."""
         return max(high - low for low, high in zip(self.low, self.high, strict=True))
 
-    def middle(self) -> list[float]:
-        """The points halfway between."""
+    def midpoints(self) -> list[float]:
+        """Return the points halfway between the bounds."""
         return [(low + high) / 2 for low, high in zip(self.low, self.high, strict=True)]
 
 
 class ShareSearch:
-    """Algorithm 1 with bounds: of the multiplier v, and of the point of every shard at that v.
+    """Algorithm 1 with bounds: of the multiplier v, and of the point (log-odds) of every shard at that v.
 
-    The points for a v between two others lie between theirs, and each is narrowed only as far as tells on which
-    side of the total their sum lies. What is left between the bounds is divided, so the shares sum to 1 wherever
-    the search ends, and no shard is over its capacity.
+    The points for a v between two others lie between theirs, and are narrowed only until it is known on which side of
+    the total their sum lies. At the end the points are interpolated between their bounds, so that the shares sum to 1
+    wherever the search ends, and no shard exceeds its capacity.
     """
 
     def __init__(self, stations: Sequence[Station], total: float) -> None:
-        """`total`, in tasks a second, is above 0 and below the summed capacity of the stations."""
+        """`total`, in tasks per second, is above 0 and below the summed capacity of the stations."""
         self.stations = stations
         self.capacities = [s.capacity for s in stations]
         capacity = sum(self.capacities)
-        # Of arrivals and what they leave, the smaller is summed: there the digits are that matter.
-        self.sum_what_is_left = total > capacity / 2
-        self.total = capacity - total if self.sum_what_is_left else total
+        # The smaller of the arrivals and the spare capacity is summed, as it has the significant digits.
+        self.sums_spare_capacity = total > capacity / 2
+        self.total = capacity - total if self.sums_spare_capacity else total
         equal_log_odds = math.log(total) - math.log(capacity - total)
         costs = [marginal_cost_at(s, equal_log_odds) for s in stations]
-        # With all shards used alike, v lies between the least and the largest of their costs.
+        # v lies between the smallest and the largest cost that the shards have at equal utilization.
         self.low_v = min(costs)
         self.high_v = max(costs)
         self.bounds = Bounds([-MAX_LOG_ODDS] * len(stations), [MAX_LOG_ODDS] * len(stations))
@@ -67,47 +67,52 @@
         self.terms = 0
 
     def run(self) -> list[float]:
-        """Log-odds of each shard."""
+        """Return the log-odds of each shard."""
         for _ in range(HALVINGS):
             v = math.sqrt(self.low_v) * math.sqrt(self.high_v)
             if not self.low_v < v < self.high_v or self.terms >= MAX_SERIES_TERMS:
                 break
-            if self.bounds.widest() <= TOLERANCE:
+            if self.bounds.max_width() <= TOLERANCE:
                 break
-            self._halve(v)
-        return self._last_points()
+            self._bisect_multiplier(v)
+        return self._final_points()
 
-    def _halve(self, v: float) -> None:
-        """Take v as the upper or the lower bound of the multiplier, with the points of the shards at that v."""
+    def _bisect_multiplier(self, v: float) -> None:
+        """Make v a bound of the multiplier, and the points at that v bounds of the shards."""
         bounds = self.bounds.copied()
         for _ in range(NARROWINGS):
-            if self._reached(bounds.low) or not self._reached(bounds.high) or not self._narrow(bounds, v):
+            if (
+                self._reaches_total(bounds.low)
+                or not self._reaches_total(bounds.high)
+                or not self._bisect_points(bounds, v)
+            ):
                 break
-        if self._reached(bounds.middle()):
+        if self._reaches_total(bounds.midpoints()):
             self.high_v = v
             self.bounds = Bounds(self.bounds.low, bounds.high)
         else:
             self.low_v = v
             self.bounds = Bounds(bounds.low, self.bounds.high)
 
-    def _last_points(self) -> list[float]:
-        """The points between those at the two bounds of v.
+    def _final_points(self) -> list[float]:
+        """Return points between those at the two bounds of v.
 
-        Where costs hardly differ, v is known and the points are not: all between those of the two bounds do.
+        Where costs hardly differ, v is determined but the points are not: any between those at the two bounds will do.
         """
         at_low_v = self.bounds.copied()
         at_high_v = self.bounds.copied()
         for _ in range(NARROWINGS):
-            narrowed_low = self._narrow(at_low_v, self.low_v)
-            narrowed_high = self._narrow(at_high_v, self.high_v, largest=True)
+            narrowed_low = self._bisect_points(at_low_v, self.low_v)
+            narrowed_high = self._bisect_points(at_high_v, self.high_v, largest=True)
             if not narrowed_low and not narrowed_high:
                 break
-        return self._divided(Bounds(at_low_v.low, at_high_v.high))
+        return self._interpolate_to_total(Bounds(at_low_v.low, at_high_v.high))
 
-    def _narrow(self, bounds: Bounds, v: float, largest: bool = False) -> bool:
-        """Halve what is between the bounds of every shard at this v; False where nothing is left to halve.
+    def _bisect_points(self, bounds: Bounds, v: float, largest: bool = False) -> bool:
+        """Halve the range between the bounds of every shard at this v; return False if no range is left to halve.
 
-        The cost of a large shard that is used little is the same over a range: its least point, or its `largest`.
+        The cost of a large shard with little load is constant over a range of points. The search is for the smallest
+        of them, or for the `largest`.
         """
         low, high = bounds
         narrowed = False
@@ -117,36 +122,36 @@
             narrowed = True
             idle_cost = 1.0 / station.rate
             if idle_cost > v or (not largest and idle_cost == v):
-                high[i] = low[i]  # not even its first task is worth so much
+                high[i] = low[i]  # even the first task costs too much
                 continue
-            middle = (low[i] + high[i]) / 2
+            midpoint = (low[i] + high[i]) / 2
             self.evaluations += 1
-            self.terms += series_terms(station.slots)
-            cost = marginal_cost_at(station, middle)
+            self.terms += estimated_terms(station.slots)
+            cost = marginal_cost_at(station, midpoint)
             if cost < v or (largest and cost == v):
-                low[i] = middle
+                low[i] = midpoint
             else:
-                high[i] = middle
+                high[i] = midpoint
         return narrowed
 
-    def _reached(self, points: list[float]) -> bool:
-        """Whether arrivals at these points are the total or more."""
-        if self.sum_what_is_left:
-            return math.fsum(c * left_part(z) for c, z in zip(self.capacities, points, strict=True)) <= self.total
-        return math.fsum(c * taken_part(z) for c, z in zip(self.capacities, points, strict=True)) >= self.total
+    def _reaches_total(self, points: list[float]) -> bool:
+        """Whether the arrivals at these points sum to the total or more."""
+        if self.sums_spare_capacity:
+            return math.fsum(c * spare_fraction(z) for c, z in zip(self.capacities, points, strict=True)) <= self.total
+        return math.fsum(c * utilization(z) for c, z in zip(self.capacities, points, strict=True)) >= self.total
 
-    def _divided(self, bounds: Bounds) -> list[float]:
-        """The point between these bounds, equally far for all shards, at which the total is reached."""
-        least, most = 0.0, 1.0
+    def _interpolate_to_total(self, bounds: Bounds) -> list[float]:
+        """Return points at the same fraction between the bounds of all shards, such that the total is reached."""
+        low, high = 0.0, 1.0
         for _ in range(NARROWINGS):
-            middle = (least + most) / 2
-            if self._reached(_between(bounds, middle)):
-                most = middle
+            midpoint = (low + high) / 2
+            if self._reaches_total(_interpolate(bounds, midpoint)):
+                high = midpoint
             else:
-                least = middle
-        return _between(bounds, most)
+                low = midpoint
+        return _interpolate(bounds, high)
 
 
-def _between(bounds: Bounds, part: float) -> list[float]:
-    """The points at a part of the way from the low to the high bounds."""
-    return [low + part * (high - low) for low, high in zip(bounds.low, bounds.high, strict=True)]
+def _interpolate(bounds: Bounds, fraction: float) -> list[float]:
+    """Return the points at this fraction of the way from the low to the high bounds."""
+    return [low + fraction * (high - low) for low, high in zip(bounds.low, bounds.high, strict=True)]
