--- a/quinceslip/coordination/load_balancing/workload_levels.py
+++ b/quinceslip/coordination/load_balancing/workload_levels.py
@@ -1,4 +1,4 @@
-"""The fair workload level of every shard, from the loads of all shards and their summed arrivals."""
+"""The fair workload level of every shard, from the loads of all shards and their total arrival rate."""
 
 import logging
 
@@ -7,27 +7,27 @@
 
 log = logging.getLogger(__name__)
 
-#: name of this part in stall records
-PART_NAME = "levels"
+#: name of the level solver in stall records
+LEVELS_PART_NAME = "levels"
 
 
 class WorkloadLevelSolver:
-    """Solves the queueing model, except for a while after this controller stalled in it."""
+    """Solves the queueing model, except for a while after this controller stalled while doing so."""
 
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
         self.suspended = False
 
     def solve(self, stations: dict[int, mmm_queue.Station]) -> dict[int, int] | None:
-        """The level of each shard; None where there is nothing to solve yet."""
-        # Before the first listing it is not known whether solving is suspended.
+        """Return the level of each shard; None if there is nothing to solve yet."""
+        # Before the first listing it is unknown whether solving is suspended.
         if not stations or not self.ctx.cache.synced:
             return None
         self._update_suspended()
         if self.suspended:
-            # The same records would be solved again at once: for a while each level is m, as without an answer.
+            # Solving the same records again might stall again, so each level is m for now, as without a solution.
             return {shard: station.slots for shard, station in stations.items()}
-        self.ctx.active_part = PART_NAME
+        self.ctx.active_part = LEVELS_PART_NAME
         arrival_rate = self._total_arrival_rate()
         shards = sorted(stations)
         fair_levels = queueing_model.fair_levels([stations[shard] for shard in shards], arrival_rate)
@@ -36,15 +36,15 @@
         return levels
 
     def _update_suspended(self) -> None:
-        suspended = self.ctx.is_suspended(PART_NAME)
+        suspended = self.ctx.is_suspended(LEVELS_PART_NAME)
         if suspended and not self.suspended:
-            log.info("stall in the fair workload levels: the levels rest for a while, each is m")
+            log.info("fair workload levels suspended after a stall; each level is m for now")
         elif self.suspended and not suspended:
-            log.info("end of the pause after a stall: the levels are solved again")
+            log.info("fair workload levels resumed after the pause that followed a stall")
         self.suspended = suspended
 
     def _total_arrival_rate(self) -> float:
-        """Tasks a second that arrive at all controllers, by the load records that are credible."""
+        """Return the tasks per second that arrive at all controllers, by the plausible load records."""
         load_records = self.ctx.cache.by_kind["load"].values()
         rates: list[float] = [r.arrivals for r in load_records if mmm_queue.credible_rate(r.arrivals)]
         return sum(rates)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -237,7 +237,7 @@
             mark.unlink()
             # The pause over, the levels are solved again.
             assert outside.data["q/standstill/berth-0"][0]["times"] == 1
-            _wait(lambda: "the levels are solved again" in (Path(folder) / "log").read_text(encoding="utf-8"))
+            _wait(lambda: "fair workload levels resumed" in (Path(folder) / "log").read_text(encoding="utf-8"))
             assert time.monotonic() > begun + took_s + 2 * lease_s - 1.0
             assert _ready(port) and process.poll() is None
             # It stands still again, waiting for nothing now: the second time in a row.
@@ -254,7 +254,9 @@
         assert said.count("the actor stands still: it has worked for ") == 1, said[-2000:]
         assert said.count("the actor stands still: it waits at one place") == 1, said[-2000:]
         assert "(levels), at" in said and ", in fair_levels" in said and "most recent call first" in said
-        assert said.count("the levels rest") == 1 and said.count("the levels are solved again") == 1, said[-2000:]
+        assert said.count("fair workload levels suspended") == 1 and said.count("fair workload levels resumed") == 1, (
+            said[-2000:]
+        )
 
 
 def _ready(port: int) -> bool:
