--- a/quinceslip/coordination/load_balancing/load_balancer.py
+++ b/quinceslip/coordination/load_balancing/load_balancer.py
@@ -1,4 +1,4 @@
-"""Chooses shards for jobs by the paper's forwarding, and runs the periodic work of balancing."""
+"""Chooses shards for jobs by the paper's forwarding rule, and runs the periodic work of load balancing."""
 
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.timing import SECOND, micros
@@ -21,7 +21,7 @@
 
 
 class LoadBalancer:
-    """Knows the load of every shard; chooses shards for jobs and moves what waits."""
+    """Knows the load of every shard; chooses shards for jobs and moves waiting work."""
 
     def __init__(self, ctx: Context, election: LeaderElection, shards: dict[int, Shard]) -> None:
         self.ctx = ctx
@@ -39,7 +39,7 @@
         self.next_move_us = 0
 
     def tick(self) -> None:
-        """Record loads, solve levels and move work, each in its own period."""
+        """Record loads, solve for levels and move waiting work, each at its own interval."""
         now_us = self.ctx.now_us
         if now_us >= self.next_record_us:
             self.next_record_us = now_us + micros(self.ctx.tuning.load_record_s)
@@ -50,13 +50,13 @@
         if now_us >= self.next_move_us:
             self.next_move_us = now_us + MOVE_PERIOD_US
             self.ctx.active_part = MOVES_PART_NAME
-            # After a stall in the moves they are left out for a while (docs/standstill.md): work waits where it was
+            # After a stall in the moves they are suspended for a while (docs/standstill.md): work waits where it was
             # accepted.
             if not self.ctx.is_suspended(MOVES_PART_NAME):
                 self._move_waiting_work()
 
     def tasks_arrived(self, spec: m.JobSpec) -> None:
-        """Count the tasks of an accepted job as arrivals of the model."""
+        """Count the tasks of an accepted job as arrivals in the model."""
         self.load_recorder.tasks_arrived(spec)
 
     def loads(self) -> list[frames.ShardLoad]:
@@ -64,18 +64,18 @@
         return self.load_collector.own_loads()
 
     def peer_loads(self) -> list[frames.ShardLoad]:
-        """The shard loads that peers which are alive reported."""
+        """The shard loads that live peers reported."""
         return self.peers.loads()
 
     def quick_service_cpus(self) -> list[int]:
-        """CPUs in every shard that services could have on machines that start quickly enough for them."""
+        """CPUs of every shard that services could use on machines that start quickly enough for them."""
         cpus = {shard.index: shard.quick_room() for shard in self.shards.values()}
         for load in self.peers.loads():
             cpus.setdefault(load.shard, load.quick_service_cpus)
         return list(cpus.values())
 
     def shard_for(self) -> int | None:
-        """The shard for a new job: home below its level, else as the paper forwards; None where none has a leader."""
+        """Choose a new job's shard: home below its level, else by the paper's rule; None if no shard has a leader."""
         loads = self.load_collector.collect()
         led = {shard for shard in range(self.election.size) if self.election.leader(shard)}
         if not led:
@@ -86,7 +86,7 @@
         return chosen if chosen in led else home
 
     def job_ready(self, shard: Shard, partition: JobPartition) -> None:
-        """Take a job whose dependencies are done as an arrival at its shard, which forwards it as in the paper."""
+        """Treat a job whose dependencies are done as an arrival at its shard, which may forward it as in the paper."""
         self.tasks_arrived(partition.spec)
         indices = shard.persistence.movable(partition)
         if not indices or not self.election.may_launch(shard.index):
@@ -104,7 +104,7 @@
             self.levels = levels
 
     def _move_waiting_work(self) -> None:
-        """Move waiting work to shards whose leaders report room: services first."""
+        """Move waiting work, services first, to shards whose leaders report room for it."""
         if not self.election.may_launch():
             return
         for shard in self.shards.values():
--- a/quinceslip/coordination/load_balancing/load_recorder.py
+++ b/quinceslip/coordination/load_balancing/load_recorder.py
@@ -1,4 +1,4 @@
-"""Load records: what a leader writes down of its shards for the model of every controller."""
+"""Load records: the load of each shard, written by its leader for the queueing model of every controller."""
 
 from typing import NamedTuple
 
@@ -9,21 +9,21 @@
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 
-#: the arrival rate is the mean over this window
+#: window over which the mean arrival rate is computed
 ARRIVAL_WINDOW_US = 60 * SECOND
-#: a controller that started lately divides by no shorter time than this
+#: shortest window, for a controller that started recently
 MIN_ARRIVAL_WINDOW_S = 5.0
 
 
 class Arrival(NamedTuple):
-    """Tasks of one job that arrived at once."""
+    """Tasks of one job, which arrived together."""
 
     at_us: int
     tasks: int
 
 
 class LoadWrite(NamedTuple):
-    """One load record to write, and the revisions on which the write is conditional."""
+    """A load record to write, and the revisions on which the write is conditional."""
 
     key: str
     record: records.LoadRecord
@@ -40,15 +40,15 @@
         self.recent_arrivals: list[Arrival] = []
 
     def tasks_arrived(self, spec: m.JobSpec) -> None:
-        """Count the tasks of a job as arrivals of the model.
+        """Count the tasks of a job as arrivals in the model.
 
-        Services never finish: they are no arrivals, and no part of m and u either.
+        Services never finish, so they count neither as arrivals nor in m and u.
         """
         if not spec.service:
             self.recent_arrivals.append(Arrival(self.ctx.now_us, spec.tasks))
 
     def write(self) -> None:
-        """Write the records that changed, as many at a time as a transaction takes."""
+        """Write the records that changed, in batches of as many as a transaction allows."""
         if not self.election.may_launch():
             return
         arrival_rate = self._arrival_rate()
@@ -58,7 +58,7 @@
             self._write_batch(writes[start : start + batch_size])
 
     def _arrival_rate(self) -> float:
-        """Tasks a second that arrived at this controller lately."""
+        """Return the recent mean rate of tasks per second that arrive at this controller."""
         now_us = self.ctx.now_us
         self.recent_arrivals = [a for a in self.recent_arrivals if now_us - a.at_us < ARRIVAL_WINDOW_US]
         window_us = min(ARRIVAL_WINDOW_US, now_us - self.ctx.started_us)
@@ -66,15 +66,15 @@
         return sum(a.tasks for a in self.recent_arrivals) / window_s
 
     def _changed_record(self, shard: Shard, arrival_rate: float) -> LoadWrite | None:
-        """The write of a shard's load; None where the record says the same already."""
+        """Return the write of a shard's load record; None if the stored record is the same already."""
         slots, rate = shard.queueing_station()
-        # All arrivals of this controller are those of its home shard.
+        # All arrivals at this controller are attributed to its home shard.
         arrivals = arrival_rate if shard.index == self.election.home else 0.0
         record = records.LoadRecord(shard.waiting_tasks(), slots, rate, arrivals, shard.free_slots())
         if self.ctx.cache.by_kind["load"].get(str(shard.index)) == record:
             return None
         key = records.load_key(shard.index)
-        # Conditional on the record that it replaces: carried out late, it undoes no newer one.
+        # Conditional on the record that it replaces, so that a delayed write does not overwrite a newer one.
         conditions = {**self.election.fencing_condition(shard.index), key: self.ctx.cache.mod_revision(key)}
         return LoadWrite(key, record, conditions)
 
@@ -83,5 +83,5 @@
         for write in batch:
             conditions.update(write.conditions)
         puts = {write.key: (write.record, None) for write in batch}
-        # Whatever comes of it: the next period writes what is still different.
+        # The result is ignored: the next period writes what still differs.
         self.ctx.compare_and_swap(conditions, puts, [], lambda status, failed: None)
--- a/quinceslip/coordination/load_balancing/peers.py
+++ b/quinceslip/coordination/load_balancing/peers.py
@@ -1,4 +1,4 @@
-"""The last heartbeat of every peer, and which peers are alive."""
+"""The latest heartbeat of every peer, and which peers are alive."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.protocol import frames
 
-#: a peer whose last heartbeat is older than this is not counted on
+#: a peer whose last heartbeat is older than this does not count as alive
 PEER_TIMEOUT_US = 4 * SECOND
 
 
@@ -16,7 +16,7 @@
     """The latest heartbeat of a peer."""
 
     last_heartbeat_us: int
-    alive_since_us: int  # no two heartbeats since then were further apart than PEER_TIMEOUT_US
+    alive_since_us: int  # since then, heartbeats were at most PEER_TIMEOUT_US apart
     heartbeat: frames.PeerHeartbeat
 
 
@@ -28,7 +28,7 @@
         self.by_label: dict[str, PeerStatus] = {}
 
     def heartbeat_received(self, heartbeat: frames.PeerHeartbeat) -> None:
-        """Take a heartbeat, which replaces the one before."""
+        """Store a peer's heartbeat in place of its previous one."""
         now_us = self.ctx.now_us
         alive_since_us = now_us
         previous = self.by_label.get(heartbeat.label)
@@ -42,15 +42,15 @@
         return status is not None and self.ctx.now_us - status.last_heartbeat_us < PEER_TIMEOUT_US
 
     def alive(self) -> Iterator[PeerStatus]:
-        """The status of each peer that is alive, in the order in which they were first heard."""
+        """The status of each live peer, in the order of their first heartbeats."""
         return (status for label, status in self.by_label.items() if self.is_alive(label))
 
     def loads(self) -> list[frames.ShardLoad]:
-        """The shard loads that peers which are alive reported."""
+        """The shard loads that live peers reported."""
         return [load for status in self.alive() for load in status.heartbeat.loads]
 
     def take_free_slots(self, shard: int, tasks: int) -> None:
-        """Count slots that tasks were just moved to as taken, until the next heartbeat."""
+        """Count the slots of tasks just moved to a shard as used, until the next heartbeat."""
         for status in self.by_label.values():
             for load in status.heartbeat.loads:
                 if load.shard == shard:
--- a/quinceslip/coordination/load_balancing/service_moves.py
+++ b/quinceslip/coordination/load_balancing/service_moves.py
@@ -1,4 +1,4 @@
-"""Moves of services that find no place in their shard to where lower priorities can make room for them."""
+"""Moves of services that do not fit in their shard to shards where lower priorities can make room for them."""
 
 import math
 
@@ -11,9 +11,9 @@
 from quinceslip.protocol import frames
 from quinceslip.protocol import messages as m
 
-#: a service that was moved and still finds no place is moved no more than this often
+#: shortest time between two moves of a service that still does not fit
 MIN_MOVE_INTERVAL_US = 10 * SECOND
-#: CPUs that a task is counted with at least, so that a part of a machine holds a finite number of them
+#: least CPUs that a task counts with, so that the number of tasks that fit is finite
 MIN_TASK_CPUS = 0.01
 
 
@@ -27,28 +27,28 @@
         self.peers = peers
 
     def move_from(self, shard: Shard) -> None:
-        """Move the services of one shard that wait for a place."""
+        """Move the services of one shard that wait for room."""
         loads = self._other_loads(shard.index)
         for partition in shard.waiting_in_order():
-            if self._is_due(shard, partition):
+            if self._may_move(shard, partition):
                 self._move(shard, partition, loads)
 
     def _other_loads(self, source: int) -> list[frames.ShardLoad]:
-        """The loads of all other shards; of those that this controller leads only the room for services."""
+        """Return the loads of all other shards; only the room for services of those that this controller leads."""
         loads = {load.shard: load for load in self.peers.loads()}
         for shard in self.shards.values():
             loads[shard.index] = frames.ShardLoad(shard.index, 0, 0, 0, 0.0, shard.service_room())
         loads.pop(source, None)
         return list(loads.values())
 
-    def _is_due(self, shard: Shard, partition: JobPartition) -> bool:
-        """Whether this is a service that waits for a place and was not moved lately."""
+    def _may_move(self, shard: Shard, partition: JobPartition) -> bool:
+        """Whether this is a service that waits for room and was not moved recently."""
         if not partition.spec.service or not partition.pending or partition.on_hold:
             return False
         return self.ctx.now_us >= shard.moved_us.get(partition.job_id, 0) + MIN_MOVE_INTERVAL_US
 
     def _move(self, shard: Shard, partition: JobPartition, loads: list[frames.ShardLoad]) -> None:
-        """Move what waits of a service to the shard with the most room for it, if one has enough."""
+        """Move the waiting tasks of a service to the shard with the most room, if one has enough."""
         allowed_zones = partition.zones or set(self.ctx.settings.facts.zones)
         split = None
         if not shard.persistence.movable(partition):
@@ -59,7 +59,7 @@
         target = self._best_target(partition, allowed_zones, loads)
         if target is None:
             return
-        # The room that the target reported is counted as taken until its next heartbeat.
+        # Count the room that the target reported as used until its next heartbeat.
         needed_cpus = math.ceil(partition.spec.cpus * len(partition.pending))
         target.service_cpus = [max(0, room - needed_cpus) for room in target.service_cpus]
         shard.moved_us[partition.job_id] = self.ctx.now_us
@@ -68,22 +68,22 @@
     def _best_target(
         self, partition: JobPartition, allowed_zones: set[str], loads: list[frames.ShardLoad]
     ) -> frames.ShardLoad | None:
-        """The led shard with the most room in the allowed zones among those that hold all waiting tasks."""
+        """Return the led shard with the most room in the allowed zones that can hold all waiting tasks."""
         spec = partition.spec
         waiting = len(partition.pending)
         max_per_zone = (spec.tasks + 1) // 2 if spec.spread else waiting
         best: frames.ShardLoad | None = None
         best_room = 0
         for load in loads:
-            rooms = self._allowed_rooms(spec, allowed_zones, load)
-            fitting = sum(min(max_per_zone, int(room // max(spec.cpus, MIN_TASK_CPUS))) for room in rooms)
-            if fitting < waiting or not self.election.leader(load.shard):
+            zone_rooms = self._allowed_zone_rooms(spec, allowed_zones, load)
+            fitting_tasks = sum(min(max_per_zone, int(room // max(spec.cpus, MIN_TASK_CPUS))) for room in zone_rooms)
+            if fitting_tasks < waiting or not self.election.leader(load.shard):
                 continue
-            if best is None or sum(rooms) > best_room:
-                best, best_room = load, sum(rooms)
+            if best is None or sum(zone_rooms) > best_room:
+                best, best_room = load, sum(zone_rooms)
         return best
 
-    def _allowed_rooms(self, spec: m.JobSpec, allowed_zones: set[str], load: frames.ShardLoad) -> list[int]:
-        """CPUs that services could have in each zone where this one may run."""
+    def _allowed_zone_rooms(self, spec: m.JobSpec, allowed_zones: set[str], load: frames.ShardLoad) -> list[int]:
+        """Return the CPUs that services could use in each zone where this one may run."""
         rooms_by_zone = zip(self.ctx.settings.facts.zones, load.service_cpus, strict=False)
         return [room for zone, room in rooms_by_zone if zone in allowed_zones and spec.zone in (None, zone)]
--- a/quinceslip/coordination/load_balancing/shard_loads.py
+++ b/quinceslip/coordination/load_balancing/shard_loads.py
@@ -1,4 +1,4 @@
-"""The load of every shard, from the sources there are: own state, peers' heartbeats, load records."""
+"""The load of every shard, from this controller's own state, peers' heartbeats and load records."""
 
 from dataclasses import dataclass, field
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class ShardLoads:
-    """Loads by shard. Free slots are known only from a shard's leader, not from its load record."""
+    """Loads by shard. Free slots are taken only from a shard's leader, not from its load record."""
 
     stations: dict[int, mmm_queue.Station] = field(default_factory=dict)
     waiting_tasks: dict[int, int] = field(default_factory=dict)
@@ -34,7 +34,7 @@
         return [_own_load(shard) for shard in self.shards.values()]
 
     def collect(self) -> ShardLoads:
-        """The loads of all shards; of two sources the fresher one counts: own state, heartbeats, records."""
+        """Collect the loads of all shards from the freshest source: own state, else heartbeats, else load records."""
         loads = ShardLoads()
         for name, record in self.ctx.cache.by_kind["load"].items():
             if name.isdecimal():
@@ -50,17 +50,17 @@
         return loads
 
     def _add_reported(self, loads: ShardLoads, shard: int, reported: records.LoadRecord | frames.ShardLoad) -> bool:
-        """Add what was reported of a shard, and return whether it can have been measured.
+        """Add the reported load of a shard, and return whether it is plausible.
 
-        What nobody can have measured counts as a shard without machines.
+        An implausible load counts as that of a shard without machines.
         """
         if not 0 <= shard < self.election.size:
             return False
         station = mmm_queue.Station(reported.slots, reported.rate)
-        credible = reported.slots == 0 or mmm_queue.credible(station)
-        loads.stations[shard] = station if credible else mmm_queue.EMPTY_STATION
-        loads.waiting_tasks[shard] = max(0, reported.waiting) if credible else 0
-        return credible
+        plausible = reported.slots == 0 or mmm_queue.credible(station)
+        loads.stations[shard] = station if plausible else mmm_queue.EMPTY_STATION
+        loads.waiting_tasks[shard] = max(0, reported.waiting) if plausible else 0
+        return plausible
 
 
 def _own_load(shard: Shard) -> frames.ShardLoad:
--- a/quinceslip/coordination/load_balancing/task_moves.py
+++ b/quinceslip/coordination/load_balancing/task_moves.py
@@ -5,7 +5,7 @@
 from quinceslip.coordination.shard.shard import Shard
 from quinceslip.coordination.shard_state.partition import JobPartition
 
-#: moves out of one shard at a time; more follow once the target's heartbeat reports what is still free
+#: moves out of one shard per pass; more follow once the target's heartbeat reports the slots that are still free
 MAX_MOVES_PER_SHARD = 2
 
 
@@ -17,7 +17,7 @@
         self.peers = peers
 
     def move_from(self, shard: Shard, free_slots: dict[int, int]) -> None:
-        """Move waiting tasks of one shard; `free_slots`, by shard, falls by what is moved."""
+        """Move waiting tasks of one shard, and subtract them from `free_slots`, which is keyed by shard."""
         moves = 0
         for partition in shard.waiting_in_order():
             indices = _movable_tasks(shard, partition)
@@ -35,7 +35,7 @@
             self.peers.take_free_slots(target, len(moved))
 
     def _most_free_shard(self, source: int, free_slots: dict[int, int]) -> int | None:
-        """The other led shard with the most free slots, of several the lowest; None where none has any."""
+        """Return the other led shard with the most free slots, the lowest index in a tie; None if none has any."""
         targets = [
             shard for shard in free_slots if shard != source and free_slots[shard] > 0 and self.election.leader(shard)
         ]
@@ -43,10 +43,10 @@
 
 
 def _movable_tasks(shard: Shard, partition: JobPartition) -> list[int]:
-    """Tasks that may go to another shard.
+    """Return the tasks that may move to another shard.
 
-    What only its quota holds up waits where it is: another shard that lacks it as well would send it back, and
-    grants come to where work waits.
+    Tasks that only their quota keeps from starting stay: another shard that lacks the quota as well would send them
+    back, and quota is granted where work waits.
     """
     if partition.on_hold:
         return []
@@ -54,7 +54,7 @@
 
 
 def _tasks_that_fit(partition: JobPartition, indices: list[int], free_slots: int) -> list[int]:
-    """The first tasks that find a slot; all or none of a gang."""
+    """Return the first tasks that fit into the free slots; all or none of a gang."""
     if not partition.spec.indivisible:
         return indices[:free_slots]
     return indices if free_slots >= len(indices) else []
