--- a/quinceslip/coordination/load_balancing/peers.py
+++ b/quinceslip/coordination/load_balancing/peers.py
@@ -49,7 +49,7 @@
         """The shard loads that live peers reported."""
         return [load for status in self.alive() for load in status.heartbeat.loads]
 
-    def take_free_slots(self, shard: int, tasks: int) -> None:
+    def reserve_free_slots(self, shard: int, tasks: int) -> None:
         """Count the slots of tasks just moved to a shard as used, until the next heartbeat."""
         for status in self.by_label.values():
             for load in status.heartbeat.loads:
--- a/quinceslip/coordination/load_balancing/task_moves.py
+++ b/quinceslip/coordination/load_balancing/task_moves.py
@@ -32,7 +32,7 @@
             free_slots[target] -= len(moved)
             moves += 1
             shard.persistence.move(partition, moved, target)
-            self.peers.take_free_slots(target, len(moved))
+            self.peers.reserve_free_slots(target, len(moved))
 
     def _most_free_shard(self, source: int, free_slots: dict[int, int]) -> int | None:
         """Return the other led shard with the most free slots, the lowest index in a tie; None if none has any."""
