--- a/quinceslip/coordination/load_balancing/load_balancer.py
+++ b/quinceslip/coordination/load_balancing/load_balancer.py
@@ -74,7 +74,7 @@
             cpus.setdefault(load.shard, load.quick_service_cpus)
         return list(cpus.values())
 
-    def shard_for(self) -> int | None:
+    def shard_for_new_job(self) -> int | None:
         """Choose a new job's shard: home below its level, else by the paper's rule; None if no shard has a leader."""
         loads = self.load_collector.collect()
         led = {shard for shard in range(self.election.size) if self.election.leader(shard)}
--- a/quinceslip/coordination/load_balancing/mmm_queue.py
+++ b/quinceslip/coordination/load_balancing/mmm_queue.py
@@ -45,12 +45,12 @@
     slope: float
 
 
-def credible_rate(arrivals: float) -> bool:
+def is_plausible_rate(arrivals: float) -> bool:
     """Whether this many tasks per second can arrive; False for NaN."""
     return 0.0 <= arrivals <= MAX_TASKS_PER_S
 
 
-def credible(station: Station) -> bool:
+def is_plausible(station: Station) -> bool:
     """Whether a shard's load can have been measured, and the shard has slots to serve tasks."""
     return 0 < station.slots <= MAX_SLOTS and MIN_TASKS_PER_S <= station.rate <= MAX_TASKS_PER_S
 
--- a/quinceslip/coordination/load_balancing/shard_loads.py
+++ b/quinceslip/coordination/load_balancing/shard_loads.py
@@ -57,7 +57,7 @@
         if not 0 <= shard < self.election.size:
             return False
         station = mmm_queue.Station(reported.slots, reported.rate)
-        plausible = reported.slots == 0 or mmm_queue.credible(station)
+        plausible = reported.slots == 0 or mmm_queue.is_plausible(station)
         loads.stations[shard] = station if plausible else mmm_queue.EMPTY_STATION
         loads.waiting_tasks[shard] = max(0, reported.waiting) if plausible else 0
         return plausible
--- a/quinceslip/coordination/load_balancing/share_search.py
+++ b/quinceslip/coordination/load_balancing/share_search.py
@@ -16,8 +16,8 @@
 #: bisections end where the bounds differ by no more than this
 TOLERANCE = 1e-8
 #: bisection steps of the multiplier, and of every share in each of them: a range is below rounding after that
-HALVINGS = 128
-NARROWINGS = 64
+MAX_MULTIPLIER_BISECTIONS = 128
+MAX_SHARE_BISECTIONS = 64
 #: series terms that one solution may evaluate (about half a second); what is found by then is used
 MAX_SERIES_TERMS = 2_000_000
 
@@ -68,7 +68,7 @@
 
     def run(self) -> list[float]:
         """Return the log-odds of each shard."""
-        for _ in range(HALVINGS):
+        for _ in range(MAX_MULTIPLIER_BISECTIONS):
             v = math.sqrt(self.low_v) * math.sqrt(self.high_v)
             if not self.low_v < v < self.high_v or self.terms >= MAX_SERIES_TERMS:
                 break
@@ -80,7 +80,7 @@
     def _bisect_multiplier(self, v: float) -> None:
         """Make v a bound of the multiplier, and the points at that v bounds of the shards."""
         bounds = self.bounds.copied()
-        for _ in range(NARROWINGS):
+        for _ in range(MAX_SHARE_BISECTIONS):
             if (
                 self._reaches_total(bounds.low)
                 or not self._reaches_total(bounds.high)
@@ -101,7 +101,7 @@
         """
         at_low_v = self.bounds.copied()
         at_high_v = self.bounds.copied()
-        for _ in range(NARROWINGS):
+        for _ in range(MAX_SHARE_BISECTIONS):
             narrowed_low = self._bisect_points(at_low_v, self.low_v)
             narrowed_high = self._bisect_points(at_high_v, self.high_v, largest=True)
             if not narrowed_low and not narrowed_high:
@@ -143,7 +143,7 @@
     def _interpolate_to_total(self, bounds: Bounds) -> list[float]:
         """Return points at the same fraction between the bounds of all shards, such that the total is reached."""
         low, high = 0.0, 1.0
-        for _ in range(NARROWINGS):
+        for _ in range(MAX_SHARE_BISECTIONS):
             midpoint = (low + high) / 2
             if self._reaches_total(_interpolate(bounds, midpoint)):
                 high = midpoint
