--- a/quinceslip/coordination/autoscaling/absorption.py
+++ b/quinceslip/coordination/autoscaling/absorption.py
@@ -1,7 +1,7 @@
 """Estimates the waiting work that existing machines absorb while a new one would boot; nothing is rented for it."""
 
 from quinceslip.coordination.actor.context import Context
-from quinceslip.coordination.load_balancing.mmm_queue import Station, credible, credible_rate
+from quinceslip.coordination.load_balancing.mmm_queue import Station, is_plausible, is_plausible_rate
 from quinceslip.coordination.shard.shard import Shard
 
 #: upper bound of the fraction of the work served during a boot that no machine is rented for
@@ -13,10 +13,10 @@
 def unclaimed_fraction(ctx: Context) -> float:
     """Return the fraction of freed slots that new arrivals will not take: 1 - arrival rate / total capacity."""
     loads = ctx.cache.by_kind["load"].values()
-    capacity = sum(station.capacity for load in loads if credible(station := Station(load.slots, load.rate)))
+    capacity = sum(station.capacity for load in loads if is_plausible(station := Station(load.slots, load.rate)))
     if capacity <= 0:
         return MAX_ABSORBED_FRACTION
-    arrivals: float = sum(load.arrivals for load in loads if credible_rate(load.arrivals))
+    arrivals: float = sum(load.arrivals for load in loads if is_plausible_rate(load.arrivals))
     return min(MAX_ABSORBED_FRACTION, max(MIN_ABSORBED_FRACTION, 1.0 - arrivals / capacity))
 
 
