--- a/quinceslip/coordination/reconciliation/address_checks.py
+++ b/quinceslip/coordination/reconciliation/address_checks.py
@@ -1,18 +1,19 @@
-"""What must be known of the address of a lost worker before the tasks that were sent there may start elsewhere.
+"""Checks of the addresses of lost workers, before tasks that were launched there may start elsewhere.
 
-A direct command goes to an address, not to a machine: another machine may have taken the address of a lost worker and
-carried out what was meant for that one. That the worker is gone says nothing of it. Until the address is *settled* a
-launch that may have been carried out there keeps its attempt, and a worker of an earlier leader stays unreconciled and
-in the machine registry, so that the next leader inherits the wait. An address is settled by one of these:
+A direct command goes to an address, not to a machine: another machine may have taken over the address of a lost worker
+and carried out the command. Proof that the worker is gone does not rule this out. Until the address is *cleared*, a
+launch that may have been carried out there keeps its attempt, and a worker inherited from an earlier leader stays
+unreconciled and in the machine registry, so that the next leader inherits the check. Any of these clears an address:
 
-- A machine answers there that drops whatever may still arrive, since it has shown a later term, and that has none of
-  the tasks. What it has of them is stopped.
+- A machine answers there that has none of the tasks and that drops any launch still on its way, since it has shown a
+  later term. Tasks that it does have are stopped first.
 - The cloud lists no other machine there, in a list that cannot be older than the moment at which the last call was
-  given up. A call reaches a machine only by a connection made before then, so who comes later receives nothing.
-- Nobody has answered there for a worker's lease since that moment, and neither the registry nor the cloud's list has
-  another machine there: no leader renewed what may have been there. This bounds the wait while the cloud is away.
+  given up. A call reaches a machine only by a connection made before then, so a later machine receives nothing.
+- Nobody has answered there for the duration of a worker's lease since that moment, and neither the registry nor the
+  cloud's list has another machine there: no leader has renewed the lease of a machine that may have been there. This
+  bounds the wait while the cloud is unavailable.
 
-This module decides; `address_probes` asks. It does no I/O and reads no clock but the actor's.
+This module decides; `address_probes` sends the probes. It does no I/O and reads no clock but the actor's.
 """
 
 import logging
@@ -28,7 +29,7 @@
 
 log = logging.getLogger(__name__)
 
-#: beyond twice the lag of the cloud's list: clocks drift meanwhile
+#: margin beyond twice the lag of the cloud's list, for clock drift
 LIST_MARGIN_US = SECOND // 4
 #: kind of the registry's records in the store
 MACHINE_KIND = "roster"
@@ -36,18 +37,21 @@
 
 @dataclass(slots=True, eq=False)
 class AddressCheck:
-    """The address of one lost worker, with what may have been carried out there; compared by identity."""
+    """Check of the address of one lost worker, with the launches that may have been carried out there.
+
+    Compared by identity.
+    """
 
     worker: Worker
-    attempts: list[Attempt]  # launches that another machine there may have carried out, or may yet
+    attempts: list[Attempt]  # launches that another machine there may have carried out, or may still carry out
     is_inherited: bool  # an earlier leader may have sent launches there
-    latest_term: int  # a machine that has shown a later term drops what may still arrive; 0: nothing may
-    given_up_us: int  # no call was still open after this
+    latest_term: int  # a machine that has shown a later term drops launches still on their way; 0: there are none
+    given_up_us: int  # no call to the address was open after this
     since_us: int
-    probing: bool = False  # the address was asked, and has not answered
+    probing: bool = False  # a call to the address is in flight
     next_probe_us: int = 0
-    occupant: str = ""  # the machine that answered there last
-    answered_us: int = 0  # when it did
+    occupant: str = ""  # name of the machine that last answered there
+    answered_us: int = 0  # time of that answer
 
     @property
     def endpoint(self) -> str:
@@ -56,11 +60,11 @@
 
     @property
     def last_seen_us(self) -> int:
-        """A machine may have received a launch there, or was there, up to this moment."""
+        """The latest time at which a machine there may have received a launch, or answered."""
         return max(self.given_up_us, self.answered_us)
 
     def merge(self, other: "AddressCheck") -> None:
-        """Take over a later check of the same worker."""
+        """Merge a later check of the same worker into this one."""
         self.attempts += other.attempts
         self.is_inherited |= other.is_inherited
         self.latest_term = max(self.latest_term, other.latest_term)
@@ -68,42 +72,41 @@
 
 
 class AddressChecks:
-    """The addresses of one shard that are not settled yet. Owned by its reconciler."""
+    """The open address checks of one shard. Owned by its reconciler."""
 
     def __init__(self, state: ShardState, first_own_term: int, on_reconciled: Callable[[Worker], None]) -> None:
-        """`on_reconciled` takes an inherited worker once its address is settled."""
+        """`on_reconciled` is called with an inherited worker once its address is cleared."""
         self.state = state
         self.ctx = state.ctx
         self.first_own_term = first_own_term
         self.on_reconciled = on_reconciled
         self.open: dict[str, AddressCheck] = {}  # by name of the lost worker
         self._listed: Mapping[str, m.CloudMachine] = {}
-        self._listed_us = 0  # when the list was asked for; 0: there was none
-        self._listed_names: dict[str, list[str]] | None = (
-            None  # by address; made once for a list, where it is asked for
-        )
+        self._listed_us = 0  # when the list was requested; 0: no list yet
+        self._listed_names_by_address: dict[str, list[str]] | None = None  # built on first use for each list
 
-    # Beginning.
+    # Opening checks.
 
     def worker_lost(self, worker: Worker) -> None:
-        """Begin a check of the address of a worker whose machine or lease is proven gone, where one is needed.
+        """Open a check of the address of a worker whose machine or lease is proven gone, where one is needed.
 
-        Guard: what was launched there stays where it may be until the address is settled, whatever has become of the
-        name. Without it a task starts elsewhere beside the copy of the machine that has the address now.
+        Guard: a task launched there is not started elsewhere until the address is cleared, whatever has become of the
+        worker. Otherwise it would run beside the copy on the machine that has the address now.
         """
-        self._begin(worker, is_inherited=worker.name in self.state.unreconciled)
+        self._open_check(worker, is_inherited=worker.name in self.state.unreconciled)
 
     def epoch_ended(self, worker: Worker) -> None:
-        """Begin a check of the address of a worker that has begun a new epoch.
+        """Open a check of the address of a worker that has started a new epoch, where one is needed.
 
-        It carries out nothing that was sent to it before; another machine, which takes its address now, might.
+        The worker carries out nothing that was sent to it before, but another machine that takes over its address
+        might.
         """
-        self._begin(worker, is_inherited=False)
+        self._open_check(worker, is_inherited=False)
 
-    def _begin(self, worker: Worker, is_inherited: bool) -> None:
+    def _open_check(self, worker: Worker, is_inherited: bool) -> None:
         if not worker.endpoint or "address" not in self.state.guards:
             return
-        attempts = [attempt for attempt in worker.attempts.values() if self._is_in_doubt(attempt)]
+        attempts = [attempt for attempt in worker.attempts.values() if self._may_run_on_other_machine(attempt)]
         if not attempts and not is_inherited:
             return
         check = self._make_check(worker, attempts, is_inherited)
@@ -124,8 +127,8 @@
             is_inherited,
         )
 
-    def _is_in_doubt(self, attempt: Attempt) -> bool:
-        """Whether another machine at the address of its worker may carry out its launch, or has done so."""
+    def _may_run_on_other_machine(self, attempt: Attempt) -> bool:
+        """Whether another machine at the worker's address may have carried out the launch, or may still do so."""
         if attempt.end_cause and not self.state.is_current(attempt):
             return False
         return attempt.direct_call_open or attempt.unanswered_term > 0 or attempt.answered_by_other
@@ -137,7 +140,7 @@
             given_up_us = self.ctx.now_us + timeout_us
         latest_term = max((attempt.unanswered_term for attempt in attempts), default=0)
         if is_inherited:
-            # An earlier leader may have launched until this one came, under any term before its first.
+            # An earlier leader may have launched until this one took over, under any term before its first.
             given_up_us = max(given_up_us, self.state.led_since_us + timeout_us)
             latest_term = max(latest_term, self.first_own_term - 1)
         return AddressCheck(worker, attempts, is_inherited, latest_term, given_up_us, self.ctx.now_us)
@@ -145,57 +148,57 @@
     # Evidence.
 
     def review(self) -> None:
-        """Settle what nothing is in doubt of any more, by what is known now."""
+        """Close the checks of addresses that are cleared by what is known now."""
         for check in list(self.open.values()):
-            self._drop_certain(check)
+            self._drop_resolved_attempts(check)
             if not check.attempts and not self._is_inherited_open(check):
-                self.settle(check, "nothing left in doubt")
+                self.close(check, "nothing left in doubt")
             elif self._is_vacant(check):
-                self.settle(check, "no other machine there")
+                self.close(check, "no other machine there")
 
     def machines_listed(self, listed: Mapping[str, m.CloudMachine], asked_us: int) -> None:
-        """Take a complete list of the cloud's machines that was asked for at `asked_us`."""
-        self._listed, self._listed_us, self._listed_names = listed, asked_us, None
+        """Apply a complete list of the cloud's machines that was requested at `asked_us`."""
+        self._listed, self._listed_us, self._listed_names_by_address = listed, asked_us, None
         self.review()
 
     def wanted_list_us(self) -> int | None:
-        """The moment from which on the next list that is asked for may settle an address; None: none is waited for."""
-        useful_us = [self._useful_list_us(check) for check in self.open.values()]
-        return min((at_us for at_us in useful_us if at_us > self._listed_us), default=None)
+        """The earliest time at which a list must be requested to clear another address; None: no check needs one."""
+        conclusive_us = [self._conclusive_list_us(check) for check in self.open.values()]
+        return min((at_us for at_us in conclusive_us if at_us > self._listed_us), default=None)
 
-    def answered(self, check: AddressCheck, heartbeat: m.WorkerHeartbeat, asked_us: int) -> list[m.TaskStatus]:
-        """Take what the machine at an address says of itself, asked at `asked_us`; returns the tasks it has to stop.
+    def occupant_answered(self, check: AddressCheck, heartbeat: m.WorkerHeartbeat, asked_us: int) -> list[m.TaskStatus]:
+        """Apply the answer of the machine at an address to a probe of `asked_us`; returns the tasks it has to stop.
 
-        The check is settled by it where the machine has none of the tasks and drops what may still arrive.
+        The answer clears the address if the machine has none of the tasks and drops launches still on their way.
         """
         check.occupant, check.answered_us = heartbeat.worker, self.ctx.now_us
-        self._drop_certain(check)
-        # Guard: before the last call was given up, the machine may be replaced by one more that is sent it as well.
+        self._drop_resolved_attempts(check)
+        # Guard: before the last call was given up, yet another machine may take over the address and receive the call.
         is_last = not self._has_open_call(check) and asked_us >= check.given_up_us
         if heartbeat.worker == check.worker.name:
-            # No other machine had the address meanwhile, and it is in a new epoch itself.
+            # No other machine had the address in the meantime, and the worker itself is in a new epoch.
             if is_last:
-                self.settle(check, "the worker is back")
+                self.close(check, "the worker is back")
             return []
-        running = self._tasks_in_doubt(check, heartbeat)
+        running = self._running_checked_tasks(check, heartbeat)
         if is_last and not running and self.drops_late_launches(check, heartbeat):
-            self.settle(check, "another machine has none of the tasks")
+            self.close(check, "another machine has none of the tasks")
         return running
 
     @staticmethod
     def drops_late_launches(check: AddressCheck, heartbeat: m.WorkerHeartbeat) -> bool:
-        """Whether the machine at the address carries out nothing that was sent to it and may still arrive."""
+        """Whether the machine at the address drops all launches sent there that may still arrive."""
         return not check.latest_term or heartbeat.fencing_token > check.latest_term
 
     @staticmethod
     def _has_open_call(check: AddressCheck) -> bool:
         return any(attempt.direct_call_open for attempt in check.attempts)
 
-    def settle(self, check: AddressCheck, cause: str) -> None:
-        """Let the tasks wait for a machine again: none of them is at the address, nor will be."""
+    def close(self, check: AddressCheck, cause: str) -> None:
+        """Close a check, and put its tasks back in the queue: none of them is at the address or can still get there."""
         del self.open[check.worker.name]
         log.info(
-            "address settled address=%s worker=%s occupant=%s cause=%r after_s=%.1f",
+            "address cleared address=%s worker=%s occupant=%s cause=%r after_s=%.1f",
             check.endpoint,
             check.worker.name,
             check.occupant or "none",
@@ -210,43 +213,43 @@
     def _is_inherited_open(self, check: AddressCheck) -> bool:
         return check.is_inherited and check.worker.name in self.state.unreconciled
 
-    def _drop_certain(self, check: AddressCheck) -> None:
-        """Drop attempts that another worker of this shard has shown, or that the lost one answered for after all."""
+    def _drop_resolved_attempts(self, check: AddressCheck) -> None:
+        """Drop attempts that another worker of this shard has reported, or that the lost worker answered after all."""
         for attempt in list(check.attempts):
             partition = self.state.partitions.get(attempt.job_id)
             is_replaced = partition is not None and partition.attempts.get(attempt.index) is not attempt
-            if is_replaced or not self._is_in_doubt(attempt):
+            if is_replaced or not self._may_run_on_other_machine(attempt):
                 check.attempts.remove(attempt)
                 self.state.release_attempt(attempt)
             else:
                 check.latest_term = max(check.latest_term, attempt.unanswered_term)
                 check.given_up_us = max(check.given_up_us, attempt.given_up_us)
 
-    def _tasks_in_doubt(self, check: AddressCheck, heartbeat: m.WorkerHeartbeat) -> list[m.TaskStatus]:
-        """The tasks in doubt that run on the machine, apart from those that this shard has taken for its own there."""
+    def _running_checked_tasks(self, check: AddressCheck, heartbeat: m.WorkerHeartbeat) -> list[m.TaskStatus]:
+        """The tasks of the check that run on the machine, except those that this shard has adopted there."""
         own = self.state.workers.get(heartbeat.worker)
         adopted = own.attempts if own is not None else {}
-        held = {attempt.name for attempt in check.attempts}
+        checked_names = {attempt.name for attempt in check.attempts}
         return [
             status
             for status in heartbeat.tasks
             if status.state != m.EXITED
             and status.task not in adopted
-            and (status.task in held or (check.is_inherited and self._is_inherited_task(status.task)))
+            and (status.task in checked_names or (check.is_inherited and self._is_inherited_task(status.task)))
         ]
 
     def _is_inherited_task(self, name: str) -> bool:
-        """Whether an earlier leader of this shard may have launched a task that is not done."""
+        """Whether this is an unfinished task that an earlier leader of this shard may have launched."""
         task = find_local_task(self.state, name)
         return task is not None and task.index in task.partition.unreconciled
 
-    # Nobody there.
+    # Vacant addresses.
 
     def _is_vacant(self, check: AddressCheck) -> bool:
-        """Whether no machine that can have received a launch at the address is there any more."""
+        """Whether no machine that may have received a launch at the address is there any more."""
         if self._has_open_call(check):
             return False
-        is_list_new = self._listed_us >= self._useful_list_us(check)
+        is_list_new = self._listed_us >= self._conclusive_list_us(check)
         is_lease_over = self.ctx.now_us > check.last_seen_us + self.ctx.timing.lease_expiry_us
         if not is_list_new and not is_lease_over:
             return False
@@ -254,21 +257,21 @@
             return False
         return is_list_new or not self._is_another_registered(check)
 
-    def _useful_list_us(self, check: AddressCheck) -> int:
-        """A list that is asked for from then on shows every machine that may have received a launch there.
+    def _conclusive_list_us(self, check: AddressCheck) -> int:
+        """The time from which a requested list shows every machine that may have received a launch there.
 
-        The list lags by up to twice the lag of the settings (PROTOCOL).
+        The list lags by up to twice the configured lag (PROTOCOL).
         """
         return check.last_seen_us + 2 * micros(self.ctx.settings.facts.cloud.list_lag_s) + LIST_MARGIN_US
 
     def _is_another_listed(self, check: AddressCheck) -> bool:
         """Whether the cloud lists a machine of another name at the address."""
-        if self._listed_names is None:
-            self._listed_names = defaultdict(list)
+        if self._listed_names_by_address is None:
+            self._listed_names_by_address = defaultdict(list)
             for name, host in self._listed.items():
                 if host.status != m.HOST_FAILED:
-                    self._listed_names[host.endpoint].append(name)
-        return any(name != check.worker.name for name in self._listed_names.get(check.endpoint, ()))
+                    self._listed_names_by_address[host.endpoint].append(name)
+        return any(name != check.worker.name for name in self._listed_names_by_address.get(check.endpoint, ()))
 
     def _is_another_registered(self, check: AddressCheck) -> bool:
         """Whether the machine registry has a machine of another name at the address."""
--- a/quinceslip/coordination/reconciliation/address_probes.py
+++ b/quinceslip/coordination/reconciliation/address_probes.py
@@ -1,30 +1,30 @@
-"""Questions to the addresses of lost workers: which machine is there now, and what has it of our tasks?"""
+"""Probes of the addresses of lost workers: which machine is there now, and which of our tasks does it have?"""
 
 from http import HTTPStatus
 
 from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.reconciliation.address_checks import AddressCheck, AddressChecks
-from quinceslip.coordination.reconciliation.direct_replies import DirectReplies
+from quinceslip.coordination.reconciliation.direct_replies import DirectReplyHandler
 from quinceslip.coordination.shard_state.state import ShardState
 from quinceslip.protocol import messages as m
 
-#: least time between two questions to an address
+#: minimum time between two probes of an address
 PROBE_INTERVAL_US = SECOND // 2
-#: a question without a reply is given up after this long
+#: time limit of a probe
 PROBE_TIMEOUT_US = SECOND
 
 
 class AddressProber:
-    """Asks the addresses that are not settled, and has the machines there stop what they have; one call at a time."""
+    """Probes addresses that are not cleared, and has the machines there stop the tasks; one open call per address."""
 
-    def __init__(self, state: ShardState, checks: AddressChecks, replies: DirectReplies) -> None:
+    def __init__(self, state: ShardState, checks: AddressChecks, replies: DirectReplyHandler) -> None:
         self.state = state
         self.ctx = state.ctx
         self.checks = checks
         self.replies = replies
 
     def probe_due(self) -> None:
-        """Ask every address that is not settled, where it is time to."""
+        """Probe every address that is not cleared and whose next probe is due."""
         for check in list(self.checks.open.values()):
             if not check.probing and self.ctx.now_us >= check.next_probe_us:
                 self._probe(check)
@@ -43,20 +43,20 @@
         self.ctx.call(check.endpoint, "GET", m.PATH_INSPECT, None, on_reply, timeout_us=PROBE_TIMEOUT_US)
 
     def receive(self, check: AddressCheck, heartbeat: m.WorkerHeartbeat, asked_us: int) -> None:
-        """Take what a machine at the address says of itself; it is sent what would settle the address."""
+        """Apply the answer of the machine at the address, and send it the commands needed to clear the address."""
         if self.checks.open.get(check.worker.name) is not check:
             return
         if heartbeat.worker in self.state.workers:
             self.replies.receive_heartbeat(heartbeat, True)
-        running = self.checks.answered(check, heartbeat, asked_us)
+        running = self.checks.occupant_answered(check, heartbeat, asked_us)
         is_open = self.checks.open.get(check.worker.name) is check
         if is_open and (running or not self.checks.drops_late_launches(check, heartbeat)):
-            self._command(check, heartbeat, running)
+            self._send_stops(check, heartbeat, running)
 
-    def _command(self, check: AddressCheck, heartbeat: m.WorkerHeartbeat, running: list[m.TaskStatus]) -> None:
+    def _send_stops(self, check: AddressCheck, heartbeat: m.WorkerHeartbeat, running: list[m.TaskStatus]) -> None:
         """Stop tasks at the address, and show the machine there a term by which it drops late launches.
 
-        Where our term does not suffice a higher one is claimed first: the machine may obey another leader by now.
+        If our term is too low for that, claim a higher one first: the machine may obey another leader by now.
         """
         state = self.state
         needed_term = max(check.latest_term + 1, heartbeat.fencing_token)
@@ -70,6 +70,6 @@
 
         def on_reply(status: int, body: bytes) -> None:
             check.probing = False
-            check.next_probe_us = self.ctx.now_us  # its tasks after the command settle the address, or another does
+            check.next_probe_us = self.ctx.now_us  # the next answer clears it or leads to more stops
 
         self.ctx.call(check.endpoint, "POST", m.PATH_DO, commands, on_reply)
--- a/quinceslip/coordination/reconciliation/command_batch.py
+++ b/quinceslip/coordination/reconciliation/command_batch.py
@@ -14,5 +14,5 @@
     acknowledgements: list[m.Command] = field(default_factory=list)
 
     def in_order(self) -> list[m.Command]:
-        """All commands in the order in which the worker carries them out: stops make room for launches."""
+        """Return all commands in the order in which the worker carries them out: stops make room for launches."""
         return self.stops + self.launches + self.acknowledgements
--- a/quinceslip/coordination/reconciliation/direct_commands.py
+++ b/quinceslip/coordination/reconciliation/direct_commands.py
@@ -1,32 +1,32 @@
-"""Direct commands: what a worker is to do before its next heartbeat."""
+"""Direct commands, which a worker gets before its next heartbeat."""
 
 import logging
 from http import HTTPStatus
 
 from quinceslip.coordination.actor.effects import NOT_SENT
-from quinceslip.coordination.reconciliation.direct_replies import DirectReplies
+from quinceslip.coordination.reconciliation.direct_replies import DirectReplyHandler
 from quinceslip.coordination.shard_state.state import ShardState
 from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.protocol import messages as m
 
 log = logging.getLogger(__name__)
 
-#: after these no launch of the call can still arrive; after anything else (no reply) one may
-SETTLED_STATUSES = frozenset({NOT_SENT, HTTPStatus.OK, HTTPStatus.CONFLICT, HTTPStatus.BAD_REQUEST})
-#: replies that carry a heartbeat
+#: after these statuses no launch of the call can still arrive; without a reply it may
+FINAL_STATUSES = frozenset({NOT_SENT, HTTPStatus.OK, HTTPStatus.CONFLICT, HTTPStatus.BAD_REQUEST})
+#: statuses of replies that carry a heartbeat
 HEARTBEAT_STATUSES = frozenset({HTTPStatus.OK, HTTPStatus.CONFLICT})
 
 
 class DirectCommandSender:
-    """Sends stops and launches as calls of their own, at most one open call a worker."""
+    """Sends stops and launches in direct calls, with at most one open call per worker."""
 
-    def __init__(self, state: ShardState, replies: DirectReplies) -> None:
+    def __init__(self, state: ShardState, replies: DirectReplyHandler) -> None:
         self.state = state
         self.ctx = state.ctx
         self.replies = replies
 
     def send_due(self) -> None:
-        """Send all workers what cannot wait for their next heartbeat."""
+        """Send the commands that cannot wait for the next heartbeat of their workers."""
         state = self.state
         if not state.workers_to_command or not state.election.may_launch(state.index):
             return
@@ -39,7 +39,7 @@
                 self._send_unsent(worker)
 
     def send(self, worker: Worker, stops: list[Attempt], launches: list[Attempt]) -> None:
-        """Send a worker one call with these commands; without any it shows the worker this leader's term."""
+        """Send a worker one call with these commands; an empty call only shows the worker this leader's term."""
         commands = [m.stop(a.name, a.number, a.grace_s) for a in stops]
         commands += [m.launch(a.name, a.number) for a in launches]
         for attempt in stops + launches:
@@ -52,8 +52,8 @@
             worker.command_open = False
             for attempt in launches:
                 attempt.direct_call_open = False
-                if status not in SETTLED_STATUSES:
-                    # Our term of now, not of then: whoever shows a later one has seen it after the call was given up.
+                if status not in FINAL_STATUSES:
+                    # The current term, not that of the call: a later one is only seen after the call was given up.
                     attempt.unanswered_term = self.state.term
                     attempt.given_up_us = self.ctx.now_us
             if status in HEARTBEAT_STATUSES:
@@ -67,13 +67,13 @@
     def _accepts_calls(worker: Worker) -> bool:
         """Whether a worker may get a call now.
 
-        One that does not answer would hold a thread until the time limit, and healthy ones would wait behind it; it
-        gets its commands in the answer to its next heartbeat.
+        A call to a worker that does not answer would occupy a thread until the time limit and delay calls to healthy
+        workers. Such a worker gets its commands in the answer to its next heartbeat.
         """
         return bool(not worker.command_open and not worker.delivery.suspect and worker.endpoint and worker.fenced)
 
     def _send_unsent(self, worker: Worker) -> None:
-        """Send the stops and launches of a worker that have not been sent yet."""
+        """Send a worker its stops and launches that have not been sent yet."""
         unsent = [a for a in worker.attempts.values() if not a.sent and not a.end_cause]
         stops = [a for a in unsent if a.stopping and a.observed and a.state != m.FLUSHING]
         launches = [a for a in unsent if not a.stopping and not a.observed]
@@ -92,17 +92,17 @@
             self.replies.receive(worker, heartbeat)
 
     def _mark_answered_by_other(self, launches: list[Attempt]) -> None:
-        """Note that somebody else than their worker has carried launches out."""
+        """Record that another machine than their worker has carried out these launches."""
         for attempt in launches:
             attempt.answered_by_other = True
             attempt.given_up_us = self.ctx.now_us
 
     def _revoke_launches(self, endpoint: str, launches: list[Attempt], heartbeat: m.WorkerHeartbeat) -> None:
-        """Stop launches that another machine at the same address has carried out, at once, before they begin.
+        """Stop launches that another machine at the same address has carried out, before their tasks begin.
 
-        A machine may be back as another one at its address, in the same epoch as the one before. This saves work and
-        proves nothing: the stop may be lost, or refused by a machine that obeys another leader by now. What holds the
-        tasks back is that their address is not settled (`AddressChecks`).
+        A machine may return under another name at the same address, with the same epoch number as before. This saves
+        work but proves nothing: the stop may be lost, or refused by a machine that obeys another leader by now. Safety
+        comes from the check of the address, which keeps the tasks from starting elsewhere (`AddressChecks`).
         """
         log.info("launches revoked worker=%s count=%d", heartbeat.worker, len(launches))
         stops = [m.stop(a.name, a.number, 0.0) for a in launches]
@@ -111,4 +111,4 @@
 
 
 def _ignore_reply(status: int, body: bytes) -> None:
-    """The next heartbeat of the machine shows what came of it."""
+    """Ignore the reply: the machine's next heartbeat shows the effect."""
--- a/quinceslip/coordination/reconciliation/direct_replies.py
+++ b/quinceslip/coordination/reconciliation/direct_replies.py
@@ -1,4 +1,4 @@
-"""What the reply to a direct call, a command or a probe, proves of its worker."""
+"""Handling of replies to direct calls (commands and probes), and what they prove about the worker."""
 
 import logging
 from collections.abc import Callable
@@ -11,19 +11,19 @@
 
 log = logging.getLogger(__name__)
 
-#: takes a heartbeat, and whether it came in a reply to a direct call
+#: called with a heartbeat, and whether it came in a reply to a direct call
 HeartbeatReceiver = Callable[[m.WorkerHeartbeat, bool], object]
 
 
-class DirectReplies:
-    """Takes the heartbeats that workers send in reply to direct calls."""
+class DirectReplyHandler:
+    """Handles the heartbeats that workers send in reply to direct calls."""
 
     def __init__(self, state: ShardState, receive_heartbeat: HeartbeatReceiver) -> None:
         self.state = state
         self.receive_heartbeat = receive_heartbeat
 
     def decode(self, worker: Worker, body: bytes) -> m.WorkerHeartbeat | None:
-        """The heartbeat in a reply; None, and an error in the log, for one that can't be decoded."""
+        """Decode the heartbeat in a reply; logs an error and returns None if that fails."""
         try:
             return msgspec.json.decode(body, type=m.WorkerHeartbeat)
         except msgspec.DecodeError as error:
@@ -31,9 +31,9 @@
             return None
 
     def receive(self, worker: Worker, heartbeat: m.WorkerHeartbeat) -> bool:
-        """Take the heartbeat in a reply to a call to `worker`; False where another machine sent it."""
+        """Apply the heartbeat in a reply to a call to `worker`; returns False if another machine sent it."""
         if heartbeat.worker != worker.name:
-            # Another machine has its address now, and may have executed what was meant for it.
+            # Another machine has the address now, and may have executed commands that were meant for `worker`.
             log.info("reply of another machine worker=%s expected_worker=%s", heartbeat.worker, worker.name)
             if heartbeat.worker in self.state.workers:
                 self.receive_heartbeat(heartbeat, True)
--- a/quinceslip/coordination/reconciliation/probes.py
+++ b/quinceslip/coordination/reconciliation/probes.py
@@ -1,32 +1,32 @@
-"""Probes: a silent worker is asked for a heartbeat, since it may only be between two controllers."""
+"""Probes of silent workers, which may just be switching from one controller to another."""
 
 from http import HTTPStatus
 
 from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.reconciliation.direct_commands import DirectCommandSender
-from quinceslip.coordination.reconciliation.direct_replies import DirectReplies
+from quinceslip.coordination.reconciliation.direct_replies import DirectReplyHandler
 from quinceslip.coordination.shard_state.delivery import MAX_UNANSWERED_PROBES
 from quinceslip.coordination.shard_state.state import ShardState
 from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.protocol import messages as m
 
-#: least time between two probes of a worker
+#: minimum time between two probes of a worker
 PROBE_INTERVAL_US = SECOND // 2
-#: a probe without a reply is given up after this long
+#: time limit of a probe
 PROBE_TIMEOUT_US = SECOND
 
 
 class WorkerProber:
-    """Probes single workers; at most one open probe a worker."""
+    """Probes single workers, with at most one open probe per worker."""
 
-    def __init__(self, state: ShardState, replies: DirectReplies, direct_commands: DirectCommandSender) -> None:
+    def __init__(self, state: ShardState, replies: DirectReplyHandler, direct_commands: DirectCommandSender) -> None:
         self.state = state
         self.ctx = state.ctx
         self.replies = replies
         self.direct_commands = direct_commands
 
     def send(self, worker: Worker) -> None:
-        """Ask a worker for a heartbeat, unless a probe is open or its address is not known."""
+        """Probe a worker for a heartbeat, unless a probe is open or its address is unknown."""
         if worker.probing or not worker.endpoint:
             return
         worker.probing = True
@@ -48,9 +48,9 @@
             self._probe_missed(worker, probed_us)
 
     def _probe_missed(self, worker: Worker, probed_us: int) -> None:
-        """Count a probe without a reply of the worker, unless it was in contact since."""
+        """Count a probe that the worker did not reply to, unless there was contact since."""
         if probed_us >= worker.last_contact_us:
-            # One that was probed during a cut may send a heartbeat before the probe fails.
+            # A worker probed during a network partition may send a heartbeat before the probe fails.
             worker.delivery.probe_missed(probed_us)
         if worker.service_tasks:
             worker.next_probe_us = self.ctx.now_us
@@ -58,7 +58,7 @@
             self.state.worker_failed = True
 
     def _show_term(self, worker: Worker) -> None:
-        """Show a worker this leader's term by an empty command: until its next heartbeat would take seconds."""
+        """Show a worker this leader's term by an empty command, as its next heartbeat may be seconds away."""
         state = self.state
         if worker.fencing_token < state.term and not worker.command_open and state.election.may_launch(state.index):
             self.direct_commands.send(worker, [], [])
