--- a/quinceslip/coordination/reconciliation/adoption.py
+++ b/quinceslip/coordination/reconciliation/adoption.py
@@ -1,4 +1,4 @@
-"""Takes in tasks that a worker reports and this leader did not launch: an earlier leader launched them."""
+"""Adoption of reported tasks that this leader did not launch: an earlier leader launched them."""
 
 import logging
 
@@ -9,34 +9,35 @@
 
 log = logging.getLogger(__name__)
 
-#: so many names that no task can have are logged for one worker, and so many characters of each
-MAX_ODD_NAMES = 16
-MAX_LOGGED_NAME = 100
+#: maximum number of invalid task names that are logged for one worker
+MAX_LOGGED_INVALID_NAMES = 16
+#: an invalid task name is cut off after this many characters in the log
+MAX_LOGGED_NAME_LENGTH = 100
 
 
 class TaskAdoption:
-    """Makes attempts of reported tasks that this leader did not launch."""
+    """Creates attempts for reported tasks that this leader did not launch."""
 
     def __init__(self, state: ShardState) -> None:
         self.state = state
 
     def adopt(self, worker: Worker, name: str, status: m.TaskStatus) -> Attempt | None:
-        """The new attempt of a reported task; None where it is not of this shard, is done, or is outdated.
+        """Return the new attempt of a reported task; None if the task is not of this shard, is done, or is outdated.
 
-        What it shows takes room, and can be stopped and acknowledged from here on, but the task stays unreconciled
-        until all inherited workers are: a newer attempt of it may live on a worker that has not reported yet, and
-        until a worker shows a term of this leader its heartbeat may be as late as the network likes.
+        From here on the attempt takes resources and can be stopped and acknowledged. But the task stays unreconciled
+        until all inherited workers are reconciled: a newer attempt of it may exist on a worker that has not reported
+        yet, and until a worker shows a term of this leader, its heartbeats may have been delayed for any time.
         """
         task = find_local_task(self.state, name)
         if task is None:
-            self._log_odd_name(worker, name)
+            self._log_invalid_name(worker, name)
             return None
         partition, index = task.partition, task.index
         if index not in partition.assigned or index in partition.done or index in partition.unrecorded_done:
             return None
         known = partition.attempts.get(index)
         completed = status.state == m.EXITED and status.why == m.CAUSE_DONE
-        if not completed and not self._is_living_attempt(worker, task, known, status):
+        if not completed and not self._is_adoptable(worker, task, known, status):
             return None
         if known is not None:
             self.state.stop(known, 0.0)
@@ -55,21 +56,21 @@
         return attempt
 
     @staticmethod
-    def _log_odd_name(worker: Worker, name: str) -> None:
-        """Log a name that no task can have, once for each worker and for so many names of it at the most."""
-        if task_number_of(name) is not None or name in worker.odd_task_names:
+    def _log_invalid_name(worker: Worker, name: str) -> None:
+        """Log an invalid task name, once per worker and for a limited number of names."""
+        if task_number_of(name) is not None or name in worker.invalid_task_names:
             return
-        if len(worker.odd_task_names) < MAX_ODD_NAMES:
-            worker.odd_task_names.add(name)
-            log.info("odd task name task=%r worker=%s", name[:MAX_LOGGED_NAME], worker.name)
+        if len(worker.invalid_task_names) < MAX_LOGGED_INVALID_NAMES:
+            worker.invalid_task_names.add(name)
+            log.info("odd task name task=%r worker=%s", name[:MAX_LOGGED_NAME_LENGTH], worker.name)
 
-    def _is_living_attempt(self, worker: Worker, task: LocalTask, known: Attempt | None, status: m.TaskStatus) -> bool:
-        """Whether a reported attempt that is not done is the one to keep, beside or in place of the known one."""
+    def _is_adoptable(self, worker: Worker, task: LocalTask, known: Attempt | None, status: m.TaskStatus) -> bool:
+        """Whether to adopt a reported attempt that is not done, given the known attempt of its task, if any."""
         exited = status.state == m.EXITED
         if known is not None:
-            # A task is launched again only once it is over elsewhere: the higher number is the living one.
+            # A task is relaunched only after its earlier attempt has ended: the higher number is the current attempt.
             if not exited:
-                self._log_second_copy(worker, known, status)
+                self._log_duplicate(worker, known, status)
             return status.attempt >= known.number and "higher" in self.state.guards
         if task.index in task.partition.unreconciled:
             return True
@@ -78,10 +79,10 @@
         log.error("unexpected task task=%s worker=%s", status.task, worker.name)
         return True
 
-    def _log_second_copy(self, worker: Worker, known: Attempt, status: m.TaskStatus) -> None:
-        """Log a task that is on two workers: an error only where neither heartbeat can be of an earlier term."""
+    def _log_duplicate(self, worker: Worker, known: Attempt, status: m.TaskStatus) -> None:
+        """Log a task that is on two workers; as an error only if neither heartbeat can predate this leader's term."""
         other = self.state.workers.get(known.worker)
-        # The same attempt came here by the address that both had, one after the other.
+        # The same attempt on both: its launch was received by two machines that had the same address in turn.
         certain = worker.fenced and other is not None and other.fenced and status.attempt != known.number
         log.log(
             logging.ERROR if certain else logging.INFO,
--- a/quinceslip/coordination/reconciliation/attempts.py
+++ b/quinceslip/coordination/reconciliation/attempts.py
@@ -1,4 +1,4 @@
-"""Matches the tasks that a worker reports with the attempts that are known to be on it."""
+"""Matching of the tasks that a worker reports with its known attempts."""
 
 import logging
 
@@ -12,7 +12,7 @@
 
 
 class AttemptReconciler:
-    """Keeps the attempts of a worker as its heartbeats show them."""
+    """Updates the attempts of a worker from its heartbeats."""
 
     def __init__(self, state: ShardState, outcomes: AttemptOutcomes) -> None:
         self.state = state
@@ -20,7 +20,7 @@
         self.adoption = TaskAdoption(state)
 
     def reconcile(self, worker: Worker) -> None:
-        """Bring the attempts of a worker into line with the tasks of its last heartbeat."""
+        """Update the attempts of a worker from the tasks in its last heartbeat."""
         for name, status in worker.reported_tasks.items():
             attempt = worker.attempts.get(name)
             if attempt is None or attempt.number != status.attempt:
@@ -34,7 +34,7 @@
             self.state.quota.heartbeat_received(worker)
 
     def drop_all(self, worker: Worker) -> None:
-        """Forget all that was on a worker: its epoch is over. What had not ended waits for a machine again."""
+        """Drop all attempts of a worker whose epoch is over, and requeue the tasks that had not ended."""
         for name, attempt in list(worker.attempts.items()):
             if not attempt.end_cause or self.state.is_current(attempt):
                 self.state.requeue(worker, attempt)
@@ -45,18 +45,19 @@
     def _resolve_mismatch(
         self, worker: Worker, attempt: Attempt | None, name: str, status: m.TaskStatus
     ) -> Attempt | None:
-        """The attempt for a reported one that is not the known one (None: none is known); None where there is none."""
+        """Return the attempt to use for a reported task that does not match `attempt`, the known one; None if none."""
         if attempt is not None:
             if status.attempt < attempt.number or "higher" not in self.state.guards:
-                return None  # ended earlier, not acknowledged yet: it keeps the newer one out for a moment
+                return None  # has ended but is not acknowledged yet, which delays the start of the newer one
             self._replace_outdated(worker, attempt, status)
         return self.adoption.adopt(worker, name, status)
 
     def _replace_outdated(self, worker: Worker, attempt: Attempt, status: m.TaskStatus) -> None:
-        """Drop a known attempt of which the worker reports a later one.
+        """Drop a known attempt, as the worker reports a later attempt of the task.
 
-        A worker has one attempt of a task, so the older one is over. It came of a late heartbeat from before this
-        leader's term: kept, it would hide the living one, and let its result be acknowledged.
+        A worker has one attempt of a task, so the older one is over. It was adopted from a delayed heartbeat that
+        predates this leader's term. If it were kept, it would hide the current attempt and allow the result of that
+        one to be acknowledged.
         """
         if worker.fenced:
             log.error(
@@ -70,11 +71,11 @@
         self.state.detach(worker, attempt.name)
 
     def _detach_vanished(self, worker: Worker) -> None:
-        """Drop the attempts that the worker reported before and reports no more."""
+        """Drop the attempts that the worker reported before and no longer reports."""
         for name, attempt in list(worker.attempts.items()):
             if attempt.observed and name not in worker.reported_tasks:
                 if not attempt.end_cause:
-                    # Until it shows a term of this leader, a worker's heartbeat may be long out of date.
+                    # Until the worker shows a term of this leader, its heartbeat may be long out of date.
                     level = logging.ERROR if worker.fenced else logging.INFO
                     log.log(level, "task vanished task=%s worker=%s", name, worker.name)
                     self.state.requeue(worker, attempt)
--- a/quinceslip/coordination/shard_state/worker.py
+++ b/quinceslip/coordination/shard_state/worker.py
@@ -5,7 +5,7 @@
 from quinceslip.coordination.shard_state.delivery import DeliveryTracker
 from quinceslip.protocol import messages as m
 
-#: differences of resource amounts below this come from rounding
+#: tolerance for rounding errors in resource amounts
 EPSILON = 1e-6
 
 #: amounts of CPUs, GPUs and memory in GB
@@ -22,120 +22,120 @@
     index: int  # of the task in its job
     number: int  # rises with each attempt of a task, across terms too
     spec: m.JobSpec
-    worker: str  # name of the worker that its launch is pinned to
-    sent_us: int  # when it was decided, or first reported by its worker
-    observed: bool = False  # its worker has reported it
-    state: str = ""  # as last reported
+    worker: str  # name of the worker that the launch is pinned to
+    sent_us: int  # when it was created: by a placement decision, or on adoption
+    observed: bool = False  # whether its worker has reported it
+    state: str = ""  # last reported state
     running_us: int = 0  # when it was first reported as running; 0: not yet
-    end_cause: str = ""  # cause, once it has exited
-    stopping: bool = False  # it is to be stopped
-    grace_s: float = 0.0  # what it gets to save its progress when it is stopped
-    direct_call_open: bool = False  # a direct command with its launch is in flight
-    unanswered_term: int = 0  # a direct command with its launch was never answered, given up under this term
-    answered_by_other: bool = False  # one was carried out by another machine, which has the worker's address now
-    given_up_us: int = 0  # when the last of these two was learnt
-    sent: bool = False  # its launch or stop was sent already
-    counted_usage: tuple[int, int, int, int] | None = None  # what quotas count of it
-    counted_as_stopping: bool = False  # quotas count it among those that are stopping
+    end_cause: str = ""  # why it ended; empty: it has not ended
+    stopping: bool = False  # whether it is to be stopped
+    grace_s: float = 0.0  # time to save its progress when it is stopped
+    direct_call_open: bool = False  # a direct call with its launch is in flight
+    unanswered_term: int = 0  # term in which an unanswered direct call with its launch was given up; 0: none
+    answered_by_other: bool = False  # a launch was carried out by another machine, which now has the worker's address
+    given_up_us: int = 0  # when the last such call was given up, or answered by another machine
+    sent: bool = False  # its launch or stop has been sent
+    counted_usage: tuple[int, int, int, int] | None = None  # its usage as counted by the quotas
+    counted_as_stopping: bool = False  # counted as stopping by the quotas
     name: str = ""  # JOB/INDEX, as on the wire
-    priority: int = 0  # priority class of its job when it was launched
+    priority: int = 0  # priority class of its job at launch
 
     def __post_init__(self) -> None:
-        """Derive what is asked for often."""
+        """Cache derived values that are read often."""
         self.name = f"{self.job_id}/{self.index}"
         self.priority = self.spec.priority
 
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """One machine of a shard: what it reported, what it was sent, and what is on it; compared by identity.
+    """One machine of a shard, with its reports, what it was sent, and its tasks; compared by identity.
 
-    Fields stand in groups by what writes them; a comment names the writer where it is another one. Times are those of
-    the actor's clock.
+    Fields are grouped by the component that writes them; a comment names the writer of an exception. Times are by the
+    actor's clock.
     """
 
     # From the machine registry and the worker's own heartbeats.
     name: str
-    type: m.MachineType | None  # None: of a type that is not known (yet), so it gets no tasks
+    type: m.MachineType | None  # None: the type is not known (yet), so it gets no tasks
     zone: str
     spot: bool  # may be reclaimed by the cloud at any time
     endpoint: str = ""  # address for direct commands
 
     # Reconciliation: the latest heartbeat that was applied.
-    epoch: int = 0  # agent epoch: rises when the agent starts anew or its lease expires
-    seq: int = 0  # number within the epoch
-    last_own_heartbeat: tuple[int, int] = (0, 0)  # epoch and number of the last one that was no direct reply
-    fencing_token: int = 0  # the highest term that it has seen
-    notice_us: int = 0  # when the cloud reclaims it, by its own notice; 0: no notice
+    epoch: int = 0  # agent epoch: rises when the agent restarts or its lease expires
+    seq: int = 0  # sequence number within the epoch
+    last_own_heartbeat: tuple[int, int] = (0, 0)  # epoch and sequence number of the last periodic one
+    fencing_token: int = 0  # the highest term that the worker has seen
+    notice_us: int = 0  # when the cloud reclaims it, as announced to it; 0: no notice
 
     # Reconciliation: its lease, and proof of contact.
-    lease_renewed_us: int = 0  # nothing renewed its lease later than this
-    predecessor_renewed_us: int = 0  # the last answer of an earlier leader was given by then
-    unanswered: bool = False  # its last heartbeat got no answer, since none reaches it
-    last_contact_us: int = 0  # last heartbeat or direct reply
-    last_heartbeat_us: int = 0  # last heartbeat that was no direct reply; written by the heartbeat receiver
+    lease_renewed_us: int = 0  # latest time at which its lease may have been renewed
+    predecessor_renewed_us: int = 0  # latest time at which an earlier leader may have renewed it
+    unanswered: bool = False  # its last heartbeat was not answered, as it is unreachable
+    last_contact_us: int = 0  # time of the last heartbeat or direct reply
+    last_heartbeat_us: int = 0  # time of the last periodic heartbeat; written by the heartbeat receiver
     registered_us: int = 0  # when it joined the shard; written by the registration
-    fenced: bool = False  # it has shown our term, so it drops what earlier leaders sent
-    lease_expired: bool = False  # nothing of ours can run on it until it starts a new epoch
+    fenced: bool = False  # it has shown a term of this leader, so it drops what earlier leaders sent
+    lease_expired: bool = False  # no task can run on it until it starts a new epoch
 
     # Autoscaling and consolidation.
-    draining: str = ""  # why it gets no new tasks (by a reclaim notice: the reconciler); empty: it is not drained
-    deleting: bool = False  # the cloud was asked to delete it
-    command_open: bool = False  # a direct command is in flight; written by the command sender
-    idle_us: int = 0  # it has had no attempts since then; written by the silence check
+    draining: str = ""  # reason for draining; empty: not drained; for a reclaim notice written by the reconciler
+    deleting: bool = False  # its deletion was requested from the cloud
+    command_open: bool = False  # a direct call is in flight; written by the command sender
+    idle_us: int = 0  # since when it has had no attempts; written by the silence check
 
     # Reconciliation: tasks and images on it.
-    reported_tasks: dict[str, m.TaskStatus] = field(default_factory=dict)  # by name, as last reported
-    attempts: dict[str, Attempt] = field(default_factory=dict)  # by name; written by the shard state
-    odd_task_names: set[str] = field(default_factory=set)  # reported and logged; written by the adoption of tasks
-    images: dict[str, float] = field(default_factory=dict)  # cached images, least recently used first, in GB
-    task_failures: int = 0  # failures here of tasks whose jobs are sound
+    reported_tasks: dict[str, m.TaskStatus] = field(default_factory=dict)  # last reported statuses, by task name
+    attempts: dict[str, Attempt] = field(default_factory=dict)  # by task name; written by the shard state
+    invalid_task_names: set[str] = field(default_factory=set)  # already logged; written by the adoption of tasks
+    images: dict[str, float] = field(default_factory=dict)  # sizes of cached images in GB, least recently used first
+    task_failures: int = 0  # failures on it of tasks whose jobs are not in a crash loop
 
     # Registration.
-    registered: bool = False  # its registry record says that it may hold tasks
+    registered: bool = False  # whether its registry record says that it may hold tasks
 
     # Delivery and probes, written by the command sender and the connectivity watch.
-    delivery: DeliveryTracker = field(default_factory=DeliveryTracker)  # which of our answers it has acknowledged
+    delivery: DeliveryTracker = field(default_factory=DeliveryTracker)  # whether it receives what it is sent
     probing: bool = False  # a probe is in flight
-    next_probe_us: int = 0  # not before then
+    next_probe_us: int = 0  # earliest time of the next probe
 
-    # Sums over the attempts that have not ended; written by `add_usage` alone.
+    # Sums over the attempts that have not ended; written only by `add_usage`.
     running: int = 0  # number of attempts
     used_cpus: float = 0.0
     used_gpus: float = 0.0
     used_memory_gb: float = 0.0
-    production_cpus: float = 0.0  # of the highest priority class, which a service may not preempt
+    production_cpus: float = 0.0  # of tasks of the highest priority class, which a service may not preempt
     service_cpus: float = 0.0
     service_tasks: int = 0
 
-    def add_usage(self, spec: m.JobSpec, by: int) -> None:
-        """Count an attempt that begins to take room (`by` = 1), or one that ends (`by` = -1)."""
-        self.running += by
+    def add_usage(self, spec: m.JobSpec, sign: int) -> None:
+        """Add the usage of an attempt (`sign` = 1), or remove it when the attempt ends (`sign` = -1)."""
+        self.running += sign
         if not self.running:
-            # Sums of decimal amounts drift; an empty machine is exactly empty.
+            # Floating-point sums drift: reset them to exactly zero on an empty machine.
             self.used_cpus = self.used_gpus = self.used_memory_gb = 0.0
             self.production_cpus = self.service_cpus = 0.0
             self.service_tasks = 0
             return
-        self.used_cpus += by * spec.cpus
-        self.used_gpus += by * spec.gpus
-        self.used_memory_gb += by * spec.memory_gb
+        self.used_cpus += sign * spec.cpus
+        self.used_gpus += sign * spec.gpus
+        self.used_memory_gb += sign * spec.memory_gb
         if spec.priority == 0:
-            self.production_cpus += by * spec.cpus
+            self.production_cpus += sign * spec.cpus
         if spec.service:
-            self.service_cpus += by * spec.cpus
-            self.service_tasks += by
+            self.service_cpus += sign * spec.cpus
+            self.service_tasks += sign
 
     def live_attempts(self) -> list[Attempt]:
-        """Attempts that have not ended."""
+        """Return the attempts that have not ended."""
         return [attempt for attempt in self.attempts.values() if not attempt.end_cause]
 
     def service_room(self) -> float:
-        """CPUs that are free or used by what a service may preempt."""
+        """Return the CPUs that are free or used by tasks that a service may preempt."""
         return self.type.cpus - self.production_cpus if self.type is not None else 0.0
 
     def free(self) -> Resources:
-        """What no attempt takes; nothing where the machine type is not known."""
+        """Return the resources that no attempt takes; nothing if the machine type is unknown."""
         if self.type is None:
             return NO_RESOURCES
         return (
@@ -146,5 +146,5 @@
 
 
 def fits(free: Resources, spec: m.JobSpec) -> bool:
-    """Whether one task of the job has room in `free`."""
+    """Whether one task of the job fits into the resources in `free`."""
     return free[0] >= spec.cpus - EPSILON and free[1] >= spec.gpus - EPSILON and free[2] >= spec.memory_gb - EPSILON
