--- a/quinceslip/coordination/reconciliation/attempt_outcomes.py
+++ b/quinceslip/coordination/reconciliation/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What follows from the state of an attempt: it runs, is done, or failed and is retried after a pause."""
+"""Transitions of attempts by their reported state: running, done, or failed and retried after a delay."""
 
 import logging
 from collections.abc import Callable
@@ -11,11 +11,12 @@
 
 log = logging.getLogger(__name__)
 
-#: pause before a gang's task that ended because of the others is started again
-GANG_RETRY_US = SECOND
-#: pause before a failed task is started again: this, doubled with each failure up to so many times, up to the maximum
+#: delay before a gang's task that ended because of the other tasks is retried
+GANG_RETRY_DELAY_US = SECOND
+#: delay before a failed task is retried: doubled with each failure, up to `MAX_RETRY_DOUBLINGS` times
 RETRY_BASE_US = SECOND // 2
 MAX_RETRY_DOUBLINGS = 6
+#: upper limit of the retry delay
 MAX_RETRY_US = 30 * SECOND
 
 TaskStarted = Callable[[Worker, Attempt], None]
@@ -23,17 +24,17 @@
 
 
 class AttemptOutcomes:
-    """Applies reported states to attempts, and retries what failed."""
+    """Applies reported states to attempts, and schedules retries of failed tasks."""
 
     def __init__(self, state: ShardState, on_started: TaskStarted, on_completed: TaskCompleted) -> None:
         self.state = state
         self.ctx = state.ctx
         self.on_started = on_started
         self.on_completed = on_completed
-        self.retrying: set[str] = set()  # jobs with tasks that pause after a failure
+        self.retrying: set[str] = set()  # jobs with tasks that wait for a retry
 
     def update(self, worker: Worker, attempt: Attempt, status: m.TaskStatus) -> None:
-        """Take the reported state of an attempt; nothing changes one that has ended."""
+        """Apply the reported state of an attempt; an attempt that has ended no longer changes."""
         if attempt.end_cause:
             self.state.release_if_settled(worker, attempt)
             return
@@ -45,16 +46,16 @@
                 self._clear_suspicion_of_service(attempt)
         attempt.state = status.state
         if status.state == m.EXITED:
-            self._exited(worker, attempt, status.why or m.CAUSE_ERROR)
+            self._handle_exit(worker, attempt, status.why or m.CAUSE_ERROR)
 
     def _clear_suspicion_of_service(self, attempt: Attempt) -> None:
-        """Take a replica that runs long enough as proof that its job is in no crash loop."""
+        """Clear the suspicion of a crash loop once a replica of the service has run long enough."""
         partition = self.state.partitions.get(attempt.job_id)
         ran_us = self.ctx.now_us - attempt.running_us
         if partition is not None and partition.crash_loop.clears_by_running(ran_us):
             self.state.release_from_hold(partition)
 
-    def _exited(self, worker: Worker, attempt: Attempt, cause: str) -> None:
+    def _handle_exit(self, worker: Worker, attempt: Attempt, cause: str) -> None:
         self.state.end_attempt(worker, attempt, cause)
         partition = self.state.partitions.get(attempt.job_id)
         if partition is None or partition.attempts.get(attempt.index) is not attempt:
@@ -66,23 +67,23 @@
             self.on_completed(worker, attempt, partition)
             return
         if cause in m.CAUSES_GANG:
-            self._pause(partition, attempt.index, GANG_RETRY_US)
+            self._delay_retry(partition, attempt.index, GANG_RETRY_DELAY_US)
         elif cause != m.CAUSE_HALTED:
-            self._failed(worker, attempt, partition)
+            self._handle_failure(worker, attempt, partition)
         self.state.release_if_settled(worker, attempt)
 
-    def _failed(self, worker: Worker, attempt: Attempt, partition: JobPartition) -> None:
-        """Retry elsewhere, later each time: a job in a crash loop fails on every machine."""
+    def _handle_failure(self, worker: Worker, attempt: Attempt, partition: JobPartition) -> None:
+        """Retry with an exponential delay, since a job in a crash loop fails on every machine."""
         failures = partition.failures.get(attempt.index, 0) + 1
         partition.failures[attempt.index] = failures
         doublings = min(failures, MAX_RETRY_DOUBLINGS)
-        self._pause(partition, attempt.index, min(MAX_RETRY_US, RETRY_BASE_US * 2**doublings))
+        self._delay_retry(partition, attempt.index, min(MAX_RETRY_US, RETRY_BASE_US * 2**doublings))
         log.info("task failed task=%s worker=%s cause=%s", attempt.name, worker.name, attempt.end_cause)
         if attempt.end_cause == m.CAUSE_ERROR:
-            self._blame(worker, attempt, partition, failures)
+            self._attribute_failure(worker, attempt, partition, failures)
 
-    def _blame(self, worker: Worker, attempt: Attempt, partition: JobPartition, failures: int) -> None:
-        """Count an error against the machine or the job; a job that is suspected of a crash loop is put on hold."""
+    def _attribute_failure(self, worker: Worker, attempt: Attempt, partition: JobPartition, failures: int) -> None:
+        """Count an error against the machine or the job; put a job that is suspected of a crash loop on hold."""
         crash_loop = partition.crash_loop
         if crash_loop.cleared and worker.name in crash_loop.blamed_machines:
             worker.task_failures += 1
@@ -91,6 +92,6 @@
             log.info("crash loop suspected job=%s reason=%r", partition.job_id, crash_loop.reason())
             self.state.put_on_hold(partition)
 
-    def _pause(self, partition: JobPartition, index: int, pause_us: int) -> None:
-        partition.not_before[index] = self.ctx.now_us + pause_us
+    def _delay_retry(self, partition: JobPartition, index: int, delay_us: int) -> None:
+        partition.not_before[index] = self.ctx.now_us + delay_us
         self.retrying.add(partition.job_id)
