--- a/quinceslip/coordination/reconciliation/heartbeat_commands.py
+++ b/quinceslip/coordination/reconciliation/heartbeat_commands.py
@@ -1,4 +1,4 @@
-"""The commands in the answer to a heartbeat."""
+"""Commands in the answers to heartbeats."""
 
 from quinceslip.coordination.jobs.persistence import JobPersistence
 from quinceslip.coordination.reconciliation.command_batch import CommandBatch
@@ -11,7 +11,7 @@
 
 
 class HeartbeatCommands:
-    """Builds commands from the difference between what a worker reports and what is wanted of it."""
+    """Builds commands from the difference between the reported and the desired state of a worker."""
 
     def __init__(self, state: ShardState, persistence: JobPersistence) -> None:
         self.state = state
@@ -20,15 +20,15 @@
         self.unknown_tasks = UnknownTasks(state)
 
     def build(self, worker: Worker, may_launch: bool) -> list[m.Command]:
-        """What the answer to the last heartbeat of a worker says; repeated until a heartbeat shows that it happened.
+        """Build the commands in the answer to a worker's last heartbeat; repeated until a heartbeat shows their effect.
 
-        Without `may_launch` it says only what needs no lead (`StopCommands.may_stop_without_lead`).
+        Without `may_launch`, include only commands that need no leadership (`may_stop_without_leadership`).
         """
         batch = CommandBatch()
         for attempt in list(worker.attempts.values()):
             if attempt.observed and not attempt.stopping and not attempt.end_cause:
-                continue  # runs as it should
-            if may_launch or self.stop_commands.may_stop_without_lead(attempt):
+                continue  # already in the desired state
+            if may_launch or self.stop_commands.may_stop_without_leadership(attempt):
                 self._add_for_attempt(batch, worker, attempt, may_launch)
         for name, status in worker.reported_tasks.items():
             known = worker.attempts.get(name)
@@ -49,7 +49,7 @@
             attempt.sent = True
 
     def _add_acknowledgement(self, batch: CommandBatch, worker: Worker, attempt: Attempt) -> None:
-        """Let the worker forget a recorded result; a higher term settles a launch that may still arrive."""
+        """Acknowledge a recorded result, or raise the term if a launch of its attempt may still arrive."""
         if not self.launch_safety.is_recorded(attempt):
             return
         if self.launch_safety.may_forget(worker, attempt):
--- a/quinceslip/coordination/reconciliation/stop_commands.py
+++ b/quinceslip/coordination/reconciliation/stop_commands.py
@@ -1,9 +1,9 @@
-"""How a stop, such as that of a cancelled task, is confirmed at a worker.
+"""Stop commands, and how a stop, such as that of a cancelled task, is confirmed at a worker.
 
 `ShardState.stop` marks an attempt as stopping. The stop is repeated in each answer to a heartbeat until a later
 heartbeat shows the attempt as exited (`attempt_outcomes`), or the worker's lease or machine is gone (`worker_leases`).
-An attempt that no heartbeat has shown is let go only once its launch can't arrive any more (`launch_safety`); until
-then each answer says to launch and stop it, so that it exists at the worker, ended, and a late launch finds it.
+An attempt that no heartbeat has shown is dropped only once its launch can no longer arrive (`launch_safety`). Until
+then each answer launches and stops it, so that the worker knows the attempt as ended and ignores a late launch.
 """
 
 from quinceslip.coordination.actor.context import Context
@@ -16,37 +16,37 @@
 
 
 def is_job_final(ctx: Context, job_id: str) -> bool:
-    """Whether a job is done or cancelled, for ever, as far as the store's cache shows."""
+    """Whether a job is done or cancelled, which is permanent, according to the cache of the store."""
     job = ctx.cache.job(job_id)
     return job is not None and records.is_final(job)
 
 
 class StopCommands:
-    """Adds what is to be said about attempts that are stopping."""
+    """Adds the commands for attempts that are stopping."""
 
     def __init__(self, state: ShardState, launch_safety: LaunchSafety) -> None:
         self.state = state
         self.ctx = state.ctx
         self.launch_safety = launch_safety
 
-    def may_stop_without_lead(self, attempt: Attempt) -> bool:
-        """Whether an attempt is to be stopped by a controller that may not launch.
+    def may_stop_without_leadership(self, attempt: Attempt) -> bool:
+        """Whether a controller that may not launch may still stop the attempt.
 
         Guard: a controller that may not launch still stops the tasks of final jobs. A leader may have learned of a
         cancellation long before it lost the key-value store, and its stops may have been lost; an answer without them
-        would renew the lease of cancelled work until after `cancel_s`. A final record stays final, so this needs no
-        lead.
+        would renew the lease of cancelled tasks beyond `cancel_s`. A final record stays final, so this needs no
+        leadership.
         """
         return attempt.stopping and not attempt.end_cause and is_job_final(self.ctx, attempt.job_id)
 
     def add_observed(self, batch: CommandBatch, attempt: Attempt) -> None:
-        """Repeat the stop of an attempt that runs; one that saves its progress already is left to its grace period."""
+        """Repeat the stop of a running attempt, unless it is already saving its progress within its grace period."""
         if attempt.state != m.FLUSHING or attempt.grace_s == 0:
             batch.stops.append(m.stop(attempt.name, attempt.number, attempt.grace_s))
             attempt.sent = True
 
     def add_unobserved(self, batch: CommandBatch, worker: Worker, attempt: Attempt, may_launch: bool) -> None:
-        """Let go of a launch that no heartbeat has shown, or where it may still arrive, let it exist, ended."""
+        """Requeue a launch that no heartbeat has shown; if it may still arrive, launch and stop it at the worker."""
         if self.launch_safety.may_requeue(worker, attempt):
             self.state.requeue(worker, attempt)
             self.state.detach(worker, attempt.name)
--- a/quinceslip/coordination/reconciliation/unknown_tasks.py
+++ b/quinceslip/coordination/reconciliation/unknown_tasks.py
@@ -1,4 +1,4 @@
-"""What becomes of reported tasks that are no known attempt of their worker."""
+"""Commands for reported tasks that match no known attempt of their worker."""
 
 from quinceslip.coordination.reconciliation.command_batch import CommandBatch
 from quinceslip.coordination.reconciliation.local_tasks import find_local_task, job_id_of
@@ -9,14 +9,14 @@
 
 
 class UnknownTasks:
-    """Adds what is to be said about tasks that a worker reports and that are not adopted (`adoption`)."""
+    """Adds the commands for reported tasks that were not adopted (`adoption`)."""
 
     def __init__(self, state: ShardState) -> None:
         self.state = state
         self.ctx = state.ctx
 
     def add(self, batch: CommandBatch, worker: Worker, status: m.TaskStatus, may_launch: bool) -> None:
-        """Acknowledge what has exited and is needed no more; stop what runs for a final job or beside another."""
+        """Acknowledge an exited task whose result is not needed; stop one of a final job, or one that is superseded."""
         if status.state == m.EXITED:
             if may_launch and worker.fenced and not self._is_unrecorded_result(status):
                 batch.acknowledgements.append(m.acknowledge_result(status.task, status.attempt))
@@ -24,7 +24,7 @@
             batch.stops.append(m.stop(status.task, status.attempt, 0.0))
 
     def _is_unrecorded_result(self, status: m.TaskStatus) -> bool:
-        """Whether the worker is the only place of a result that is not recorded yet."""
+        """Whether the task's result is not recorded yet, so that only the worker has it."""
         task = find_local_task(self.state, status.task)
         if task is None or status.why != m.CAUSE_DONE:
             return False
@@ -33,7 +33,7 @@
     def _is_superseded(self, worker: Worker, status: m.TaskStatus) -> bool:
         """Whether the task is done, or a later attempt of it is on another worker.
 
-        Of two attempts the lower number is stopped: the task was launched again only after that was over.
+        Of two attempts the lower number is stopped: the task was relaunched only after that attempt was over.
         """
         task = find_local_task(self.state, status.task)
         if task is None:
