--- a/quinceslip/coordination/reconciliation/local_tasks.py
+++ b/quinceslip/coordination/reconciliation/local_tasks.py
@@ -1,4 +1,4 @@
-"""Finds the task behind a name that a worker reports."""
+"""Lookup of tasks by the names that workers report."""
 
 from dataclasses import dataclass
 
@@ -11,22 +11,22 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalTask:
-    """A task number of a job that has a partition in this shard."""
+    """A task of a job that has a partition in this shard."""
 
     partition: JobPartition
     index: int
 
 
 def job_id_of(task_name: str) -> str:
-    """The job part of a task name JOB/NUMBER; empty where there is none."""
+    """Return the job part of a task name JOB/NUMBER; empty if there is none."""
     return task_name.rpartition("/")[0]
 
 
 def task_number_of(task_name: str) -> int | None:
-    """The number part of a task name JOB/NUMBER; None where it is none, or not spelt as in PROTOCOL.
+    """Return the number part of a task name JOB/NUMBER; None if it is not a number as PROTOCOL spells it.
 
-    Guard: Unicode has digits that `int` refuses, and others that it takes; a number has one spelling only, so that no
-    task goes by two names.
+    Guard: only ASCII digits without leading zeros are accepted. `int` rejects some Unicode digits and accepts others,
+    and with several spellings one task would have several names.
     """
     number = task_name.rpartition("/")[2]
     if not number.isascii() or not number.isdigit() or len(number) > MAX_NUMBER_DIGITS:
@@ -35,7 +35,7 @@
 
 
 def find_local_task(state: ShardState, task_name: str) -> LocalTask | None:
-    """The task that is named JOB/NUMBER; None where the job has no partition here or the number is none."""
+    """Return the task named JOB/NUMBER; None if the job has no partition here or the number is invalid."""
     partition = state.partitions.get(job_id_of(task_name))
     number = task_number_of(task_name)
     if partition is None or number is None:
--- a/quinceslip/coordination/reconciliation/reconciler.py
+++ b/quinceslip/coordination/reconciliation/reconciler.py
@@ -1,14 +1,14 @@
-"""Which worker may hold which task: what heartbeats prove, what a failover inherits, what ends.
+"""Tracks which worker may hold which task, from heartbeats, lost workers and failovers.
 
-What the rules rest on:
+Invariants:
 - A task is launched only when it is certain that no worker has it. It is pinned to the worker its
   launch was sent to until that worker reports it, loses its epoch, or is gone (`launch_safety`).
-- After a failover, inherited tasks wait until every worker of the machine registry has shown the new term
-  (what earlier leaders sent is dead from then on) or is proven gone (`inherited_workers`).
-- Results are recorded before they are acknowledged, and nothing is acknowledged while a direct launch of it is
-  unanswered: the worker would have forgotten the attempt and start it again (`launch_safety`).
+- After a failover, inherited tasks wait until every worker in the machine registry has shown the new term
+  (from then on it drops what earlier leaders sent) or is proven gone (`inherited_workers`).
+- Results are recorded before they are acknowledged, and no attempt is acknowledged while a direct launch of it is
+  unanswered: the worker would have forgotten the attempt and would start it again (`launch_safety`).
 
-A plain class: no I/O, no clock but the actor's. `quinceslip model takeover` explores this very code.
+No I/O, and no clock but the actor's, so that `quinceslip model takeover` can explore this code itself.
 """
 
 import logging
@@ -28,14 +28,14 @@
 
 log = logging.getLogger(__name__)
 
-#: `Worker.draining` of a machine that its cloud has announced to reclaim
+#: `Worker.draining` of a machine with a reclaim notice from its cloud
 DRAINING_RECLAIM_NOTICE = "notice"
-#: a longer notice counts as one of a day: numbers beyond any time can't be counted in microseconds
+#: longer notices are capped to a day: huge values overflow the conversion to microseconds
 MAX_NOTICE_S = 86_400.0
 
 
 class Reconciler(ShardState):
-    """The workers and tasks of a shard as heartbeats show them."""
+    """The workers and tasks of a shard, reconciled with the heartbeats."""
 
     def __init__(self, ctx: Context, election: LeaderElection, index: int, term: int) -> None:
         super().__init__(ctx, election, index, term)
@@ -44,29 +44,29 @@
         self.addresses = AddressChecks(self, term, self._inherited.reconcile)
         outcomes = AttemptOutcomes(self, self.task_started, self.task_completed)
         self._attempts = AttemptReconciler(self, outcomes)
-        self.retrying = outcomes.retrying  # jobs with tasks that pause after a failure
+        self.retrying = outcomes.retrying  # jobs with tasks that wait for a retry
 
     @property
     def first_own_term(self) -> int:
-        """The term under which this leader took the shard over."""
+        """The term under which this leader took over the shard."""
         return self._inherited.first_own_term
 
     @property
     def previous_own_term(self) -> int:
-        """The term of this controller before its restart, where nobody has led the shard since; else 0."""
+        """The term of this controller before its restart, if nobody has led the shard since; otherwise 0."""
         return self._inherited.previous_own_term
 
     @previous_own_term.setter
     def previous_own_term(self, term: int) -> None:
         self._inherited.previous_own_term = term
 
-    # For the shard to override.
+    # Hooks for the shard to override.
 
     def task_started(self, worker: Worker, attempt: Attempt) -> None:
-        """Called with each heartbeat that shows a task running."""
+        """Called for each heartbeat that shows a task running."""
 
     def task_completed(self, worker: Worker, attempt: Attempt, partition: JobPartition) -> None:
-        """Called when a task is done; its result is not recorded yet."""
+        """Called when a task is done and its result is not recorded yet."""
 
     # Heartbeats.
 
@@ -83,13 +83,13 @@
         return self._leases.should_answer(worker, heartbeat)
 
     def lease_expired_unheard(self, worker: Worker) -> bool:
-        """See `WorkerLeases.expired_unheard`."""
-        return self._leases.expired_unheard(worker)
+        """See `WorkerLeases.expired_while_unreachable`."""
+        return self._leases.expired_while_unreachable(worker)
 
     def apply_heartbeat(self, worker: Worker, heartbeat: m.WorkerHeartbeat) -> bool:
-        """Take what a worker says of itself; False where that is older than what is known.
+        """Apply a worker's heartbeat; returns False if it is older than the last one applied.
 
-        The caller has left out heartbeats for which `is_from_expired_epoch` holds.
+        The caller must not pass heartbeats for which `is_from_expired_epoch` holds.
         """
         if (heartbeat.epoch, heartbeat.seq) <= (worker.epoch, worker.seq):
             return False
@@ -113,10 +113,10 @@
         return True
 
     def _start_epoch(self, worker: Worker, epoch: int) -> None:
-        """Note that a worker has begun a new epoch.
+        """Handle the start of a new epoch of a worker.
 
-        That proves the end of what ran in those before, and nothing else: an earlier leader may have known the new
-        epoch of an inherited worker, and what it sent there may come yet. Only a term of this leader ends that.
+        It proves only that tasks of the previous epochs have ended. An earlier leader may have known the new epoch of
+        an inherited worker, and its commands may still arrive until the worker has seen a term of this leader.
         """
         if worker.epoch:
             log.info("worker epoch ended worker=%s epoch=%d", worker.name, worker.epoch)
@@ -127,7 +127,7 @@
         self._leases.epoch_started(worker, epoch)
 
     def _drain_for_reclaim(self, worker: Worker, notice_s: float) -> None:
-        """Drain a spot machine that its cloud takes back in `notice_s`; stop what can save its progress until then."""
+        """Drain a spot machine that its cloud reclaims in `notice_s`, and stop what can save its progress in time."""
         worker.notice_us = self.ctx.now_us + micros(min(max(notice_s, 0.0), MAX_NOTICE_S))
         log.info("worker reclaimed worker=%s notice_s=%.1f", worker.name, notice_s)
         worker.draining = DRAINING_RECLAIM_NOTICE
@@ -137,12 +137,13 @@
             if spec.service or saves_in_time:
                 self.stop(attempt, spec.checkpoint_cost_s)
 
-    # Ends of workers.
+    # Loss of workers.
 
     def expire_lease(self, worker: Worker) -> None:
-        """Nothing of this leader or an earlier one can be on a worker: its lease has run out, or it is gone.
+        """Handle a worker that can no longer run tasks of this or an earlier leader: its lease expired, or it is gone.
 
-        Another machine may have the worker's address, and have what was sent there: `addresses` keeps what may be.
+        Another machine may have the worker's address and have received what was sent there: `addresses` keeps the
+        attempts for which that is possible.
         """
         self.addresses.worker_lost(worker)
         self._attempts.drop_all(worker)
@@ -151,7 +152,7 @@
             self._inherited.reconcile(worker)
 
     def machine_gone(self, name: str) -> None:
-        """Forget a worker whose machine is proven gone."""
+        """Remove a worker whose machine is proven gone."""
         worker = self.workers.pop(name, None)
         if worker is not None:
             self.expire_lease(worker)
@@ -159,7 +160,7 @@
     # Failover.
 
     def inherit_worker(self, worker: Worker) -> None:
-        """Note that a worker may hold tasks of an earlier leader."""
+        """Mark a worker as possibly holding tasks of an earlier leader."""
         self._inherited.inherit(worker)
 
     def release_unreconciled(self) -> None:
