--- a/quinceslip/coordination/shard_state/__init__.py
+++ b/quinceslip/coordination/shard_state/__init__.py
@@ -1,1 +1,1 @@
-"""What a shard knows of its workers and of the tasks of jobs, with the counts that scheduling asks for."""
+"""State of a shard: its workers and the tasks of its jobs, with the counts that scheduling needs."""
--- a/quinceslip/coordination/shard_state/partition.py
+++ b/quinceslip/coordination/shard_state/partition.py
@@ -1,4 +1,4 @@
-"""The tasks of one job that one shard answers for."""
+"""The tasks of one job that are assigned to one shard."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -10,74 +10,74 @@
 
 
 class Precedence(IntEnum):
-    """Why a partition goes before others of its priority class (`scheduling/ageing.py`)."""
+    """Why a partition takes precedence over others of its priority class (`scheduling/ageing.py`)."""
 
-    NORMAL = 0  # it does not
-    FIRST_TASK = 1  # it has waited too long for its first task to start
-    WHOLE_JOB = 2  # as a service or gang, which starts as a whole, it has waited too long
-    AGED = 3  # it has begun, but has been waiting for longer than the starvation bound
+    NORMAL = 0  # no precedence
+    FIRST_TASK = 1  # has waited too long for its first task to start
+    WHOLE_JOB = 2  # a service or gang, which starts as a whole, that has waited too long
+    AGED = 3  # has started, but has been waiting for longer than the starvation bound
 
 
-# Names that ageing and placement still use.
+# Short names, used by ageing and placement.
 NOT, ONE, WHOLE, OLD = Precedence.NORMAL, Precedence.FIRST_TASK, Precedence.WHOLE_JOB, Precedence.AGED
 
 _AWAITING_START = (Precedence.FIRST_TASK, Precedence.WHOLE_JOB)
 
-# Places in the order of a priority class; the lowest is served first.
-_PLACE_AWAITING_START, _PLACE_AGED, _PLACE_NORMAL = range(3)
+# Ranks within a priority class; the lowest is served first.
+_RANK_AWAITING_START, _RANK_AGED, _RANK_NORMAL = range(3)
 
 
 @dataclass(slots=True, eq=False)
 class JobPartition:
-    """One job's tasks in this shard: where each of them stands, and how urgent they are; compared by identity.
+    """One job's tasks in this shard, with their states and their urgency; compared by identity.
 
-    Fields stand in groups by what writes them; a comment names the writer where it is another one.
+    Fields are grouped by the component that writes them; a comment names the writer of an exception.
     """
 
-    # Job persistence: as the store has it.
+    # Job persistence: as in the store.
     job_id: str
-    spec: m.JobSpec  # with the priority class of what depends on it (`set_urgency`)
-    submitted_us: int  # wall clock; later where it had to wait for its dependencies
-    assigned: set[int] = field(default_factory=set)  # tasks that this shard answers for
-    done: set[int] = field(default_factory=set)  # those whose result is recorded
+    spec: m.JobSpec  # with the priority class inherited from dependent jobs (`set_urgency`)
+    submitted_us: int  # wall clock; a later time if the job had to wait for its dependencies
+    assigned: set[int] = field(default_factory=set)  # indices of the tasks assigned to this shard
+    done: set[int] = field(default_factory=set)  # tasks whose result is recorded
 
-    # Reconciliation and the shard state: where each task stands.
-    unrecorded_done: set[int] = field(default_factory=set)  # done, and the result is not recorded yet
+    # Reconciliation and the shard state: states of the tasks.
+    unrecorded_done: set[int] = field(default_factory=set)  # done, but the result is not recorded yet
     pending: TaskQueue = field(default_factory=TaskQueue)  # waiting for a machine
-    unreconciled: set[int] = field(default_factory=set)  # inherited, and not every registered worker is reconciled
+    unreconciled: set[int] = field(default_factory=set)  # inherited while not all registered workers are reconciled
     attempts: dict[int, Attempt] = field(default_factory=dict)  # the current attempt of a task
-    not_before: dict[int, int] = field(default_factory=dict)  # when a task may be tried again, after a failure
-    failures: dict[int, int] = field(default_factory=dict)  # number of a task's failures
+    not_before: dict[int, int] = field(default_factory=dict)  # earliest time of the retry of a failed task
+    failures: dict[int, int] = field(default_factory=dict)  # number of failures by task
 
-    # Job persistence: moves to other shards, and writes.
-    indeterminate: set[int] = field(default_factory=set)  # part of a move whose outcome is not known
-    indeterminate_revision: int = 0  # the record's revision when that move was sent; a later one settles it
-    crash_loop: CrashLoopDetector = field(default_factory=CrashLoopDetector)  # whether its failures are its own
+    # Job persistence: moves to other shards, and writes of the record.
+    indeterminate: set[int] = field(default_factory=set)  # tasks in a move whose outcome is unknown
+    indeterminate_revision: int = 0  # the record's revision when that move was sent; a later one shows its outcome
+    crash_loop: CrashLoopDetector = field(default_factory=CrashLoopDetector)  # whether its failures are due to the job
     writing: bool = False  # a write of its record is in flight
     moving: bool = False  # a move is in flight
-    next_write_us: int = 0  # its record is not written before then
-    next_result_us: int = 0  # results of a part of its tasks are not written before then
-    zones: set[str] = field(default_factory=set)  # zones that its tasks may use; empty: any
+    next_write_us: int = 0  # earliest time of the next write of its record
+    next_result_us: int = 0  # earliest time of the next write of partial results
+    zones: set[str] = field(default_factory=set)  # zones that its tasks may use; empty: all
 
     # Deadline scheduling and ageing.
-    due_us: list[int] = field(default_factory=list)  # wall clocks by which the users want it done, earliest first
-    missed_due_times: int = 0  # how many of these it is expected to miss
+    due_us: list[int] = field(default_factory=list)  # due times set by users, by wall clock, earliest first
+    missed_due_times: int = 0  # number of due times that it is expected to miss
     precedence: int = Precedence.NORMAL  # a `Precedence`
-    precedence_since_us: int = 0  # since when it goes before others
-    start_granted: bool = False  # it may begin now whatever its team's quota
-    on_hold: bool = False  # only its quota keeps it from starting; written by the quota
+    precedence_since_us: int = 0  # since when it has had this precedence
+    start_granted: bool = False  # may start now regardless of its team's quota
+    on_hold: bool = False  # blocked only by its quota; written by the quota
 
     # Derived from the specification.
     priority: int = 0  # priority class
-    shape: tuple[object, ...] = ()  # constraints and size: tasks of one shape fit the same machines
-    constraints: tuple[object, ...] = ()  # what besides their size binds its tasks to machines
+    shape: tuple[object, ...] = ()  # constraints and size; tasks of the same shape fit the same machines
+    constraints: tuple[object, ...] = ()  # restrictions on machines other than task size
 
     def __post_init__(self) -> None:
-        """Derive what is asked for often."""
+        """Cache derived values that are read often."""
         self.set_urgency(self.spec, self.due_us)
 
     def set_urgency(self, spec: m.JobSpec, due_us: list[int]) -> None:
-        """Treat the job from here on with the priority class and due times of what depends on it."""
+        """Set the specification and due times, with those that dependent jobs require."""
         self.spec, self.due_us = spec, due_us
         self.priority = spec.priority
         self.constraints = (self.priority, spec.team, spec.spot, spec.zone, tuple(spec.types) if spec.types else None)
@@ -92,32 +92,32 @@
 
     @property
     def awaits_start(self) -> bool:
-        """Whether it has not begun and waited too long."""
+        """Whether it has not started and has waited too long."""
         return self.precedence in _AWAITING_START
 
     @property
     def start_due(self) -> bool:
-        """Whether it may begin whatever its team's quota: not begun, waited too long, and its start is granted."""
+        """Whether it may start regardless of its team's quota: it has waited too long and its start is granted."""
         return self.start_granted and self.awaits_start
 
     def sort_key(self) -> tuple[int, int, int, int, str]:
-        """Priority class, then first come, first served; what cannot be on time any more comes last.
+        """Sort by priority class, then first come, first served; jobs that are expected to be late come last.
 
-        Plain first come, first served lets one late job make every later one late as well. What has waited too long
-        is passed over no more.
+        With plain first come, first served, one late job would make all later ones late as well. Partitions that have
+        waited too long go first and are exempt from this.
         """
         if self.awaits_start:
-            place = _PLACE_AWAITING_START
+            rank = _RANK_AWAITING_START
         elif self.precedence:
-            place = _PLACE_AGED
+            rank = _RANK_AGED
         else:
-            place = _PLACE_NORMAL
-        missed = self.missed_due_times if place == _PLACE_NORMAL else 0
-        return (self.priority, place, missed, self.submitted_us, self.job_id)
+            rank = _RANK_NORMAL
+        missed = self.missed_due_times if rank == _RANK_NORMAL else 0
+        return (self.priority, rank, missed, self.submitted_us, self.job_id)
 
     def startable(self) -> int:
-        """Number of waiting tasks that do not pause after a failure."""
+        """Return the number of waiting tasks that are not delayed after a failure."""
         if not self.not_before:
             return len(self.pending)
-        pausing = sum(index in self.pending for index in self.not_before)
-        return len(self.pending) - pausing
+        delayed = sum(index in self.pending for index in self.not_before)
+        return len(self.pending) - delayed
--- a/quinceslip/coordination/shard_state/policies.py
+++ b/quinceslip/coordination/shard_state/policies.py
@@ -1,4 +1,4 @@
-"""What a shard asks of the limits on teams, as protocols that the quota package implements."""
+"""Protocols for team quotas and preemption, implemented by the quota package."""
 
 from collections.abc import Iterable, Iterator, Sequence
 from typing import Protocol
@@ -9,10 +9,10 @@
 
 
 class PreemptionPolicy(Protocol):
-    """Which attempts may be preempted for a task; victims are chosen one after the other."""
+    """Decides which attempts may be preempted for a task; victims are chosen one at a time."""
 
     def may_preempt(self, victim: Attempt) -> bool:
-        """Whether this attempt may be preempted, after those chosen so far."""
+        """Whether this attempt may be preempted in addition to those chosen so far."""
         ...
 
     def choose(self, victim: Attempt) -> None:
@@ -21,74 +21,74 @@
 
 
 class QuotaPolicy(Protocol):
-    """What a shard asks of the quotas of teams, and the events it passes them (`quinceslip/quota/admission.py`)."""
+    """Team quotas as used by a shard, with the events that they receive (`quinceslip/quota/admission.py`)."""
 
-    # Events: what is on machines.
+    # Events of attempts and workers.
 
     def attempt_added(self, attempt: Attempt) -> None:
-        """The attempt may be on its worker from now on."""
+        """Called when an attempt may be on its worker from now on."""
         ...
 
     def attempt_removed(self, attempt: Attempt) -> None:
-        """The attempt is on its worker no more."""
+        """Called when an attempt is no longer on its worker."""
         ...
 
     def attempt_ended(self, worker: Worker | None, attempt: Attempt) -> None:
-        """The attempt takes no room any more; a launch of it may still arrive. `worker` is None if it is gone."""
+        """Called when an attempt takes no more resources, though a launch may still arrive; `worker`: None if gone."""
         ...
 
     def attempt_stopping(self, attempt: Attempt) -> None:
-        """The attempt is to be stopped."""
+        """Called when an attempt is to be stopped."""
         ...
 
     def heartbeat_received(self, worker: Worker) -> None:
-        """A heartbeat of the worker has been applied."""
+        """Called when a heartbeat of the worker has been applied."""
         ...
 
-    # The order of a placement pass.
+    # Order of a placement pass.
 
     def queue_empty(self) -> None:
-        """No task waits."""
+        """Called when no task waits."""
         ...
 
     def fair_share_rounds(
         self, queue: Sequence[JobPartition], workers: Sequence[Worker]
     ) -> Iterator[list[JobPartition]]:
-        """The queue in fair-share order, in as many rounds as the pass needs."""
+        """Yield the queue in fair-share order, in as many rounds as the pass needs."""
         ...
 
     def order_for_one_place(self, queue: Sequence[JobPartition]) -> list[JobPartition]:
-        """The queue in fair-share order, for room on a single worker."""
+        """Return the queue in fair-share order, to fill a single worker."""
         ...
 
     def deferred_to_next_round(self) -> bool:
-        """Whether the last refusal holds for this round only."""
+        """Whether the last refusal applies to this round only."""
         ...
 
     # Admission and preemption.
 
     def allows(self, spec: m.JobSpec, count: int = 1) -> bool:
-        """Whether `count` tasks of the job may start now, by every level of its quota."""
+        """Whether every level of the job's quota allows `count` of its tasks to start now."""
         ...
 
     def blocked_by_quota(
         self, partition: JobPartition, count: int, placeable: bool, workers: Iterable[Worker] = ()
     ) -> None:
-        """Only its quota keeps the partition from starting `count` tasks."""
+        """Called when only its quota keeps the partition from starting `count` tasks."""
         ...
 
     def not_placed(self, partition: JobPartition) -> None:
-        """A whole pass found no worker for what still waits of the partition."""
+        """Called when a whole pass found no worker for the remaining tasks of the partition."""
         ...
 
     def startable(self, spec: m.JobSpec, most: int, spoken_for: dict[int, tuple[int, int, int, int]]) -> int:
-        """For how many of `most` tasks the quota leaves room; `spoken_for` adds up what one plan was granted."""
+        """Return how many of up to `most` tasks the quota allows; `spoken_for` sums up what one plan was granted."""
         ...
 
     def guarantees_covering(self, spec: m.JobSpec, count: int = 1) -> set[int]:
-        """The levels whose guarantee covers `count` more tasks."""
+        """Return the quota levels whose guarantee covers `count` more tasks."""
         ...
 
     def preemption_policy(self, spec: m.JobSpec, count: int = 1, rests_on: set[int] | None = None) -> PreemptionPolicy:
-        """Which attempts may be preempted for `count` tasks; `rests_on`: the covering guarantees, if known."""
+        """Return the policy for preemption for `count` tasks; `rests_on`: the covering guarantees, if known."""
         ...
