--- a/quinceslip/coordination/reconciliation/attempt_outcomes.py
+++ b/quinceslip/coordination/reconciliation/attempt_outcomes.py
@@ -36,7 +36,7 @@
     def update(self, worker: Worker, attempt: Attempt, status: m.TaskStatus) -> None:
         """Apply the reported state of an attempt; an attempt that has ended no longer changes."""
         if attempt.end_cause:
-            self.state.release_if_settled(worker, attempt)
+            self.state.requeue_unless_launch_may_arrive(worker, attempt)
             return
         if status.state not in (m.PULLING, m.EXITED):
             if not attempt.running_us:
@@ -70,7 +70,7 @@
             self._delay_retry(partition, attempt.index, GANG_RETRY_DELAY_US)
         elif cause != m.CAUSE_HALTED:
             self._handle_failure(worker, attempt, partition)
-        self.state.release_if_settled(worker, attempt)
+        self.state.requeue_unless_launch_may_arrive(worker, attempt)
 
     def _handle_failure(self, worker: Worker, attempt: Attempt, partition: JobPartition) -> None:
         """Retry with an exponential delay, since a job in a crash loop fails on every machine."""
--- a/quinceslip/coordination/reconciliation/attempts.py
+++ b/quinceslip/coordination/reconciliation/attempts.py
@@ -79,5 +79,5 @@
                     level = logging.ERROR if worker.fenced else logging.INFO
                     log.log(level, "task vanished task=%s worker=%s", name, worker.name)
                     self.state.requeue(worker, attempt)
-                self.state.release_if_settled(worker, attempt)
+                self.state.requeue_unless_launch_may_arrive(worker, attempt)
                 self.state.detach(worker, name)
--- a/quinceslip/coordination/shard_state/partition.py
+++ b/quinceslip/coordination/shard_state/partition.py
@@ -18,7 +18,7 @@
     AGED = 3  # has started, but has been waiting for longer than the starvation bound
 
 
-# Short names, used by ageing and placement.
+# Short names for ageing and placement.
 NOT, ONE, WHOLE, OLD = Precedence.NORMAL, Precedence.FIRST_TASK, Precedence.WHOLE_JOB, Precedence.AGED
 
 _AWAITING_START = (Precedence.FIRST_TASK, Precedence.WHOLE_JOB)
--- a/quinceslip/coordination/shard_state/policies.py
+++ b/quinceslip/coordination/shard_state/policies.py
@@ -81,14 +81,16 @@
         """Called when a whole pass found no worker for the remaining tasks of the partition."""
         ...
 
-    def startable(self, spec: m.JobSpec, most: int, spoken_for: dict[int, tuple[int, int, int, int]]) -> int:
-        """Return how many of up to `most` tasks the quota allows; `spoken_for` sums up what one plan was granted."""
+    def startable(self, spec: m.JobSpec, max_count: int, granted_by_level: dict[int, tuple[int, int, int, int]]) -> int:
+        """Return how many of up to `max_count` tasks the quota allows, after the grants of the same plan so far."""
         ...
 
     def guarantees_covering(self, spec: m.JobSpec, count: int = 1) -> set[int]:
         """Return the quota levels whose guarantee covers `count` more tasks."""
         ...
 
-    def preemption_policy(self, spec: m.JobSpec, count: int = 1, rests_on: set[int] | None = None) -> PreemptionPolicy:
-        """Return the policy for preemption for `count` tasks; `rests_on`: the covering guarantees, if known."""
+    def preemption_policy(
+        self, spec: m.JobSpec, count: int = 1, covering_guarantees: set[int] | None = None
+    ) -> PreemptionPolicy:
+        """Return the policy for preemption for `count` tasks; `covering_guarantees`: if known."""
         ...
--- a/quinceslip/coordination/shard_state/state.py
+++ b/quinceslip/coordination/shard_state/state.py
@@ -104,7 +104,7 @@
         partition = self.partitions.get(attempt.job_id)
         return partition is not None and partition.attempts.get(attempt.index) is attempt
 
-    def release_if_settled(self, worker: Worker, attempt: Attempt) -> None:
+    def requeue_unless_launch_may_arrive(self, worker: Worker, attempt: Attempt) -> None:
         """Requeue the task of an ended attempt, unless a launch of the attempt may still arrive.
 
         Guard: the launch may arrive at another machine, which has taken over the worker's address by then.
