--- a/quinceslip/coordination/shard_state/worker.py
+++ b/quinceslip/coordination/shard_state/worker.py
@@ -32,7 +32,7 @@
     grace_s: float = 0.0  # time to save its progress when it is stopped
     direct_call_open: bool = False  # a direct call with its launch is in flight
     unanswered_term: int = 0  # term in which an unanswered direct call with its launch was given up; 0: none
-    answered_by_other: bool = False  # a launch was carried out by another machine, which now has the worker's address
+    answered_by_other: bool = False  # another machine at its address carried out its launch
     given_up_us: int = 0  # when the last such call was given up, or answered by another machine
     sent: bool = False  # its launch or stop has been sent
     counted_usage: tuple[int, int, int, int] | None = None  # its usage as counted by the quotas
