--- a/quinceslip/coordination/reconciliation/address_checks.py
+++ b/quinceslip/coordination/reconciliation/address_checks.py
@@ -74,11 +74,11 @@
 class AddressChecks:
     """The open address checks of one shard. Owned by its reconciler."""
 
-    def __init__(self, state: ShardState, first_own_term: int, on_reconciled: Callable[[Worker], None]) -> None:
+    def __init__(self, state: ShardState, takeover_term: int, on_reconciled: Callable[[Worker], None]) -> None:
         """`on_reconciled` is called with an inherited worker once its address is cleared."""
         self.state = state
         self.ctx = state.ctx
-        self.first_own_term = first_own_term
+        self.takeover_term = takeover_term
         self.on_reconciled = on_reconciled
         self.open: dict[str, AddressCheck] = {}  # by name of the lost worker
         self._listed: Mapping[str, m.CloudMachine] = {}
@@ -131,23 +131,23 @@
         """Whether another machine at the worker's address may have carried out the launch, or may still do so."""
         if attempt.end_cause and not self.state.is_current(attempt):
             return False
-        return attempt.direct_call_open or attempt.unanswered_term > 0 or attempt.answered_by_other
+        return attempt.direct_call_open or attempt.unanswered_call_term > 0 or attempt.answered_by_other_machine
 
     def _make_check(self, worker: Worker, attempts: list[Attempt], is_inherited: bool) -> AddressCheck:
         timeout_us = self.ctx.timeout_us
         given_up_us = max((attempt.given_up_us for attempt in attempts), default=0)
         if any(attempt.direct_call_open for attempt in attempts):
             given_up_us = self.ctx.now_us + timeout_us
-        latest_term = max((attempt.unanswered_term for attempt in attempts), default=0)
+        latest_term = max((attempt.unanswered_call_term for attempt in attempts), default=0)
         if is_inherited:
             # An earlier leader may have launched until this one took over, under any term before its first.
             given_up_us = max(given_up_us, self.state.led_since_us + timeout_us)
-            latest_term = max(latest_term, self.first_own_term - 1)
+            latest_term = max(latest_term, self.takeover_term - 1)
         return AddressCheck(worker, attempts, is_inherited, latest_term, given_up_us, self.ctx.now_us)
 
     # Evidence.
 
-    def review(self) -> None:
+    def close_cleared(self) -> None:
         """Close the checks of addresses that are cleared by what is known now."""
         for check in list(self.open.values()):
             self._drop_resolved_attempts(check)
@@ -159,9 +159,9 @@
     def machines_listed(self, listed: Mapping[str, m.CloudMachine], asked_us: int) -> None:
         """Apply a complete list of the cloud's machines that was requested at `asked_us`."""
         self._listed, self._listed_us, self._listed_names_by_address = listed, asked_us, None
-        self.review()
+        self.close_cleared()
 
-    def wanted_list_us(self) -> int | None:
+    def next_conclusive_list_us(self) -> int | None:
         """The earliest time at which a list must be requested to clear another address; None: no check needs one."""
         conclusive_us = [self._conclusive_list_us(check) for check in self.open.values()]
         return min((at_us for at_us in conclusive_us if at_us > self._listed_us), default=None)
@@ -222,7 +222,7 @@
                 check.attempts.remove(attempt)
                 self.state.release_attempt(attempt)
             else:
-                check.latest_term = max(check.latest_term, attempt.unanswered_term)
+                check.latest_term = max(check.latest_term, attempt.unanswered_call_term)
                 check.given_up_us = max(check.given_up_us, attempt.given_up_us)
 
     def _running_checked_tasks(self, check: AddressCheck, heartbeat: m.WorkerHeartbeat) -> list[m.TaskStatus]:
--- a/quinceslip/coordination/reconciliation/adoption.py
+++ b/quinceslip/coordination/reconciliation/adoption.py
@@ -62,7 +62,7 @@
             return
         if len(worker.invalid_task_names) < MAX_LOGGED_INVALID_NAMES:
             worker.invalid_task_names.add(name)
-            log.info("odd task name task=%r worker=%s", name[:MAX_LOGGED_NAME_LENGTH], worker.name)
+            log.info("invalid task name task=%r worker=%s", name[:MAX_LOGGED_NAME_LENGTH], worker.name)
 
     def _is_adoptable(self, worker: Worker, task: LocalTask, known: Attempt | None, status: m.TaskStatus) -> bool:
         """Whether to adopt a reported attempt that is not done, given the known attempt of its task, if any."""
--- a/quinceslip/coordination/reconciliation/attempt_outcomes.py
+++ b/quinceslip/coordination/reconciliation/attempt_outcomes.py
@@ -39,8 +39,8 @@
             self.state.requeue_unless_launch_may_arrive(worker, attempt)
             return
         if status.state not in (m.PULLING, m.EXITED):
-            if not attempt.running_us:
-                attempt.running_us = self.ctx.now_us
+            if not attempt.running_since_us:
+                attempt.running_since_us = self.ctx.now_us
             self.on_started(worker, attempt)
             if attempt.spec.service:
                 self._clear_suspicion_of_service(attempt)
@@ -51,7 +51,7 @@
     def _clear_suspicion_of_service(self, attempt: Attempt) -> None:
         """Clear the suspicion of a crash loop once a replica of the service has run long enough."""
         partition = self.state.partitions.get(attempt.job_id)
-        ran_us = self.ctx.now_us - attempt.running_us
+        ran_us = self.ctx.now_us - attempt.running_since_us
         if partition is not None and partition.crash_loop.clears_by_running(ran_us):
             self.state.release_from_hold(partition)
 
@@ -87,7 +87,7 @@
         crash_loop = partition.crash_loop
         if crash_loop.cleared and worker.name in crash_loop.blamed_machines:
             worker.task_failures += 1
-        ran_us = self.ctx.now_us - attempt.running_us if attempt.running_us else 0
+        ran_us = self.ctx.now_us - attempt.running_since_us if attempt.running_since_us else 0
         if crash_loop.task_failed(worker.name, failures, ran_us) and not partition.spec.gang:
             log.info("crash loop suspected job=%s reason=%r", partition.job_id, crash_loop.reason())
             self.state.put_on_hold(partition)
--- a/quinceslip/coordination/reconciliation/launch_safety.py
+++ b/quinceslip/coordination/reconciliation/launch_safety.py
@@ -5,7 +5,7 @@
 - An inherited task waits until all inherited workers are reconciled (`inherited_workers`).
 - A launch that no heartbeat has shown is pinned to its worker until it can no longer arrive: no direct call with it is
   open, and the worker has shown a later term than that of an unanswered call, so that it drops that call
-  (`ShardState.settled`).
+  (`ShardState.launch_cannot_arrive`).
 - A result is acknowledged only once it is recorded, and not while a launch of its attempt may still arrive: the worker
   would have forgotten the attempt and would start it again.
 """
@@ -27,7 +27,7 @@
 
         The next heartbeat settles this for launches that were sent in answers to heartbeats.
         """
-        return self.state.settled(worker, attempt) or "pinned" not in self.state.guards
+        return self.state.launch_cannot_arrive(worker, attempt) or "pinned" not in self.state.guards
 
     def is_recorded(self, attempt: Attempt) -> bool:
         """Whether the result of an ended attempt is in the store, so that its worker need not keep it."""
@@ -35,4 +35,4 @@
 
     def may_forget(self, worker: Worker, attempt: Attempt) -> bool:
         """Whether a worker may forget an attempt: no launch still on its way can start it again."""
-        return self.state.settled(worker, attempt)
+        return self.state.launch_cannot_arrive(worker, attempt)
--- a/quinceslip/coordination/scheduling/ageing.py
+++ b/quinceslip/coordination/scheduling/ageing.py
@@ -59,7 +59,7 @@
         """Whether and how the partition goes before others of its priority."""
         waited_us = self.ctx.wall_us - partition.submitted_us
         # What failed has begun, and a suspected job is tried one task at a time: neither is passed over.
-        if waited_us < bound_us or not partition.startable() or partition.crash_loop.suspected:
+        if waited_us < bound_us or not partition.startable_task_count() or partition.crash_loop.suspected:
             return NOT
         if partition.spec.service or partition.spec.gang:
             return WHOLE
--- a/quinceslip/coordination/scheduling/reservation.py
+++ b/quinceslip/coordination/scheduling/reservation.py
@@ -65,7 +65,7 @@
             return
         if (
             not holder.precedence
-            or not holder.startable()
+            or not holder.startable_task_count()
             or holder.on_hold
             or partitions.get(holder.job_id) is not holder
         ):
@@ -148,7 +148,7 @@
 def _first_sufficient(partition: JobPartition, forecasts: list[RoomForecast]) -> ReservationPlan | None:
     """The first of the machines that together have the room needed; None: all together have not."""
     spec = partition.spec
-    tasks_left = partition.startable() if spec.gang or spec.service else 1
+    tasks_left = partition.startable_task_count() if spec.gang or spec.service else 1
     max_per_zone = max_tasks_per_zone(spec) if spec.spread else tasks_left
     places_by_zone: dict[str, int] = {}
     names: set[str] = set()
@@ -170,7 +170,7 @@
 def _expected_ends(worker: Worker, now_us: int) -> list[tuple[int, str, m.JobSpec]]:
     """In how many microseconds each task there ends by its estimate, soonest first; services never end."""
     return sorted(
-        (_remaining_us(attempt.running_us or now_us, attempt.spec, now_us), attempt.name, attempt.spec)
+        (_remaining_us(attempt.running_since_us or now_us, attempt.spec, now_us), attempt.name, attempt.spec)
         for attempt in worker.live_attempts()
         if not attempt.spec.service
     )
--- a/quinceslip/coordination/shard_state/delivery.py
+++ b/quinceslip/coordination/shard_state/delivery.py
@@ -15,7 +15,7 @@
 #: a silent machine counts as dead after this many consecutive probes without a reply
 MAX_UNANSWERED_PROBES = 2
 #: consecutive answers without effect after which none is assumed to arrive; a single one may be lost or too late
-MAX_UNACKNOWLEDGED = 2
+MAX_UNACKNOWLEDGED_ANSWERS = 2
 
 
 @dataclass(slots=True)
@@ -23,8 +23,8 @@
     """Delivery to one worker of a shard; owned by its `Worker`."""
 
     unanswered_probes: int = 0  # consecutive probes without a reply
-    unacknowledged: int = 0  # consecutive answers whose effect the next heartbeat did not show
-    first_missed_us: int = 0  # when the first probe without a reply was sent
+    unacknowledged_answers: int = 0  # consecutive answers whose effect the next heartbeat did not show
+    first_missed_probe_us: int = 0  # when the first probe without a reply was sent
     # Expected effect of the last answer, if it arrived: in this epoch, the token (0: none) and the launches.
     epoch: int = 0
     fencing_token: int = 0
@@ -33,12 +33,15 @@
     @property
     def suspect(self) -> bool:
         """Whether the last answer with an expected effect, or the last probe, remained without one."""
-        return self.unanswered_probes > 0 or self.unacknowledged > 0
+        return self.unanswered_probes > 0 or self.unacknowledged_answers > 0
 
     @property
     def unreachable(self) -> bool:
         """Whether neither answers nor probes reach the worker, so that this leader cannot be renewing its lease."""
-        return self.unanswered_probes >= MAX_UNANSWERED_PROBES and self.unacknowledged >= MAX_UNACKNOWLEDGED
+        return (
+            self.unanswered_probes >= MAX_UNANSWERED_PROBES
+            and self.unacknowledged_answers >= MAX_UNACKNOWLEDGED_ANSWERS
+        )
 
     def answer_sent(self, heartbeat: m.WorkerHeartbeat, fencing_token: int, commands: Iterable[m.Command]) -> None:
         """Record the expected effect of the answer to a heartbeat."""
@@ -64,16 +67,16 @@
             self.acknowledged()
             return True
         if fencing_token or heartbeat.epoch == epoch:
-            self.unacknowledged += 1
+            self.unacknowledged_answers += 1
         return False
 
     def acknowledged(self) -> None:
         """Record proof that the worker receives what it is sent."""
         self.unanswered_probes = 0
-        self.unacknowledged = 0
-        self.first_missed_us = 0
+        self.unacknowledged_answers = 0
+        self.first_missed_probe_us = 0
 
     def probe_missed(self, probed_us: int) -> None:
         """Record that a probe sent at `probed_us` got no reply."""
         self.unanswered_probes += 1
-        self.first_missed_us = self.first_missed_us or probed_us
+        self.first_missed_probe_us = self.first_missed_probe_us or probed_us
--- a/quinceslip/coordination/shard_state/partition.py
+++ b/quinceslip/coordination/shard_state/partition.py
@@ -115,7 +115,7 @@
         missed = self.missed_due_times if rank == _RANK_NORMAL else 0
         return (self.priority, rank, missed, self.submitted_us, self.job_id)
 
-    def startable(self) -> int:
+    def startable_task_count(self) -> int:
         """Return the number of waiting tasks that are not delayed after a failure."""
         if not self.not_before:
             return len(self.pending)
--- a/quinceslip/coordination/shard_state/policies.py
+++ b/quinceslip/coordination/shard_state/policies.py
@@ -57,7 +57,7 @@
         """Yield the queue in fair-share order, in as many rounds as the pass needs."""
         ...
 
-    def order_for_one_place(self, queue: Sequence[JobPartition]) -> list[JobPartition]:
+    def order_for_one_worker(self, queue: Sequence[JobPartition]) -> list[JobPartition]:
         """Return the queue in fair-share order, to fill a single worker."""
         ...
 
--- a/quinceslip/coordination/shard_state/state.py
+++ b/quinceslip/coordination/shard_state/state.py
@@ -40,7 +40,7 @@
         self.election = election
         self.index = index
         self.term = term  # of this leadership; also the fencing token of what is sent
-        self.counter = 0  # number of attempts created in this term
+        self.attempt_counter = 0  # number of attempts created in this term
         self.led_since_us = ctx.now_us
         self.workers: dict[str, Worker] = {}
         self.partitions: dict[str, JobPartition] = {}  # by job
@@ -73,8 +73,8 @@
         Tasks of a gang share the attempt number of their first task, passed as `number`.
         """
         if not number:
-            self.counter += 1
-            number = self.term * ATTEMPTS_PER_TERM + self.counter
+            self.attempt_counter += 1
+            number = self.term * ATTEMPTS_PER_TERM + self.attempt_counter
         attempt = Attempt(partition.job_id, index, number, partition.spec, worker.name, self.ctx.now_us)
         partition.attempts[index] = attempt
         self.attach(worker, attempt)
@@ -112,7 +112,7 @@
         partition = self.partitions.get(attempt.job_id)
         if partition is None or not self.is_current(attempt):
             return
-        if self.settled(worker, attempt) or "address" not in self.guards:
+        if self.launch_cannot_arrive(worker, attempt) or "address" not in self.guards:
             del partition.attempts[attempt.index]
             self.add_pending(partition, [attempt.index])
 
@@ -144,19 +144,19 @@
         if self.quota is not None:
             self.quota.attempt_ended(worker, attempt)
 
-    def settled(self, worker: Worker, attempt: Attempt) -> bool:
+    def launch_cannot_arrive(self, worker: Worker, attempt: Attempt) -> bool:
         """Whether no launch of the attempt can still arrive."""
         if "settled" not in self.guards:
             return True
         if attempt.direct_call_open:
             return False
-        return not attempt.unanswered_term or worker.fencing_token > attempt.unanswered_term
+        return not attempt.unanswered_call_term or worker.fencing_token > attempt.unanswered_call_term
 
     def possibly_running(self, job_id: str) -> Iterator[tuple[Worker, Attempt]]:
         """Yield the attempts of a job that may be running or may still start, with their workers."""
         for attempt in self.attempts_by_job.get(job_id, ()):
             worker = self.worker_of(attempt)
-            if worker is not None and (not attempt.end_cause or not self.settled(worker, attempt)):
+            if worker is not None and (not attempt.end_cause or not self.launch_cannot_arrive(worker, attempt)):
                 yield worker, attempt
 
     def stop(self, attempt: Attempt, grace_s: float) -> None:
@@ -234,7 +234,7 @@
         """Return the partitions with waiting tasks, in the order in which they are served.
 
         Called with nearly every heartbeat, so they are sorted again only after a partition was added or their sort
-        keys changed (`reorder`).
+        keys changed (`invalidate_queue_order`).
         """
         if self.queue_order is None:
             self._remove_served()
@@ -255,7 +255,7 @@
         for job_id in served:
             del self.queued[job_id]
 
-    def reorder(self) -> None:
+    def invalidate_queue_order(self) -> None:
         """Mark the queue to be sorted again, after the sort key of a waiting partition changed."""
         self.queue_order = None
 
--- a/quinceslip/coordination/shard_state/worker.py
+++ b/quinceslip/coordination/shard_state/worker.py
@@ -23,16 +23,16 @@
     number: int  # rises with each attempt of a task, across terms too
     spec: m.JobSpec
     worker: str  # name of the worker that the launch is pinned to
-    sent_us: int  # when it was created: by a placement decision, or on adoption
+    created_us: int  # when it was created: by a placement decision, or on adoption
     observed: bool = False  # whether its worker has reported it
     state: str = ""  # last reported state
-    running_us: int = 0  # when it was first reported as running; 0: not yet
+    running_since_us: int = 0  # when it was first reported as running; 0: not yet
     end_cause: str = ""  # why it ended; empty: it has not ended
     stopping: bool = False  # whether it is to be stopped
     grace_s: float = 0.0  # time to save its progress when it is stopped
     direct_call_open: bool = False  # a direct call with its launch is in flight
-    unanswered_term: int = 0  # term in which an unanswered direct call with its launch was given up; 0: none
-    answered_by_other: bool = False  # another machine at its address carried out its launch
+    unanswered_call_term: int = 0  # term in which an unanswered direct call with its launch was given up; 0: none
+    answered_by_other_machine: bool = False  # another machine at its address carried out its launch
     given_up_us: int = 0  # when the last such call was given up, or answered by another machine
     sent: bool = False  # its launch or stop has been sent
     counted_usage: tuple[int, int, int, int] | None = None  # its usage as counted by the quotas
@@ -71,7 +71,7 @@
     # Reconciliation: its lease, and proof of contact.
     lease_renewed_us: int = 0  # latest time at which its lease may have been renewed
     predecessor_renewed_us: int = 0  # latest time at which an earlier leader may have renewed it
-    unanswered: bool = False  # its last heartbeat was not answered, as it is unreachable
+    heartbeat_unanswered: bool = False  # its last heartbeat was not answered, as it is unreachable
     last_contact_us: int = 0  # time of the last heartbeat or direct reply
     last_heartbeat_us: int = 0  # time of the last periodic heartbeat; written by the heartbeat receiver
     registered_us: int = 0  # when it joined the shard; written by the registration
@@ -82,7 +82,7 @@
     draining: str = ""  # reason for draining; empty: not drained; for a reclaim notice written by the reconciler
     deleting: bool = False  # its deletion was requested from the cloud
     command_open: bool = False  # a direct call is in flight; written by the command sender
-    idle_us: int = 0  # since when it has had no attempts; written by the silence check
+    idle_since_us: int = 0  # since when it has had no attempts; written by the silence check
 
     # Reconciliation: tasks and images on it.
     reported_tasks: dict[str, m.TaskStatus] = field(default_factory=dict)  # last reported statuses, by task name
@@ -100,7 +100,7 @@
     next_probe_us: int = 0  # earliest time of the next probe
 
     # Sums over the attempts that have not ended; written only by `add_usage`.
-    running: int = 0  # number of attempts
+    live_attempt_count: int = 0
     used_cpus: float = 0.0
     used_gpus: float = 0.0
     used_memory_gb: float = 0.0
@@ -110,8 +110,8 @@
 
     def add_usage(self, spec: m.JobSpec, sign: int) -> None:
         """Add the usage of an attempt (`sign` = 1), or remove it when the attempt ends (`sign` = -1)."""
-        self.running += sign
-        if not self.running:
+        self.live_attempt_count += sign
+        if not self.live_attempt_count:
             # Floating-point sums drift: reset them to exactly zero on an empty machine.
             self.used_cpus = self.used_gpus = self.used_memory_gb = 0.0
             self.production_cpus = self.service_cpus = 0.0
