--- a/quinceslip/coordination/reconciliation/address_checks.py
+++ b/quinceslip/coordination/reconciliation/address_checks.py
@@ -167,21 +167,21 @@
         return min((at_us for at_us in conclusive_us if at_us > self._listed_us), default=None)
 
     def occupant_answered(self, check: AddressCheck, heartbeat: m.WorkerHeartbeat, asked_us: int) -> list[m.TaskStatus]:
-        """Apply the answer of the machine at an address to a probe of `asked_us`; returns the tasks it has to stop.
+        """Apply the answer of the machine at an address to a probe sent at `asked_us`; returns the tasks to stop.
 
         The answer clears the address if the machine has none of the tasks and drops launches still on their way.
         """
         check.occupant, check.answered_us = heartbeat.worker, self.ctx.now_us
         self._drop_resolved_attempts(check)
         # Guard: before the last call was given up, yet another machine may take over the address and receive the call.
-        is_last = not self._has_open_call(check) and asked_us >= check.given_up_us
+        is_after_last_call = not self._has_open_call(check) and asked_us >= check.given_up_us
         if heartbeat.worker == check.worker.name:
             # No other machine had the address in the meantime, and the worker itself is in a new epoch.
-            if is_last:
+            if is_after_last_call:
                 self.close(check, "the worker is back")
             return []
         running = self._running_checked_tasks(check, heartbeat)
-        if is_last and not running and self.drops_late_launches(check, heartbeat):
+        if is_after_last_call and not running and self.drops_late_launches(check, heartbeat):
             self.close(check, "another machine has none of the tasks")
         return running
 
