--- a/quinceslip/coordination/autoscaling/consolidation.py
+++ b/quinceslip/coordination/autoscaling/consolidation.py
@@ -126,7 +126,7 @@
             attempt.spec.service
             and not attempt.stopping
             and attempt.observed
-            and self.ctx.now_us - attempt.running_us >= MIN_RUN_TIME_US
+            and self.ctx.now_us - attempt.running_since_us >= MIN_RUN_TIME_US
         )
 
 
@@ -134,7 +134,9 @@
     """Whether other machines have room: enough in the zone for its services, and enough anywhere for all its tasks."""
     others = [worker for worker in workers if worker is not candidate]
     spare_cpus = sum(worker.free()[0] for worker in others)
-    nearby_cpus = sum(worker.free()[0] for worker in others if worker.zone == candidate.zone and worker.running)
+    nearby_cpus = sum(
+        worker.free()[0] for worker in others if worker.zone == candidate.zone and worker.live_attempt_count
+    )
     has_nearby_room = nearby_cpus >= NEARBY_ROOM_FACTOR * candidate.service_cpus
     return has_nearby_room and spare_cpus >= candidate.used_cpus + reserve_cpus
 
@@ -146,7 +148,7 @@
         free = targets.free.get(worker.name)
         if (
             free is None
-            or not worker.running
+            or not worker.live_attempt_count
             or not fits(free, spec)
             or not shard.placement.satisfies_constraints(worker, spec, None)
         ):
--- a/quinceslip/coordination/autoscaling/inventory.py
+++ b/quinceslip/coordination/autoscaling/inventory.py
@@ -40,7 +40,7 @@
     def list_if_due(self) -> None:
         """Request the list if it is due."""
         if self.shards:
-            wanted_times_us = (shard.addresses.wanted_list_us() for shard in self.shards.values())
+            wanted_times_us = (shard.addresses.next_conclusive_list_us() for shard in self.shards.values())
             self.lister.request_if_due(min((at_us for at_us in wanted_times_us if at_us is not None), default=None))
 
     def reconcile(self) -> None:
--- a/quinceslip/coordination/autoscaling/reachability.py
+++ b/quinceslip/coordination/autoscaling/reachability.py
@@ -57,8 +57,8 @@
             return False
         if worker.zone in self.unreachable_zones:
             return False
-        first_missed_us = max(delivery.first_missed_us, self.led_since_us)
-        return self.known_workers <= FEW_WORKERS or self.newest_contact_us > first_missed_us + PROBE_DELAY_US
+        first_missed_probe_us = max(delivery.first_missed_probe_us, self.led_since_us)
+        return self.known_workers <= FEW_WORKERS or self.newest_contact_us > first_missed_probe_us + PROBE_DELAY_US
 
 
 def shard_reachability(shard: Shard, may_launch: bool) -> ShardReachability:
@@ -93,7 +93,7 @@
         zone = zones[worker.zone]
         is_silent = worker.delivery.unanswered_probes > 0
         if is_silent:
-            zone.silent_since_us = max(zone.silent_since_us, worker.delivery.first_missed_us, shard.led_since_us)
+            zone.silent_since_us = max(zone.silent_since_us, worker.delivery.first_missed_probe_us, shard.led_since_us)
         else:
             zone.last_contact_us = max(zone.last_contact_us, worker.last_contact_us)
         if worker.service_tasks or worker.name in shard.unreconciled:
--- a/quinceslip/coordination/autoscaling/scale_in.py
+++ b/quinceslip/coordination/autoscaling/scale_in.py
@@ -67,7 +67,7 @@
         scale_in_pass = ScaleInPass(shard, shard_reachability(shard, self.election.may_launch()))
         names = [
             worker.name
-            for worker in sorted(shard.workers.values(), key=lambda worker: worker.idle_us)
+            for worker in sorted(shard.workers.values(), key=lambda worker: worker.idle_since_us)
             if self._should_return(scale_in_pass, worker)
         ]
         if names:
@@ -118,7 +118,7 @@
         Such a worker would neither be used nor found idle. It holds no tasks, so none are lost even if its zone is cut
         off.
         """
-        missed_us = self.ctx.now_us - worker.delivery.first_missed_us
+        missed_us = self.ctx.now_us - worker.delivery.first_missed_probe_us
         return not worker.attempts and missed_us > self.ctx.timing.lease_expiry_us
 
     def _is_dispensable(self, scale_in_pass: ScaleInPass, worker: Worker, boot_us: int) -> bool:
@@ -135,7 +135,7 @@
             return False
         scale_in_pass.idle_counts[worker.spot] += 1
         idle_limit_us = self._idle_limit_us(boot_us) // scale_in_pass.idle_counts[worker.spot]
-        if self.ctx.now_us - worker.idle_us <= idle_limit_us or self._is_needed_by_gang(shard, worker):
+        if self.ctx.now_us - worker.idle_since_us <= idle_limit_us or self._is_needed_by_gang(shard, worker):
             return False
         if scale_in_pass.spare_slots is None:
             scale_in_pass.spare_slots = self.headroom.spare_slots(shard)
@@ -149,7 +149,7 @@
         """Whether a waiting gang may need this machine; a gang starts on all of its machines at once or on none."""
         return any(
             partition.spec.gang
-            and partition.startable()
+            and partition.startable_task_count()
             and not partition.on_hold
             and fits(worker.free(), partition.spec)
             and shard.placement.satisfies_constraints(worker, partition.spec, None)
--- a/quinceslip/coordination/autoscaling/unmet_demand.py
+++ b/quinceslip/coordination/autoscaling/unmet_demand.py
@@ -102,7 +102,7 @@
     for partition in _waiting_partitions(shard, kept_tasks):
         spec = partition.spec
         # Tasks that back off after a failure are left out, or a job in a crash loop would rent many machines.
-        waiting = partition.startable()
+        waiting = partition.startable_task_count()
         if shard.quota is not None:
             waiting = shard.quota.startable(spec, waiting, claimed_quota)
         waiting += kept_tasks[partition.job_id]
--- a/quinceslip/coordination/controller/controller.py
+++ b/quinceslip/coordination/controller/controller.py
@@ -185,13 +185,13 @@
 
     # Leadership.
 
-    def _shard_gained(self, index: int, term: int, previous_own_term: int) -> None:
+    def _shard_gained(self, index: int, term: int, own_term_before_restart: int) -> None:
         """Start to lead a shard, or continue to lead it under a higher term."""
         existing = self.shards.get(index)
         if existing is not None:
             existing.term_raised(term)
             return
-        shard = Shard(self.ctx, self.election, index, term, previous_own_term)
+        shard = Shard(self.ctx, self.election, index, term, own_term_before_restart)
         self.shards[index] = shard
         for subsystem in self.subsystems:
             subsystem.shard_gained(shard)
