--- a/quinceslip/coordination/__init__.py
+++ b/quinceslip/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Who owns which shard, what runs where, load balance and rentals."""
+"""The controller: shard leadership, scheduling, reconciliation, load balancing and autoscaling."""
--- a/quinceslip/coordination/actor/__init__.py
+++ b/quinceslip/coordination/actor/__init__.py
@@ -1,1 +1,1 @@
-"""What the parts of the controller actor share: context, timing, messages and effects, and the subsystem interface."""
+"""Shared by the parts of the controller actor: calls, store writes, context, timing, messages and effects."""
--- a/quinceslip/coordination/actor/calls.py
+++ b/quinceslip/coordination/actor/calls.py
@@ -1,21 +1,21 @@
-"""Calls to the outside world with their pending results, and replies to requests, while one message is handled."""
+"""Outgoing calls and their pending results, and replies to requests."""
 
 from collections.abc import Callable
 from typing import Any
 
 from quinceslip.coordination.actor.effects import Call, CallResult, Effect, Reply, Urgency
 
-#: called with the status (HTTP, or a `CallOutcome`) and the body of the answer
+#: called with the status (an HTTP status or a `CallOutcome`) and the body of the response
 CallCallback = Callable[[int, bytes], None]
 
 
 class CallSender:
-    """Collects the effects of the message that is being handled, and remembers who waits for the result of a call."""
+    """Collects the effects of the current message, and keeps the callbacks of pending calls."""
 
     def __init__(self, now_us: int, timeout_us: int) -> None:
-        #: the steady clock at the message that is being handled
+        #: the monotonic clock at the current message
         self.now_us = now_us
-        #: the default timeout of a call
+        #: default timeout of a call
         self.timeout_us = timeout_us
         self.effects: list[Effect] = []
         self._pending_calls: dict[int, CallCallback] = {}
@@ -32,7 +32,7 @@
         writes: int = 0,
         urgency: Urgency = Urgency.USER,
     ) -> None:
-        """Send a request; `on_result` is called once, by the `CallResult` message that answers it."""
+        """Send a request; `on_result` is called once, when its `CallResult` message arrives."""
         self._last_call_id += 1
         self._pending_calls[self._last_call_id] = on_result
         self.effects.append(
@@ -40,7 +40,7 @@
         )
 
     def handle_result(self, result: CallResult) -> None:
-        """Pass a result on to whoever waits for it; a second result for the same call is ignored."""
+        """Run the callback of the call; a second result for the same call is ignored."""
         on_result = self._pending_calls.pop(result.id, None)
         if on_result is not None:
             on_result(result.status, result.body)
--- a/quinceslip/coordination/actor/compare_and_swap.py
+++ b/quinceslip/coordination/actor/compare_and_swap.py
@@ -1,4 +1,4 @@
-"""Compare-and-swap at the key-value store: conditional writes, their results, and writes that the store rejects."""
+"""Compare-and-swap at the key-value store: conditional writes, their results, and changes that the store rejects."""
 
 import hashlib
 import logging
@@ -18,20 +18,20 @@
 
 log = logging.getLogger(__name__)
 
-#: so many changes that the store rejected are remembered, so as not to be sent again
+#: number of rejected changes that are remembered, so that they are not sent again
 MAX_REJECTED_CHANGES = 8_000
-#: the store counts as available for so long after its last answer
-STORE_AVAILABLE_US = 3 * SECOND
-#: statuses of the store, which show that it is available
-_ANSWERED_STATUSES = (200, 404, 409)
+#: the store counts as available for this long after its last answer
+STORE_ANSWER_MAX_AGE_US = 3 * SECOND
+#: response statuses which show that the store is available
+_AVAILABLE_STATUSES = (200, 404, 409)
 #: statuses of a write that the store will never accept
 _REJECTED_STATUSES = (400, 413)
 _LOGGED_REASON_BYTES = 200
 
-#: called with the status (200: applied, 409: a condition failed, 400: rejected for good, others: see `CallOutcome`)
-#: and the keys whose condition failed
+#: called with the status (200: applied, 409: a condition failed, 400: permanently rejected, others: see
+#: `CallOutcome`) and the keys whose condition failed
 CompareAndSwapCallback = Callable[[int, list[str]], None]
-#: by key, the new value and the lease that the record is attached to, if any
+#: by key: the new value, and the lease that the record is attached to, if any
 Puts = Mapping[str, tuple[Any, int | None]]
 
 
@@ -41,59 +41,59 @@
 
     request: dict[str, Any]
     puts: Puts
-    drops: list[str]
+    deletes: list[str]
     on_result: CompareAndSwapCallback
 
 
 class StoreWriter(CallSender):
-    """Writes to the key-value store on conditions, and keeps the cache up with what it has written."""
+    """Sends conditional writes to the key-value store, and applies those that succeed to the cache."""
 
     def __init__(self, now_us: int, timeout_us: int, limits: StateFacts) -> None:
         super().__init__(now_us, timeout_us)
         self.limits = limits
         self.cache = StoreCache()
         self.store_ok_us = 0  # when the store last answered
-        #: called with the keys of the records that a write of this controller has changed in the cache
+        #: called with the keys of the cached records that a write of this controller has changed
         self.on_records_changed: Callable[[Iterable[str]], None] = lambda keys: None
         self._rejected_changes: dict[bytes, None] = {}  # digests, oldest first
-        self._rejected_again: list[CompareAndSwapCallback] = []
+        self._rejected_callbacks: list[CompareAndSwapCallback] = []
 
     def store_available(self) -> bool:
-        """Whether the store answered this controller lately, and the cache is in sync."""
-        return self.now_us - self.store_ok_us < STORE_AVAILABLE_US and self.cache.synced
+        """Whether the store has answered recently, and the cache is in sync."""
+        return self.now_us - self.store_ok_us < STORE_ANSWER_MAX_AGE_US and self.cache.synced
 
     def note_store_status(self, status: int) -> None:
-        """Take note of the status that a request to the store was answered with."""
-        if status in _ANSWERED_STATUSES:
+        """Record the time of the answer to a request, if its status shows that the store is available."""
+        if status in _AVAILABLE_STATUSES:
             self.store_ok_us = self.now_us
 
     def compare_and_swap(
         self,
         conditions: dict[str, int],
         puts: Puts,
-        drops: list[str],
+        deletes: list[str],
         on_result: CompareAndSwapCallback,
         urgency: Urgency = Urgency.REST,
     ) -> None:
-        """Put and drop records if every key in `conditions` is at that `mod_revision` (0: it does not exist).
+        """Put and delete records if every key in `conditions` has that `mod_revision` (0: the key does not exist).
 
-        On success the cache has the changes before `on_result` runs. What the store rejects for its size is reported
-        as 400 and logged as an error; the same changes are not sent again. An expired lease is answered 400 too, and
-        says nothing of the changes.
+        On success the cache is updated before `on_result` runs. Changes that the store rejects for their size are
+        reported as 400 and logged as an error, and are not sent again. The store answers 400 also if the lease has
+        expired, which says nothing about the changes.
         """
-        request = messages.compare_and_swap_request(conditions, puts, drops)
+        request = messages.compare_and_swap_request(conditions, puts, deletes)
         if self._rejected_changes and _changes_digest(request) in self._rejected_changes:
-            # Reported later, as every result is: callers set their marks after this call as well.
-            self._rejected_again.append(on_result)
+            # Reported later, like every other result: callers may update their state after this call returns.
+            self._rejected_callbacks.append(on_result)
             return
-        write = _PendingWrite(request, puts, drops, on_result)
+        write = _PendingWrite(request, puts, deletes, on_result)
         self.call(
             TARGET_STORE,
             "POST",
             messages.PATH_TXN,
             request,
             partial(self._handle_write_result, write),
-            writes=len(puts) + len(drops),
+            writes=len(puts) + len(deletes),
             urgency=urgency,
         )
 
@@ -108,7 +108,7 @@
             try:
                 answer = msgspec.json.decode(body, type=messages.CompareAndSwapAnswer)
             except msgspec.DecodeError as error:
-                log.error("key-value store answered a compare-and-swap with nonsense: %s", error)
+                log.error("malformed answer of the key-value store to a compare-and-swap: %s", error)
                 write.on_result(UNKNOWN, [])
                 return
             failed = answer.failed
@@ -116,7 +116,7 @@
                 for key, (value, _) in write.puts.items():
                     if self.cache.store(key, value, answer.revision):
                         changed.append(key)
-                changed += [key for key in write.drops if self.cache.delete(key, answer.revision)]
+                changed += [key for key in write.deletes if self.cache.delete(key, answer.revision)]
         write.on_result(status, failed)
         self.on_records_changed(changed)
 
@@ -125,7 +125,7 @@
         keys = [change.get("write") or change["drop"] for change in changes]
         sizes = [len(msgspec.json.encode(change["v"])) for change in changes if "v" in change]
         log.error(
-            "state service refused %d changes with %d conditions, the largest value of %d bytes: %s: %s",
+            "key-value store rejected %d changes with %d conditions, the largest value of %d bytes: %s: %s",
             len(changes),
             len(request["if"]),
             max(sizes, default=0),
@@ -137,19 +137,19 @@
             del self._rejected_changes[next(iter(self._rejected_changes))]
 
     def answer_rejected_again(self) -> None:
-        """Report 400 for the writes that were not sent, since the store had rejected the same changes before."""
-        callbacks, self._rejected_again = self._rejected_again, []
+        """Report 400 for the writes that were not sent because the store had rejected the same changes before."""
+        callbacks, self._rejected_callbacks = self._rejected_callbacks, []
         for on_result in callbacks:
             on_result(400, [])
 
     def fits_record(self, value: Any) -> bool:
-        """Whether a value is within the limit on values, present or announced."""
+        """Whether a value is within the store's size limit, both the current and the announced one."""
         return len(msgspec.json.encode(value)) <= self.limits.value_kb * 1024
 
     def delete_unneeded(self, keys: list[str]) -> None:
-        """Delete records that nothing reads any more, as many at a time as a compare-and-swap takes.
+        """Delete records that nothing reads any more, in batches of the size that a compare-and-swap may have.
 
-        Once: what fails is left behind, and costs its bytes alone.
+        Failures are not retried: a record that is left behind costs only its storage.
         """
         for start in range(0, len(keys), self.limits.txn_ops):
             batch = keys[start : start + self.limits.txn_ops]
@@ -162,5 +162,5 @@
 
 
 def _changes_digest(request: dict[str, Any]) -> bytes:
-    """A digest of what a compare-and-swap changes; its conditions have no part in its size."""
+    """Digest of the changes of a compare-and-swap; its conditions do not count towards its size."""
     return hashlib.blake2b(msgspec.json.encode(request["then"]), digest_size=16).digest()
--- a/quinceslip/coordination/actor/context.py
+++ b/quinceslip/coordination/actor/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a controller's actor share: settings, clocks, the cache, and access to the outside world."""
+"""The context that the parts of a controller share: settings, clocks, the cache, and outgoing calls."""
 
 from collections.abc import Callable
 
@@ -10,21 +10,21 @@
 from quinceslip.protocol import messages
 from quinceslip.protocol.settings import Settings, Team, Tuning
 
-#: a job takes so long beside its tasks and its image: the writes at both ends
+#: time that a job takes besides its tasks and its image: the writes at its start and end
 JOB_OVERHEAD_US = 2 * SECOND
-#: assumed rate of fetching images while no machine type is known, and the least that is reckoned with
+#: assumed rate of fetching images while no machine type is known, and the lower bound of the assumed rate
 DEFAULT_FETCH_GB_PER_S = 1.0
 MIN_FETCH_GB_PER_S = 0.01
 
-#: the name from before `compare_and_swap` became a module
+#: former name of `CompareAndSwapCallback`
 CompareAndSwapDone = CompareAndSwapCallback
 
 
 class Context(StoreWriter):
-    """Shared by the parts of one controller; owned by its one actor thread.
+    """State and services shared by the parts of one controller; owned by its actor thread.
 
-    The parts call the outside world through it (`calls`), write to the store (`compare_and_swap`), and read here what
-    concerns them all. Times are microseconds of the steady clock, except for `wall_us`.
+    The parts send requests (`call`) and write to the store (`compare_and_swap`) through it, and read shared state
+    from it. Times are microseconds of the monotonic clock, except for `wall_us`.
     """
 
     def __init__(self, settings: Settings, tuning: Tuning, now_us: int, wall_us: int) -> None:
@@ -35,41 +35,41 @@
         self.started_us = now_us
         self.wall_offset_us = wall_us - now_us
         self.teams = {team.name: team for team in settings.facts.teams}
-        #: the cloud's machine types by label, and those of them on which services start soon enough
+        #: the cloud's machine types by label, and the labels of those on which services start fast enough
         self.types: dict[str, messages.MachineType] = {}
         self.quick_types: set[str] = set()
         self.graph = DependencyGraph(self.cache.job, self._job_urgency, self.expected_duration_us)
-        #: whether all controllers act by a level (`quinceslip.feature_gate`)
+        #: whether a feature level is active in all controllers (`quinceslip.feature_gate`)
         self.feature_active: Callable[[int], bool] = lambda level: False
-        #: the part of the tick that runs, for whoever sees the actor stall
+        #: the part of the tick that is running, for the watchdog's report of a stall
         self.active_part = ""
         self.records_applied = 0
 
     @property
     def wall_us(self) -> int:
-        """The wall clock at the message that is being handled."""
+        """The wall clock at the current message."""
         return self.now_us + self.wall_offset_us
 
     def team(self, name: str) -> Team | None:
-        """A team by its name; None if the settings have none of that name."""
+        """The team of this name, or None if the settings have no such team."""
         return self.teams.get(name)
 
     def starts_quickly(self, machine_type: messages.MachineType | None) -> bool:
-        """Whether services start there soon enough; on any type, where none is quick."""
+        """Whether services start fast enough on this type; true for any type while none is known to be fast."""
         return machine_type is not None and (not self.quick_types or machine_type.label in self.quick_types)
 
-    # What the dependency graph asks of a job: as it is before anything runs, by the estimates of the jobs' owners.
+    # Callbacks of the dependency graph: a job before any of its tasks runs, by the estimates of its owner.
 
-    def _job_urgency(self, spec: messages.JobSpec, at_us: int) -> JobUrgency:
-        """The urgency of a job that was accepted at `at_us`, apart from the jobs that need it.
+    def _job_urgency(self, spec: messages.JobSpec, accepted_us: int) -> JobUrgency:
+        """The urgency of a job that was accepted at `accepted_us`, regardless of the jobs that depend on it.
 
-        Of its due times, only those that count from its submission: the others start with the job.
+        It covers only the due times that count from submission; others count from the start of the job.
         """
-        dues_us = tuple(at_us + micros(due_s) for due_s in self._due_times_s(spec))
-        return JobUrgency(spec.priority, dues_us)
+        due_times_us = tuple(accepted_us + micros(due_s) for due_s in self._due_times_s(spec))
+        return JobUrgency(spec.priority, due_times_us)
 
     def _due_times_s(self, spec: messages.JobSpec) -> list[float]:
-        """The deadline of a job and its multiples that service-level objectives name, in order."""
+        """The deadline of a job, and its multiples in service-level objectives, in ascending order."""
         if spec.deadline_s is None:
             return []
         due_times_s = {spec.deadline_s}
@@ -79,21 +79,21 @@
         return sorted(due_times_s)
 
     def expected_duration_us(self, spec: messages.JobSpec) -> int:
-        """How long a job takes once it may start: its image, its tasks, the writes at both ends.
+        """Expected duration of a job once it may start: its image, its tasks, and the writes at its start and end.
 
-        The estimate counts as it is: a longer time would make whatever comes before an urgent job as urgent at once.
+        The owner's estimate gets no margin: a longer one would make every job before an urgent job urgent at once.
         """
-        rates = (machine_type.fetch_gb_per_s for machine_type in self.types.values())
-        slowest = max(min(rates, default=DEFAULT_FETCH_GB_PER_S), MIN_FETCH_GB_PER_S)
-        return micros(spec.estimated_run_s + spec.image_gb / slowest) + JOB_OVERHEAD_US
+        fetch_rates = (machine_type.fetch_gb_per_s for machine_type in self.types.values())
+        lowest_rate = max(min(fetch_rates, default=DEFAULT_FETCH_GB_PER_S), MIN_FETCH_GB_PER_S)
+        return micros(spec.estimated_run_s + spec.image_gb / lowest_rate) + JOB_OVERHEAD_US
 
     # Liveness.
 
     def is_suspended(self, part: str) -> bool:
-        """Whether this controller stalled in that part so lately that it is left out (`liveness.stall_records`)."""
-        note = self.cache.by_kind["standstill"].get(self.settings.label)
-        return stall_records.rests(note, part, self.wall_us, self.timing.worker_lease_us)
+        """Whether a part is skipped because this controller stalled in it recently (`liveness.stall_records`)."""
+        stall_record = self.cache.by_kind["standstill"].get(self.settings.label)
+        return stall_records.rests(stall_record, part, self.wall_us, self.timing.worker_lease_us)
 
     def progress(self) -> int:
-        """Grows while a long message is handled: a listing of all records is no stall."""
+        """A counter that grows while a long message is handled, so that a full listing is not taken for a stall."""
         return self.cache.records_taken + self.records_applied
--- a/quinceslip/coordination/actor/effects.py
+++ b/quinceslip/coordination/actor/effects.py
@@ -1,6 +1,6 @@
-"""Effects, which the actor asks its shell to carry out, and messages, which the shell posts to the actor.
+"""Effects, which the actor returns for its shell to carry out, and messages, which the shell posts to the actor.
 
-The actor does no I/O of its own: it takes one message at a time and returns effects (`quinceslip.transport.actor`).
+The actor does no I/O itself: it handles one message at a time and returns effects (`quinceslip.transport.actor`).
 """
 
 from dataclasses import dataclass, field
@@ -12,17 +12,17 @@
 
 #: `Call.target` of requests to the key-value store
 TARGET_STORE = "state"
-#: `Call.target` of requests for the leader lease, which go to the key-value store outside the budget of its rate
+#: `Call.target` of requests for the leader lease, which go to the key-value store outside its rate limit
 TARGET_LEASE = "lease"
 #: `Call.target` of requests to the cloud
 TARGET_CLOUD = "cloud"
 
-#: a call is given up after this long where nothing else is said
+#: default timeout of a call
 DEFAULT_TIMEOUT_US = 1_500_000
 
 
 class CallOutcome(IntEnum):
-    """`CallResult.status` of calls that got no HTTP status."""
+    """`CallResult.status` of calls that got no HTTP response."""
 
     #: the request never reached the other side
     NOT_SENT = -1
@@ -35,9 +35,9 @@
 
 
 class Urgency(IntEnum):
-    """The order in which calls to the key-value store get their share of its rate limit."""
+    """Priority of a call to the key-value store under its rate limit."""
 
-    USER = 0  # a user waits for it, or the leadership of a shard does
+    USER = 0  # a user or the leadership of a shard waits for it
     LAUNCH = 1  # launches wait for it
     RESULT = 2
     REST = 3
@@ -56,13 +56,13 @@
     path: str
     body: Any = None
     timeout_us: int = DEFAULT_TIMEOUT_US
-    writes: int = 0  # number of changes in it, for the store's limit on writes
+    writes: int = 0  # number of changes in it, for the store's limit on the rate of writes
     urgency: Urgency = Urgency.USER
 
 
 @dataclass(slots=True)
 class Reply:
-    """The answer to a request that users, the load balancer or workers sent."""
+    """The response to a request of a user, the load balancer or a worker."""
 
     request: int
     status: int
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class ToPeers:
-    """Frames for every other controller: a heartbeat, and observations of the cloud's capacity behind it."""
+    """Frames for all other controllers: a heartbeat, followed by observations of the cloud's capacity."""
 
     frames: bytes
 
@@ -85,12 +85,12 @@
 
 @dataclass(slots=True)
 class Tick:
-    """Time has passed; about ten times a second."""
+    """Time has passed; posted about ten times a second."""
 
 
 @dataclass(slots=True)
 class BatchEnd:
-    """The inbox is empty, or enough was taken from it: act on what has changed."""
+    """The inbox is empty, or the batch is full: act on what has changed."""
 
 
 @dataclass(slots=True)
@@ -109,12 +109,12 @@
     request: int
     verb: str  # "submit", "malformed", "poll", "cancel", "ready"
     job_id: str = ""
-    spec: Any = None  # with "submit" the JobSpec, with "malformed" the reason why it can't be read
+    spec: Any = None  # the JobSpec of "submit", the parse error of "malformed"
 
 
 @dataclass(slots=True)
 class SubsystemQuery:
-    """A question that a subsystem answers; `after` continues a page."""
+    """A query that a subsystem answers; `after` is where the previous page ended."""
 
     request: int
     question: str
@@ -123,7 +123,7 @@
 
 @dataclass(slots=True)
 class HeartbeatReceived:
-    """A heartbeat of a worker; `request` gets the commands for it."""
+    """A heartbeat of a worker; the reply to `request` carries the commands for it."""
 
     request: int
     heartbeat: m.WorkerHeartbeat
@@ -131,19 +131,17 @@
 
 @dataclass(slots=True)
 class StoreListing:
-    """A listing of all records, read page by page."""
+    """A listing of all records, fetched page by page."""
 
     items: list[m.Item]
     revision: int  # of the first page: the watch continues from there
     requested_us: int  # when the first page was requested
-    last_page_revision: int = (
-        0  # revision of the last page: before the watch has reached it, the pages are not consistent
-    )
+    last_page_revision: int = 0  # of the last page: the pages are consistent once the watch has reached it
 
 
 @dataclass(slots=True)
 class StoreChanges:
-    """Changes that the watch brought, up to a store revision; requested at `asked_us`."""
+    """Changes reported by the watch, up to a store revision; requested at `requested_us`."""
 
     events: list[m.Event]
     revision: int
@@ -152,7 +150,7 @@
 
 @dataclass(slots=True)
 class PeerFrameReceived:
-    """A frame of another controller."""
+    """A frame from another controller."""
 
     frame: frames.PeerHeartbeat | frames.PeerObservations
 
--- a/quinceslip/coordination/actor/timing.py
+++ b/quinceslip/coordination/actor/timing.py
@@ -1,30 +1,30 @@
-"""Every period of the protocol between leaders, derived from the settings alone."""
+"""Protocol constants, and the periods of leases, heartbeats and probes that follow from the settings."""
 
 from quinceslip.protocol.settings import Settings, SettingsError, WorkerFacts
 
 #: microseconds in a second
 SECOND = 1_000_000
 
-#: the steady clocks of two machines drift apart by at most this (PROTOCOL)
+#: maximum relative drift between the monotonic clocks of two machines (PROTOCOL)
 DRIFT = 0.0005
 
-#: the key-value store takes leases of up to ten minutes (PROTOCOL); a shorter one than a second is lost by any hiccup
+#: the key-value store grants leases of up to ten minutes (PROTOCOL); one of less than a second expires at any hiccup
 MIN_LEASE_US, MAX_LEASE_US = SECOND, 600 * SECOND
 
-#: longer periods than a day are no such settings, and would not fit what is derived from them
+#: longest period that the settings may have: more than a day is implausible, and would not fit the derived values
 MAX_PERIOD_S = 86_400
 
-#: workers drop the answer to a heartbeat after this long (PROTOCOL)
+#: workers discard an answer to a heartbeat that takes longer than this (PROTOCOL)
 HEARTBEAT_TIMEOUT_US = 4 * SECOND
 
-#: heartbeats come at most so many periods apart (PROTOCOL)
+#: maximum interval between heartbeats, in periods (PROTOCOL)
 MAX_HEARTBEAT_PERIODS = 1.25
-#: a worker is probed once it has been silent for so many periods, and the margin
+#: a worker is probed after this many periods of silence plus the margin
 PROBE_AFTER_PERIODS = 1.4
 PROBE_MARGIN_US = SECOND // 4
-#: a worker is a good choice for new tasks for so many periods after its last heartbeat
-FRESH_PERIODS = 2.6
-MIN_FRESH_US = 2 * SECOND
+#: a worker may be given new tasks for this many periods after its last contact
+MAX_CONTACT_AGE_PERIODS = 2.6
+CONTACT_AGE_FLOOR_US = 2 * SECOND
 
 
 def micros(seconds: float) -> int:
@@ -33,9 +33,9 @@
 
 
 class Timing:
-    """Every period of the protocol between leaders, derived from the settings alone.
+    """Periods of leader leases, worker leases, heartbeats and probes, derived from the settings alone.
 
-    Raises SettingsError for settings under which no leader's lease fits between a worker's lease and `cancel_s`.
+    Raises SettingsError if the settings leave no room for a leader's lease between a worker's lease and `cancel_s`.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -45,38 +45,38 @@
         self.worker_lease_us = micros(workers.lease_s)
         cancel_us = micros(workers.cancel_s)
         self.margin_us = SECOND + int(2 * DRIFT * cancel_us)
-        # What a cancellation leaves to a leader that cannot hear of it (docs/design.md, "The gap").
-        left_us = cancel_us - self.worker_lease_us - 2 * self.margin_us
-        if left_us < MIN_LEASE_US:
+        # Time that `cancel_s` leaves to a leader that cannot learn of the cancellation (docs/design.md, "The gap").
+        available_us = cancel_us - self.worker_lease_us - 2 * self.margin_us
+        if available_us < MIN_LEASE_US:
             raise SettingsError(
                 f"facts.workers.cancel_s = {workers.cancel_s:g}: lease_s = {workers.lease_s:g} and margins of "
                 f"{2 * self.margin_us / SECOND:g} s leave no owner's lease of {MIN_LEASE_US // SECOND} s"
             )
-        # A third of the workers': a successor is up well before the workers of a dead leader give up.
+        # A third of a worker's lease, so that a successor takes over well before a failed leader's workers give up.
         self.leader_lease_us = min(
             max(self.worker_lease_us // 3, 2 * SECOND),
             max(cancel_us // 6, MIN_LEASE_US),
-            left_us,
+            available_us,
             MAX_LEASE_US,
         )
         # A leader that lost the key-value store answers its workers for this long past its own lease: its lease, the
         # grace period and a worker's lease must end before a cancellation that it cannot hear of falls due.
-        self.grace_us = left_us - self.leader_lease_us
-        #: after so long without an answer the lease of a worker has expired, by the leader's clock
+        self.grace_us = available_us - self.leader_lease_us
+        #: the lease of a worker has expired after this long without an answer, by the leader's clock
         self.lease_expiry_us = int(self.worker_lease_us * (1 + 2 * DRIFT)) + self.margin_us
         self.probe_after_us = int(PROBE_AFTER_PERIODS * self.heartbeat_period_us) + PROBE_MARGIN_US
-        self.fresh_us = max(int(FRESH_PERIODS * self.heartbeat_period_us), MIN_FRESH_US)
+        self.fresh_us = max(int(MAX_CONTACT_AGE_PERIODS * self.heartbeat_period_us), CONTACT_AGE_FLOOR_US)
 
 
 def _check_periods(workers: WorkerFacts) -> None:
-    """Raise SettingsError for periods that are too long, or a lease that expires between two heartbeats."""
-    for name, given_s in (
+    """Raise SettingsError if a period is too long, or a worker's lease can expire between two heartbeats."""
+    for name, period_s in (
         ("report_s", workers.report_s),
         ("lease_s", workers.lease_s),
         ("cancel_s", workers.cancel_s),
     ):
-        if given_s > MAX_PERIOD_S:
-            raise SettingsError(f"facts.workers.{name} = {given_s:g}: more than {MAX_PERIOD_S} s")
+        if period_s > MAX_PERIOD_S:
+            raise SettingsError(f"facts.workers.{name} = {period_s:g}: more than {MAX_PERIOD_S} s")
     if workers.report_s * MAX_HEARTBEAT_PERIODS >= workers.lease_s:
         raise SettingsError(
             f"facts.workers.report_s = {workers.report_s:g}: a worker's lease (lease_s = "
