--- a/quinceslip/coordination/connectivity/connectivity.py
+++ b/quinceslip/coordination/connectivity/connectivity.py
@@ -1,11 +1,12 @@
-"""Whether this controller still reaches its workers.
-
-A controller that a network partition separates from its workers alone keeps its shard: the key-value store answers it,
-so no peer fails over, and peers send the workers that report to them back to it (421) until their leases have expired
-and every task of the shard is lost. It cannot know by itself that its own network is at fault and not theirs. Its
-peers can tell: they count the workers that report to them although another controller leads their shard
-(`misrouted`). A leader that hears none of its workers while peers hear most of them hands the shard over, as when one
-goes home, and is *yielding*, so that others claim first, until it reaches a worker again.
+"""Detects that this controller no longer reaches its workers.
+
+A controller that a network partition separates only from its workers keeps its shard: the key-value store still
+answers it, so no peer takes over, and peers redirect the workers that report to them back to it (421) until their
+leases have expired and every task of the shard is lost. The controller alone cannot tell whether its own network or
+theirs is at fault. Its peers can: they count the workers that report to them although another controller leads their
+shard (`misrouted`). A leader that hears from none of its workers while its peers hear from most of them hands the shard
+over, as it does when a shard returns to its home. Until it reaches a worker again it is *yielding*: it lets others
+claim first.
 """
 
 import logging
@@ -19,49 +20,49 @@
 
 log = logging.getLogger(__name__)
 
-#: a yielding controller probes one worker so often
+#: interval at which a yielding controller probes one worker
 PROBE_PERIOD_US = 2 * SECOND
 PROBE_TIMEOUT_US = SECOND
 
 
 class WorkerConnectivity:
-    """Decides when a controller yields its shards, and probes workers until it need not; `home` is its own shard."""
+    """Decides when a controller yields its shards, and probes workers until it can stop; `home` is its home shard."""
 
     def __init__(self, ctx: Context, home: int) -> None:
         self.ctx = ctx
         self.home = home
         self.misrouted = MisroutedWorkers(ctx)
-        self.last_contact_us = ctx.now_us  # when a worker of a shard that this controller leads reported last
+        self.last_contact_us = ctx.now_us  # when a worker of a shard that this controller leads last reached it
         self.yielding = False
         self._next_probe_us = 0
         self._probes_sent = 0
 
     def worker_contacted(self) -> None:
-        """A worker of a shard that this controller leads has reached it."""
+        """Handle contact by a worker of a shard that this controller leads."""
         self.last_contact_us = self.ctx.now_us
         self._contact_restored()
 
     def worker_misrouted(self, shard: int, heartbeat: m.WorkerHeartbeat) -> None:
-        """A worker reported here although a peer leads its shard; a copy of an earlier heartbeat proves no contact."""
+        """Handle a heartbeat of a worker whose shard a peer leads; a copy of an earlier one is no proof of contact."""
         if self.misrouted.observe(shard, heartbeat):
             self._contact_restored()
 
     def lost_contact(self, workers: Iterable[Worker], misrouted: int) -> bool:
-        """Whether peers hear of most of these workers (`misrouted` of them) while this controller hears of none."""
+        """Whether peers hear from most of these workers (`misrouted` of them) while this controller hears from none."""
         if self.ctx.now_us - self.last_contact_us <= self.ctx.timing.probe_after_us:
             return False
-        probed = [w for w in workers if w.attempts and not w.lease_expired and not w.deleting]
-        silent = sum(w.delivery.unanswered_probes > 0 for w in probed)
-        return len(probed) >= MIN_SILENT_WORKERS and 2 * silent >= len(probed) and 2 * misrouted >= len(probed)
+        expected = [w for w in workers if w.attempts and not w.lease_expired and not w.deleting]
+        silent = sum(w.delivery.unanswered_probes > 0 for w in expected)
+        return len(expected) >= MIN_SILENT_WORKERS and 2 * silent >= len(expected) and 2 * misrouted >= len(expected)
 
     def start_yielding(self, shard: int) -> None:
-        """Let peers claim first from now on, since the workers of a shard reach them and not this controller."""
+        """Let peers claim first from now on, because the workers of a shard reach them but not this controller."""
         self.yielding = True
         self._next_probe_us = self.ctx.now_us + PROBE_PERIOD_US
         log.info("yielding started shard=%d", shard)
 
     def tick(self) -> None:
-        """While yielding, probe one worker of the home shard after the other."""
+        """While yielding, probe the workers of the home shard in turn."""
         if not self.yielding or self.ctx.now_us < self._next_probe_us:
             return
         self._next_probe_us = self.ctx.now_us + PROBE_PERIOD_US
--- a/quinceslip/coordination/connectivity/misrouted.py
+++ b/quinceslip/coordination/connectivity/misrouted.py
@@ -1,9 +1,9 @@
-"""Workers that report to this controller although another one leads their shard, and what peers say of the same.
+"""Counts of workers that report to this controller although another one leads their shard, and the counts of peers.
 
-Peers learn of them from the heartbeats between controllers. A network partition that takes the workers often takes the
-peers with them, and leaves the key-value store. Heartbeats say nothing then, so a controller with misrouted workers
-writes their number into a record as well. Whether it hears the leader does not matter: the leader may be heard by those
-whom it does not hear.
+Peers learn the counts from the heartbeats between controllers. A network partition that separates a leader from its
+workers often separates it from its peers as well, but not from the key-value store. Heartbeats do not reach it then,
+so a controller with misrouted workers also writes their number to a record. It does so even while it hears the leader:
+a partition may be one-way, so that the leader is heard by controllers that it cannot hear itself.
 """
 
 from quinceslip.coordination.actor.context import Context
@@ -12,16 +12,16 @@
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 
-#: fewer silent or misrouted workers than this may as well be at fault themselves
+#: with fewer silent or misrouted workers than this, the fault may be their own
 MIN_SILENT_WORKERS = 3
-#: a misrouted worker counts for so long: it reports here once at least while it tries all controllers
-COUNTED_US = 2 * HEARTBEAT_TIMEOUT_US
-#: the record is written so often while there are any
+#: a misrouted worker counts for this long: while it tries all controllers, it reports here at least once in that time
+REPORT_MAX_AGE_US = 2 * HEARTBEAT_TIMEOUT_US
+#: interval between writes of the record while there are misrouted workers
 WRITE_PERIOD_US = HEARTBEAT_TIMEOUT_US
-#: the record of a peer counts for so long after its last change
-RECORD_COUNTED_US = 2 * WRITE_PERIOD_US
+#: the record of a peer counts for this long after its last change
+RECORD_MAX_AGE_US = 2 * WRITE_PERIOD_US
 
-_HeartbeatNumber = tuple[int, int]  # epoch of the agent, and number of the heartbeat within it
+_HeartbeatNumber = tuple[int, int]  # epoch of the agent, and sequence number of the heartbeat in it
 
 
 class MisroutedWorkers:
@@ -29,20 +29,20 @@
 
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
-        self._reported_us: dict[int, dict[str, int]] = {}  # by shard and worker
+        self._last_report_us: dict[int, dict[str, int]] = {}  # by shard and worker: when it last reported here
         self._latest_heartbeats: dict[str, _HeartbeatNumber] = {}
-        self._peer_record_us: dict[str, int] = {}  # by label of the peer: when its record last changed
+        self._peer_record_changed_us: dict[str, int] = {}  # by label of the peer: when its record last changed
         self._write_pending = False
         self._next_write_us = 0
 
     def observe(self, shard: int, heartbeat: m.WorkerHeartbeat) -> bool:
-        """A worker of another leader's shard reported here; returns False for a copy of an earlier heartbeat."""
+        """Record that a worker of another leader's shard reported here; False for a copy of an earlier heartbeat."""
         number = (heartbeat.epoch, heartbeat.seq)
         if number <= self._latest_heartbeats.get(heartbeat.worker, (0, 0)):
             return False
         self._forget_unregistered()
         self._latest_heartbeats[heartbeat.worker] = number
-        self._reported_us.setdefault(shard, {})[heartbeat.worker] = self.ctx.now_us
+        self._last_report_us.setdefault(shard, {})[heartbeat.worker] = self.ctx.now_us
         return True
 
     def _forget_unregistered(self) -> None:
@@ -53,20 +53,20 @@
             }
 
     def counts(self) -> list[tuple[int, int]]:
-        """Shard and number of its workers that reported here lately, without shards that have none."""
-        since_us = self.ctx.now_us - COUNTED_US
-        found = []
-        for shard, reported_us in list(self._reported_us.items()):
+        """Each shard with misrouted workers, and the number of them that reported here recently."""
+        since_us = self.ctx.now_us - REPORT_MAX_AGE_US
+        shard_counts = []
+        for shard, reported_us in list(self._last_report_us.items()):
             for worker in [worker for worker, at_us in reported_us.items() if at_us < since_us]:
                 del reported_us[worker]
             if reported_us:
-                found.append((shard, len(reported_us)))
+                shard_counts.append((shard, len(reported_us)))
             else:
-                del self._reported_us[shard]
-        return found
+                del self._last_report_us[shard]
+        return shard_counts
 
     def write_record(self) -> None:
-        """Record the numbers of misrouted workers in the key-value store; delete the record once there are none."""
+        """Write the counts of misrouted workers to the key-value store; delete the record once there are none."""
         if self._write_pending or self.ctx.now_us < self._next_write_us:
             return
         label = self.ctx.settings.label
@@ -80,22 +80,22 @@
             self._write_pending = False
 
         key = records.misrouted_key(label)
-        # Conditional, so that a write that is applied late does not undo the deletion.
+        # Conditional, so that a delayed write does not undo the deletion.
         conditions = {key: self.ctx.cache.mod_revision(key)}
         puts = {key: (records.MisroutedRecord(misrouted), None)} if misrouted else {}
-        drops = [] if misrouted else [key]
-        self.ctx.compare_and_swap(conditions, puts, drops, on_written, Urgency.LAUNCH)
+        deletes = [] if misrouted else [key]
+        self.ctx.compare_and_swap(conditions, puts, deletes, on_written, Urgency.LAUNCH)
 
     def peer_record_changed(self, label: str) -> None:
-        """The record of a peer has changed in the cache."""
-        self._peer_record_us[label] = self.ctx.now_us
+        """Note that the record of a peer has changed in the cache."""
+        self._peer_record_changed_us[label] = self.ctx.now_us
 
     def recorded_by_peers(self, shard: int) -> int:
-        """How many workers of a shard reported to peers lately, by their records and the clock of this controller."""
-        since_us = self.ctx.now_us - RECORD_COUNTED_US
+        """Number of workers of a shard that reported to peers recently, by the peers' records and our own clock."""
+        since_us = self.ctx.now_us - RECORD_MAX_AGE_US
         total = 0
         for label, record in self.ctx.cache.by_kind["stray"].items():
-            if label == self.ctx.settings.label or self._peer_record_us.get(label, 0) <= since_us:
+            if label == self.ctx.settings.label or self._peer_record_changed_us.get(label, 0) <= since_us:
                 continue
             total += sum(count for misrouted_shard, count in record.misrouted if misrouted_shard == shard)
         return total
