--- a/quinceslip/coordination/leadership/claims.py
+++ b/quinceslip/coordination/leadership/claims.py
@@ -1,8 +1,8 @@
-"""Claims: when a controller takes the leadership of a shard that has no leader, and the write that does it.
+"""Claims: when and how a controller takes the leadership of a shard that has no leader.
 
-A claim is one compare-and-swap. It raises the global counter of terms and writes the shard record, attached to the
-claimant's lease, on condition that neither has changed since the claimant read it. So each term is given out once,
-and of several claimants one succeeds.
+A claim is a single compare-and-swap. It increments the global term counter and writes the shard record, attached to the
+claimant's lease, on condition that neither has changed since the claimant read it. So each term is issued only once,
+and only one of several concurrent claimants succeeds.
 """
 
 import logging
@@ -17,12 +17,12 @@
 
 log = logging.getLogger(__name__)
 
-#: pause after a claim that failed
+#: delay after a failed claim
 CLAIM_RETRY_US = 150_000
-#: each step in the ring from the shard's home lets a claimant wait so much longer
-DELAY_PER_STEP_US = SECOND // 2
+#: additional delay of a claimant for each step in the ring between the shard's home and itself
+CLAIM_DELAY_PER_STEP_US = SECOND // 2
 
-#: called with the shard, its new term, and the term under which this controller led it before (0: it did not)
+#: called with the shard, its new term, and the term under which this controller led it before (0 if it did not)
 ShardGained = Callable[[int, int, int], None]
 
 
@@ -39,21 +39,21 @@
         self._leaderless_since_us: dict[int, int] = {}
 
     def claim_next(self, yielding: bool) -> None:
-        """Claim the first shard whose claim is due; a controller that does not reach its workers lets others go first.
+        """Claim the first shard whose claim is due; a `yielding` controller lets others go first.
 
-        The caller has made sure that the lease permits it.
+        The caller must have checked that the lease permits it.
         """
         if self.led.write_pending or self.ctx.now_us < self.next_claim_us or not self.ctx.cache.synced:
             return
-        size = self.ctx.settings.facts.size
-        for distance in range(size):
-            shard = (self.home - distance) % size
+        cluster_size = self.ctx.settings.facts.size
+        for distance in range(cluster_size):
+            shard = (self.home - distance) % cluster_size
             if self._is_due(shard, distance, yielding):
                 self.claim(shard)
                 return
 
     def _is_due(self, shard: int, distance: int, yielding: bool) -> bool:
-        """Whether a shard has had no leader for long enough; also keeps account of since when."""
+        """Whether a shard has been without a leader for long enough; also tracks since when it has none."""
         if shard in self.led.mod_revisions:
             return False
         record = self.ctx.cache.shard(shard)
@@ -63,30 +63,30 @@
         since_us = self._leaderless_since_us.setdefault(shard, self.ctx.now_us)
         delay_us = 0
         if record is None and distance:
-            delay_us = self._delay_us(distance, since_us)
+            delay_us = self._claim_delay_us(distance, since_us)
         if yielding:
             delay_us += 2 * self.ctx.timing.leader_lease_us
         return self.ctx.now_us >= since_us + delay_us
 
-    def _delay_us(self, distance: int, since_us: int) -> int:
-        """How long a controller waits before it claims a shard of another home.
+    def _claim_delay_us(self, distance: int, since_us: int) -> int:
+        """How long this controller waits before it claims a shard whose home is another controller.
 
         The home claims at once. The next controllers in the ring wait a little, so that a home that merely restarts,
-        or a nearer neighbour, goes first; and longer where all controllers may just be starting.
+        or a nearer neighbour, goes first. They wait longer if all controllers may just be starting.
         """
-        delay_us = distance * DELAY_PER_STEP_US
+        delay_us = distance * CLAIM_DELAY_PER_STEP_US
         lease_us = self.ctx.timing.leader_lease_us
         if since_us - self.ctx.started_us < lease_us:
             delay_us += lease_us
         return delay_us
 
-    def claim(self, shard: int, above: int = 0) -> None:
-        """Claim a shard, or raise the term of one that this controller leads, to a term greater than `above`."""
+    def claim(self, shard: int, observed_term: int = 0) -> None:
+        """Claim a shard, or raise its term if this controller leads it, to a term greater than `observed_term`."""
         lease_id = self.lease.lease_id
         if self.led.write_pending or lease_id is None:
             return
         cache = self.ctx.cache
-        term = self._next_term(above)
+        term = self._next_term(observed_term)
         key = records.shard_key(shard)
         conditions = {records.TERM: cache.mod_revision(records.TERM), key: cache.mod_revision(key)}
         previous_own_term = self._previous_own_term(shard)
@@ -95,7 +95,7 @@
         def on_claimed(status: int, failed: list[str]) -> None:
             self.led.write_pending = False
             if status == 200 and self.lease.lease_id == lease_id:
-                self._claimed(shard, term, previous_own_term)
+                self._handle_claimed(shard, term, previous_own_term)
             else:
                 self.next_claim_us = self.ctx.now_us + CLAIM_RETRY_US
 
@@ -105,17 +105,17 @@
         }
         self.ctx.compare_and_swap(conditions, puts, [], on_claimed, Urgency.USER)
 
-    def _next_term(self, above: int) -> int:
+    def _next_term(self, observed_term: int) -> int:
         counter = self.ctx.cache.by_kind["term"].get("")
-        return max(counter.term if counter else 0, above) + 1
+        return max(counter.term if counter else 0, observed_term) + 1
 
     def _previous_own_term(self, shard: int) -> int:
         record = self.ctx.cache.shard(shard)
         return record.term if record is not None and record.leader == self.ctx.settings.label else 0
 
-    def _claimed(self, shard: int, term: int, previous_own_term: int) -> None:
-        raised = shard in self.led.mod_revisions
+    def _handle_claimed(self, shard: int, term: int, previous_own_term: int) -> None:
+        was_leading = shard in self.led.mod_revisions
         self.led.mod_revisions[shard] = self.ctx.cache.mod_revision(records.shard_key(shard))
         self._leaderless_since_us.pop(shard, None)
-        log.info("%s shard=%d term=%d", "term raised" if raised else "leadership gained", shard, term)
+        log.info("%s shard=%d term=%d", "term raised" if was_leading else "leadership gained", shard, term)
         self.on_gained(shard, term, previous_own_term)
--- a/quinceslip/coordination/leadership/election.py
+++ b/quinceslip/coordination/leadership/election.py
@@ -1,4 +1,4 @@
-"""Who leads which shard, and what a controller may do as its leader.
+"""Leader election for shards, and what a controller may do as a leader.
 
 A controller may act as the leader of a shard while all of this holds:
 
@@ -7,8 +7,8 @@
    and that record is unchanged (`led_shards`).
 3. It is not handing the shard over (`hand_over`).
 
-A shard record vanishes with the lease of its leader. Every write that a leader makes is conditional on the version of
-its shard record (`LeaderElection.fencing_condition`): what an earlier leader sent and the store applies late fails.
+A shard record is deleted when the lease of its leader expires. Every write of a leader is conditional on the revision
+of its shard record (`LeaderElection.fencing_condition`), so a delayed write of an earlier leader fails.
 """
 
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 class LeaderElection:
-    """The leadership of one controller; `on_gained` and `on_lost` tell the controller of each change.
+    """Leadership of one controller; `on_gained` and `on_lost` are called on each change.
 
     `home` is the shard that this controller leads by preference.
     """
@@ -30,21 +30,21 @@
         self.ctx = ctx
         self.home = home
         self.size = ctx.settings.facts.size
-        #: this controller does not reach its workers: others go first
+        #: this controller does not reach its workers, so it lets others claim first
         self.yielding = False
         self.led = LedShards(ctx, on_lost)
         self.lease = LeaderLease(ctx, self.led.drop_all)
         self._claims = ShardClaims(ctx, self.lease, self.led, home, on_gained)
         self._hand_overs = HandOvers(ctx, self.led)
-        #: by shard that this controller leads, the version of its record
+        #: by shard that this controller leads: the revision of its record
         self.mod_revisions = self.led.mod_revisions
 
     def may_launch(self, shard: int | None = None) -> bool:
-        """Whether this controller may launch and decide, in a shard that it leads if one is named.
+        """Whether this controller may launch tasks and make decisions, in `shard` if given, which it leads.
 
-        Guard: from before a hand-over is sent until it has failed for certain, nothing starts in that shard. Its answer
-        may be lost while the next leader has read it: what came to the shard since is new to both, and both would start
-        it. What was there before, the next leader inherits as unreconciled.
+        Guard: nothing starts in a shard from before its hand-over is sent until the hand-over has certainly failed. Its
+        answer may be lost although the next leader has read the change. Work that reached the shard since would be new
+        to both, and both would start it; earlier work is inherited by the next leader as unreconciled.
         """
         return shard not in self.led.handing_over and self.lease.permits_launch()
 
@@ -57,7 +57,7 @@
         return shard in self.mod_revisions
 
     def leader(self, shard: int) -> str | None:
-        """The label of the controller that leads a shard by its record; None if it has no leader."""
+        """The label of the controller that leads a shard according to its record; None if it has no leader."""
         record = self.ctx.cache.shard(shard)
         return record.leader if record else None
 
@@ -66,7 +66,7 @@
         return self.led.fencing_condition(shard)
 
     def tick(self) -> None:
-        """Keep the lease; drop, hand over and claim shards."""
+        """Maintain the lease; drop, hand over and claim shards."""
         self.lease.tick()
         if not self.led.write_pending:
             self.led.drop_replaced()
@@ -75,13 +75,13 @@
             self._claims.claim_next(self.yielding)
 
     def shard_record_changed(self, shard: int) -> None:
-        """The record of a shard has changed in the cache."""
+        """Handle a change of a shard record in the cache."""
         self.led.record_changed(shard)
 
-    def claim(self, shard: int, above: int = 0) -> None:
-        """Claim a shard, or raise the term of one that this controller leads, to a term greater than `above`."""
-        self._claims.claim(shard, above)
+    def claim(self, shard: int, observed_term: int = 0) -> None:
+        """Claim a shard, or raise its term if this controller leads it, to a term greater than `observed_term`."""
+        self._claims.claim(shard, observed_term)
 
     def hand_over(self, shard: int) -> None:
-        """Give up a shard to its home, which is alive again, or to a peer that reaches its workers."""
+        """Give up a shard to its home, which is alive again, or to a peer that reaches the shard's workers."""
         self._hand_overs.hand_over(shard)
--- a/quinceslip/coordination/leadership/hand_over.py
+++ b/quinceslip/coordination/leadership/hand_over.py
@@ -1,4 +1,4 @@
-"""Hand-over: a leader gives up a shard to its home, which is alive again, or to a peer that reaches its workers.
+"""Hand-over: a leader gives up a shard to its home, which is alive again, or to a peer that reaches the workers.
 
 The leader deletes its shard record, and whichever controller is next in the ring claims the shard.
 """
@@ -13,9 +13,9 @@
 
 log = logging.getLogger(__name__)
 
-#: pause before a hand-over of unknown outcome is sent again
+#: delay before a hand-over of unknown outcome is sent again
 RETRY_US = SECOND // 2
-#: outcomes after which a write has not been applied, and never will be
+#: statuses of a write that has not been applied and never will be
 NOT_APPLIED_STATUSES = (NOT_SENT, 400, 429, 503)
 
 
@@ -28,7 +28,7 @@
         self._next_retry_us = 0
 
     def retry(self) -> None:
-        """Send the first hand-over of unknown outcome once more; it is called while no write is pending."""
+        """Resend the first hand-over of unknown outcome; called only while no write is pending."""
         if self.led.handing_over and self.ctx.now_us >= self._next_retry_us:
             self.hand_over(next(iter(self.led.handing_over)))
 
@@ -43,19 +43,19 @@
         def on_record_deleted(status: int, failed: list[str]) -> None:
             self.led.write_pending = False
             if shard in self.led.mod_revisions:
-                self._answered(shard, status)
+                self._handle_answer(shard, status)
 
         conditions = self.led.fencing_condition(shard)
         self.ctx.compare_and_swap(conditions, {}, [records.shard_key(shard)], on_record_deleted, Urgency.USER)
 
-    def _answered(self, shard: int, status: int) -> None:
+    def _handle_answer(self, shard: int, status: int) -> None:
         indeterminate = self.led.handing_over.get(shard) is HandOverState.INDETERMINATE
         if status == 200:
             log.info("shard handed over shard=%d", shard)
             self.led.drop(shard)
         elif status in NOT_APPLIED_STATUSES and not indeterminate:
-            self.led.handing_over.pop(shard, None)  # no attempt of it can be applied any more
+            self.led.handing_over.pop(shard, None)  # no attempt can be applied any more
         else:
-            # Applied without an answer, or still to be applied: it is retried until it succeeds or its condition
-            # fails. Where that has failed, the record has changed, and the watch is about to say so.
+            # It may have been applied, or may still be: retry until it succeeds or its condition fails. If the
+            # condition has failed, the record has changed, and the watch will report that.
             self.led.handing_over[shard] = HandOverState.INDETERMINATE
--- a/quinceslip/coordination/leadership/leader_lease.py
+++ b/quinceslip/coordination/leadership/leader_lease.py
@@ -1,11 +1,11 @@
-"""The lease of one controller at the key-value store, and for how long it permits the controller to act.
+"""The lease of one controller at the key-value store, and how long it permits the controller to act.
 
 Every controller keeps one lease (PROTOCOL calls it a hold) and renews it. The records of the shards it leads are
-attached to that lease, so they vanish when the controller can no longer renew it, and a peer may then claim them.
+attached to that lease, so they are deleted when the controller can no longer renew it, and a peer may then claim them.
 
-What a controller may do rests on its own proofs of contact with the store and on nothing that a peer says. A proof
-dates from the moment at which the answered request was *sent*, by the controller's own clock: the store counts the
-lifetime of the lease from a later moment, so the controller stops before the store lets anybody else start.
+What a controller may do depends only on its own proofs of contact with the store, never on what a peer says. A proof
+dates from the moment at which the answered request was *sent*, by the controller's own clock. The store counts the
+lifetime of the lease from a later moment, so the controller stops before the store lets any other controller start.
 """
 
 import logging
@@ -20,14 +20,14 @@
 
 log = logging.getLogger(__name__)
 
-#: a leader stops launching this part of the lease, and this time, before the lease can expire
+#: a leader launches only within this share of its lease, less the margin, so it stops before the lease can expire
 LAUNCH_LEASE_SHARE = 0.95
 LAUNCH_MARGIN_US = 50_000
-#: the lease is renewed once this part of it has passed
+#: number of renewals in the lifetime of a lease
 RENEWALS_PER_LEASE = 4
-#: pause after a creation that failed
+#: delay after a failed creation
 CREATE_RETRY_US = SECOND // 2
-#: pause after a renewal that failed
+#: delay after a failed renewal
 RENEW_RETRY_US = 200_000
 
 
@@ -38,18 +38,18 @@
         self.ctx = ctx
         self.on_expired = on_expired
         self.lease_id: int | None = None
-        # No contact has been proven: whatever an earlier process of this controller knew, this one does not.
-        permitted_us = ctx.timing.leader_lease_us + ctx.timing.grace_us
-        self.renewal_sent_us = ctx.now_us - 2 * permitted_us
-        self.watch_sent_us = ctx.now_us - 2 * permitted_us
+        # No contact has been proven yet: proofs of an earlier process of this controller do not count.
+        answer_period_us = ctx.timing.leader_lease_us + ctx.timing.grace_us
+        self.renewal_sent_us = ctx.now_us - 2 * answer_period_us
+        self.watch_sent_us = ctx.now_us - 2 * answer_period_us
         self.launch_period_us = int(ctx.timing.leader_lease_us * LAUNCH_LEASE_SHARE) - LAUNCH_MARGIN_US
-        self.answer_period_us = permitted_us
+        self.answer_period_us = answer_period_us
         self._request_pending = False
         self._next_attempt_us = 0
 
-    # Both proofs of contact must be recent, so the earlier one counts: the renewal says that nobody took over, the
-    # watch that a cancellation would have been heard of. A watch that hangs while renewals succeed must not pass for
-    # contact.
+    # Both proofs of contact must be recent, so the earlier one counts. The renewal proves that no peer has taken over,
+    # the watch that this controller would have learned of a cancellation. A watch that hangs while renewals succeed
+    # must not count as contact.
 
     def permits_launch(self) -> bool:
         """Whether the lease exists and cannot have expired yet, so that no peer leads a shard of this controller."""
@@ -58,15 +58,15 @@
         return self.ctx.now_us < min(self.renewal_sent_us, self.watch_sent_us) + self.launch_period_us
 
     def permits_answer(self) -> bool:
-        """Whether heartbeats of the workers may still be answered: within the lease and the grace period after it."""
+        """Whether heartbeats of workers may still be answered: within the lease and the grace period after it."""
         return self.ctx.now_us < min(self.renewal_sent_us, self.watch_sent_us) + self.answer_period_us
 
     def watch_answered(self, sent_us: int) -> None:
-        """The store answered a request of the watch, or a listing, that was sent at `sent_us`."""
+        """Note that the store answered a watch or listing request that was sent at `sent_us`."""
         self.watch_sent_us = max(self.watch_sent_us, sent_us)
 
     def tick(self) -> None:
-        """Create the lease, or renew it when that is due; one request at a time."""
+        """Create the lease, or renew it when due; one request at a time."""
         if self._request_pending or self.ctx.now_us < self._next_attempt_us:
             return
         if self.lease_id is None:
