--- a/quinceslip/coordination/shard/__init__.py
+++ b/quinceslip/coordination/shard/__init__.py
@@ -1,1 +1,1 @@
-"""One shard: its workers, the partitions of jobs that it answers for, and its parts together."""
+"""One shard as its leader runs it: heartbeats, machine registration, silent workers, capacity and log summary."""
--- a/quinceslip/coordination/shard/capacity.py
+++ b/quinceslip/coordination/shard/capacity.py
@@ -1,4 +1,4 @@
-"""Capacity of a shard: the figures that load balancing, autoscaling and deadline scheduling ask for."""
+"""Capacity figures of a shard, for load balancing, autoscaling and deadline scheduling."""
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, NamedTuple
@@ -8,22 +8,22 @@
 if TYPE_CHECKING:
     from quinceslip.coordination.shard.shard import Shard
 
-#: the capacity summary is made anew this often at the most
+#: maximum age of the cached capacity summary
 SUMMARY_MAX_AGE_US = SECOND // 4
-#: the same of the mean task
+#: maximum age of the cached mean task
 MEAN_TASK_MAX_AGE_US = SECOND // 2
-#: run times of this many finished tasks, the newest, make the mean
+#: the mean run time is taken over this many of the last finished tasks
 MAX_RUN_TIMES = 200
-#: what a typical task is taken for where there is none
+#: size and run time assumed for a typical task while there is none
 DEFAULT_TASK_CPUS, DEFAULT_RUN_S = 1.0, 60.0
-#: no typical task is taken for smaller or shorter than this
+#: lower bounds of the size and run time of a typical task
 MIN_TASK_CPUS, MIN_RUN_S = 0.1, 0.1
-#: a moment before the actor's clock begins
+#: a time before the actor's clock starts
 _NEVER_US = -SECOND
 
 
 class MeanTask(NamedTuple):
-    """A typical task: what a slot is, and how fast it serves."""
+    """A typical task, which defines the size of a slot and its service rate."""
 
     cpus: float
     run_s: float
@@ -32,26 +32,25 @@
 class QueueingStation(NamedTuple):
     """A shard as a station of the queueing model (`load_balancing/queueing_model.py`)."""
 
-    slots: int  # m of the paper
-    rate: float  # u of the paper: tasks that a slot serves, per second
+    slots: int  # m in the paper
+    rate: float  # u in the paper: tasks per second that a slot serves
 
 
 @dataclass(slots=True)
 class CapacitySummary:
-    """Sums over the usable machines of a shard, as of one moment."""
+    """Totals over the usable machines of a shard at one moment."""
 
     at_us: int
-    service_room: dict[str, float]  # CPUs by zone that services could have: free, or of what they may preempt
-    quick_room: float = 0.0  # the part of it on machines that fetch a usual image of a service in time
-    batch_cpus: float = 0.0  # CPUs that services leave
+    service_room: dict[str, float]  # by zone: CPUs available to services, free or by preemption
+    quick_room: float = 0.0  # the part of them on machines that fetch a typical service image in time
+    batch_cpus: float = 0.0  # CPUs not used by services
     free_cpus: list[float] = field(default_factory=list)  # of each machine
 
 
 class CapacityFigures:
-    """Figures of one shard's capacity, cached for a moment each. Owned by its shard."""
+    """Capacity figures of one shard, each cached for a short time. Owned by its shard."""
 
     def __init__(self, shard: "Shard") -> None:
-        """Of this shard; nothing is computed before it is asked for."""
         self.shard = shard
         self.ctx = shard.ctx
         self._run_times_s: list[float] = []  # of finished tasks, newest last
@@ -60,7 +59,7 @@
         self._summary = CapacitySummary(_NEVER_US, {})
 
     def task_finished(self, run_s: float) -> None:
-        """Count the run time of a task that is done."""
+        """Record the run time of a finished task."""
         self._run_times_s.append(run_s)
         del self._run_times_s[:-MAX_RUN_TIMES]
 
@@ -73,7 +72,7 @@
         return self._mean_task
 
     def _compute_mean_task(self) -> MeanTask:
-        """The mean over open batch tasks; of run times, those that were measured go before estimates."""
+        """The mean over open batch tasks; measured run times take precedence over estimates."""
         cpus = run_s = 0.0
         weight = 0.0
         for partition in self.shard.partitions.values():
@@ -89,16 +88,16 @@
         return MeanTask(cpus or DEFAULT_TASK_CPUS, run_s or DEFAULT_RUN_S)
 
     def summary(self) -> CapacitySummary:
-        """Sums over the machines that can be used, made anew four times a second at the most.
+        """Totals over the usable machines, recomputed at most four times a second.
 
-        Each submission asks for them, and each part that balances load, scales out or scales in.
+        Every submission reads them, as do load balancing, scale-out and scale-in.
         """
         if self.ctx.now_us >= self._summary.at_us + SUMMARY_MAX_AGE_US:
             self._summary = self._compute_summary()
         return self._summary
 
     def _compute_summary(self) -> CapacitySummary:
-        """The sums as of now."""
+        """Compute the totals as of now."""
         summary = CapacitySummary(self.ctx.now_us, {zone: 0.0 for zone in self.ctx.settings.facts.zones})
         usable, starts_quickly = self.shard.placement.usable, self.ctx.starts_quickly
         for worker in self.shard.workers.values():
@@ -107,28 +106,28 @@
             summary.batch_cpus += max(0.0, worker.type.cpus - worker.service_cpus)
             summary.free_cpus.append(worker.type.cpus - worker.used_cpus)
             if not worker.spot:
-                room = max(0.0, worker.service_room())
-                summary.service_room[worker.zone] = summary.service_room.get(worker.zone, 0.0) + room
+                available_cpus = max(0.0, worker.service_room())
+                summary.service_room[worker.zone] = summary.service_room.get(worker.zone, 0.0) + available_cpus
                 if starts_quickly(worker.type):
-                    summary.quick_room += room
+                    summary.quick_room += available_cpus
         return summary
 
     def queueing_station(self) -> QueueingStation:
-        """Slots for typical tasks, and the rate at which each serves."""
+        """Number of slots for typical tasks, and the service rate of each."""
         cpus, run_s = self.mean_task()
         slots = int(self.summary().batch_cpus / max(cpus, MIN_TASK_CPUS))
         return QueueingStation(slots, 1.0 / max(run_s, MIN_RUN_S))
 
     def free_slots(self) -> int:
-        """Slots that are free right now; none while tasks wait for a machine."""
+        """Number of slots that are free now; 0 while tasks wait for a machine."""
         if any(partition.pending and not partition.on_hold for partition in self.shard.queued.values()):
             return 0
         slot_cpus = max(self.mean_task().cpus, MIN_TASK_CPUS)
-        # A machine on which work is preempted holds both until the victims are gone: less than nothing is free.
+        # During preemption a machine holds the new tasks and the victims, so its free CPUs can be negative.
         return int(sum(max(0.0, free) // slot_cpus for free in self.summary().free_cpus))
 
     def booting_cpus(self) -> float:
-        """CPUs of machines that have sent no heartbeat yet."""
+        """CPUs of machines that have not sent a heartbeat yet."""
         return sum(
             worker.type.cpus
             for worker in self.shard.workers.values()
@@ -136,10 +135,10 @@
         )
 
     def service_room(self) -> list[int]:
-        """CPUs that services could have in each zone, in the order of the settings: free, or to be preempted."""
-        room = self.summary().service_room
-        return [int(room[zone]) for zone in self.ctx.settings.facts.zones]
+        """CPUs available to services, free or by preemption, in each zone in the order of the settings."""
+        cpus_by_zone = self.summary().service_room
+        return [int(cpus_by_zone[zone]) for zone in self.ctx.settings.facts.zones]
 
     def quick_room(self) -> int:
-        """The part of it on machines that fetch a usual image of a service in time."""
+        """CPUs available to services on machines that fetch a typical service image in time."""
         return int(self.summary().quick_room)
--- a/quinceslip/coordination/shard/heartbeats.py
+++ b/quinceslip/coordination/shard/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of a shard's workers: which of them are applied, and which are answered with what commands."""
+"""Heartbeats of a shard's workers: which ones are applied, and which are answered with which commands."""
 
 import logging
 from typing import TYPE_CHECKING
@@ -11,7 +11,7 @@
 
 log = logging.getLogger(__name__)
 
-#: priority classes up to this one (production and urgent) may preempt other work
+#: the lowest of the priority classes that may preempt other work (production and urgent)
 LOWEST_PREEMPTING_CLASS = 1
 
 
@@ -19,14 +19,13 @@
     """Applies the heartbeats of one shard's workers and answers them. Owned by its shard."""
 
     def __init__(self, shard: "Shard") -> None:
-        """Of this shard."""
         self.shard = shard
 
     def receive(self, heartbeat: m.WorkerHeartbeat, direct: bool = False) -> m.CommandReply | None:
-        """Apply a heartbeat; returns the answer, or None where none may be given.
+        """Apply a heartbeat; returns the answer, or None if none may be given.
 
-        `direct`: it came as the reply to a direct command or probe, so nobody waits for an answer. Raises `KeyError`
-        for a worker that is not in this shard.
+        `direct`: it came as the reply to a direct command or probe, so no answer is expected. Raises `KeyError` for a
+        worker that is not in this shard.
         """
         shard = self.shard
         worker = shard.workers[heartbeat.worker]
@@ -34,7 +33,7 @@
             return None
         was_usable, used_cpus = shard.placement.usable(worker), worker.used_cpus
         if not shard.apply_heartbeat(worker, heartbeat):
-            return self._answer_overtaken(worker)
+            return self._answer_outdated(worker)
         if shard.placement.usable(worker) != was_usable or (direct and self._may_have_freed_room(worker, used_cpus)):
             shard.needs_placement = True
         if direct:
@@ -46,7 +45,7 @@
         return self._answer(worker, heartbeat) if may_answer else None
 
     def _is_current(self, worker: Worker, heartbeat: m.WorkerHeartbeat, direct: bool) -> bool:
-        """Whether a heartbeat may be applied under our term; where a higher term is shown, one is claimed."""
+        """Whether a heartbeat may be applied under our term; if it carries a higher term, claims a still higher one."""
         shard = self.shard
         if heartbeat.fencing_token > shard.term:
             shard.raise_term(heartbeat.fencing_token)
@@ -64,19 +63,19 @@
             return False
         return True
 
-    def _answer_overtaken(self, worker: Worker) -> m.CommandReply:
-        """The answer to a heartbeat that a direct reply has overtaken: its sender may still wait for it."""
+    def _answer_outdated(self, worker: Worker) -> m.CommandReply:
+        """Answer a heartbeat that a direct reply has overtaken, since its sender may still be waiting."""
         shard = self.shard
         worker.last_heartbeat_us = shard.ctx.now_us
         worker.lease_renewed_us = max(worker.lease_renewed_us, shard.ctx.now_us)
         return m.CommandReply(shard.term, shard.command_sender.commands_for(worker, may_launch=False))
 
     def _may_have_freed_room(self, worker: Worker, used_cpus_before: float) -> bool:
-        """Whether waiting tasks may find room after a direct reply of the worker."""
+        """Whether waiting tasks may become placeable by a direct reply of the worker."""
         return worker.used_cpus < used_cpus_before or self.shard.quota is not None or self._preempting_partition_waits()
 
     def _preempting_partition_waits(self) -> bool:
-        """Whether something waits that may preempt: what has just been seen to run may be a victim."""
+        """Whether a partition that may preempt is waiting: tasks just reported as running are possible victims."""
         return any(
             partition.pending and partition.priority <= LOWEST_PREEMPTING_CLASS
             for partition in self.shard.queued.values()
@@ -85,7 +84,7 @@
     def _answer(self, worker: Worker, heartbeat: m.WorkerHeartbeat) -> m.CommandReply:
         """Renew the worker's lease, place tasks on it, and answer with its commands."""
         shard = self.shard
-        # Guard: an answer of ours that is lost takes nothing back of what an earlier leader may still renew.
+        # Guard: never move it back. Our answer may be lost, and an earlier leader may still renew the lease.
         worker.lease_renewed_us = max(worker.lease_renewed_us, shard.ctx.now_us)
         if not worker.registered:
             shard.registration.to_register.add(worker.name)
--- a/quinceslip/coordination/shard/log_summary.py
+++ b/quinceslip/coordination/shard/log_summary.py
@@ -1,4 +1,4 @@
-"""A shard in the log: one line of counts, and its machines one by one at `debug`."""
+"""Log output of a shard: one line of counts, and its machines one by one at `debug`."""
 
 import logging
 from collections.abc import Sequence
@@ -13,22 +13,22 @@
 
 log = logging.getLogger(__name__)
 
-#: so many machines of a shard are logged one by one at `debug`, those that are not usable first
+#: maximum number of machines of a shard that are logged at `debug`, unusable ones first
 MAX_LOGGED_MACHINES = 100
 
 
 class MachineState(StrEnum):
-    """Whether a machine may get tasks, and why not."""
+    """Whether a machine may get tasks, and if not, why."""
 
     USABLE = "usable"
-    DRAINING = "draining"  # drained, about to be reclaimed by the cloud, or being deleted
-    BOOTING = "booting"  # it has sent no heartbeat yet
+    DRAINING = "draining"  # draining, about to be reclaimed by the cloud, or being deleted
+    BOOTING = "booting"  # it has not sent a heartbeat yet
     OUT = "out"  # silent, unreachable, not fenced, or not registered
 
 
 @dataclass(frozen=True, slots=True)
 class MachineStatus:
-    """One machine with its state, as of one moment."""
+    """A machine and its state at one moment."""
 
     worker: Worker
     state: MachineState
@@ -36,18 +36,18 @@
 
 @dataclass(slots=True)
 class ShardSummary:
-    """Counts over the machines of a shard, as of one moment."""
+    """Counts and totals over the machines of a shard at one moment."""
 
     shard: int
     waiting_tasks: int
     machines: dict[MachineState, int] = field(default_factory=lambda: dict.fromkeys(MachineState, 0))
-    spot: int = 0  # number of spot machines, in whatever state
+    spot: int = 0  # number of spot machines in any state
     service_cpus: float = 0.0  # in use by services
     other_cpus: float = 0.0  # in use by other tasks
     total_cpus: float = 0.0  # of all machines whose type is known
 
     def add(self, status: MachineStatus) -> None:
-        """Count one machine."""
+        """Add one machine to the counts."""
         worker = status.worker
         self.machines[status.state] += 1
         self.spot += worker.spot
@@ -56,7 +56,7 @@
         self.total_cpus += _total_cpus(worker)
 
     def __str__(self) -> str:
-        """The line for the log: `key=value`, of a length that hardly depends on the number of machines."""
+        """The log line, as `key=value`; its length hardly depends on the number of machines."""
         states = " ".join(f"{state}={count}" for state, count in self.machines.items())
         return (
             f"shard summary shard={self.shard} machines={sum(self.machines.values())} {states} spot={self.spot}"
@@ -66,7 +66,7 @@
 
 
 def machine_state(worker: Worker, usable: bool) -> MachineState:
-    """The state of a machine; `usable`: placement may use it."""
+    """The state of a machine; `usable`: whether placement may use it."""
     if usable:
         return MachineState.USABLE
     if worker.draining or worker.deleting or worker.notice_us:
@@ -75,13 +75,13 @@
 
 
 def machine_statuses(shard: "Shard") -> list[MachineStatus]:
-    """Each machine of the shard with its state."""
+    """All machines of the shard with their states."""
     usable = shard.placement.usable
     return [MachineStatus(worker, machine_state(worker, usable(worker))) for worker in shard.workers.values()]
 
 
 def summarize(shard: int, waiting_tasks: int, statuses: Sequence[MachineStatus]) -> ShardSummary:
-    """The counts over these machines."""
+    """Summarize these machines."""
     summary = ShardSummary(shard, waiting_tasks)
     for status in statuses:
         summary.add(status)
@@ -89,7 +89,7 @@
 
 
 def log_machines(shard: int, statuses: Sequence[MachineStatus]) -> None:
-    """Log machines one by one at `debug`: at most `MAX_LOGGED_MACHINES`, those that are not usable first."""
+    """Log machines one by one at `debug`: at most `MAX_LOGGED_MACHINES`, unusable ones first."""
     if not log.isEnabledFor(logging.DEBUG):
         return
     ordered = sorted(statuses, key=lambda status: (status.state is MachineState.USABLE, status.worker.name))
@@ -111,10 +111,10 @@
 
 
 def _other_cpus(worker: Worker) -> float:
-    """CPUs in use by other tasks than services; sums of decimal amounts may differ by less than nothing."""
+    """CPUs in use by tasks other than services, never negative: rounding may make the difference less than 0."""
     return max(0.0, worker.used_cpus - worker.service_cpus)
 
 
 def _total_cpus(worker: Worker) -> float:
-    """CPUs of the machine, 0 where its type is not known."""
+    """CPUs of the machine; 0 if its type is not known."""
     return worker.type.cpus if worker.type is not None else 0.0
--- a/quinceslip/coordination/shard/shard.py
+++ b/quinceslip/coordination/shard/shard.py
@@ -1,4 +1,4 @@
-"""One shard as its leader runs it: its parts together, and the events and questions that other packages pass it."""
+"""One shard as its leader runs it: composes its parts, and routes events and queries of other packages to them."""
 
 import logging
 
@@ -21,9 +21,9 @@
 
 log = logging.getLogger(__name__)
 
-#: waiting partitions are ordered by deadline anew this often
+#: interval at which waiting partitions are reordered by deadline
 DEADLINE_ORDER_INTERVAL_US = SECOND
-#: deadline scheduling counts on this many CPUs at least
+#: lower bound of the CPUs that deadline scheduling expects
 MIN_EXPECTED_CPUS = 0.01
 
 
@@ -31,13 +31,13 @@
     """A shard that this controller leads.
 
     Its parts: persistence of jobs, placement, commands to workers, heartbeats, registration of workers, the check for
-    silent ones, and figures of its capacity.
+    silent workers, and capacity figures.
     """
 
     def __init__(self, ctx: Context, election: LeaderElection, index: int, term: int, previous_own_term: int) -> None:
-        """Take over shard `index` under `term`: its workers and open jobs as the store has them.
+        """Take over shard `index` under `term`, with its workers and open jobs as recorded in the store.
 
-        `previous_own_term`: our term before a restart, where nobody has led the shard since; else 0.
+        `previous_own_term`: our term before a restart if nobody has led the shard since, else 0.
         """
         super().__init__(ctx, election, index, term)
         self.previous_own_term = previous_own_term
@@ -48,7 +48,7 @@
         self.registration = MachineRegistration(self)
         self.silence_check = SilenceCheck(self)
         self.capacity = CapacityFigures(self)
-        self.moved_us: dict[str, int] = {}  # when tasks of a job were moved to another shard; by the load balancer
+        self.moved_us: dict[str, int] = {}  # by job: when the load balancer last moved tasks to another shard
         self.next_deadline_order_us = 0
         self.registration.inherit_workers()
         for job_id in list(ctx.cache.open_jobs):
@@ -58,15 +58,15 @@
     # Events.
 
     def receive_heartbeat(self, heartbeat: m.WorkerHeartbeat, direct: bool = False) -> m.CommandReply | None:
-        """Apply a heartbeat; returns the answer, or None where none may be given (`HeartbeatReceiver.receive`)."""
+        """Apply a heartbeat; returns the answer, or None if none may be given (`HeartbeatReceiver.receive`)."""
         return self.heartbeats.receive(heartbeat, direct)
 
     def machine_record_changed(self, name: str) -> None:
-        """A machine's record was written or deleted, by us or by others."""
+        """Handle a machine record that was written or deleted, by us or by others."""
         self.registration.record_changed(name)
 
     def task_started(self, worker: Worker, attempt: Attempt) -> None:
-        """A task has been reported as running: its image is on the machine, as the one used last."""
+        """Handle a task reported as running: its image is on the machine, as the most recently used one."""
         if attempt.running_us == self.ctx.now_us:
             log.debug(
                 "task running task=%s worker=%s type=%s since_sent_s=%.1f",
@@ -77,14 +77,14 @@
             )
         worker.images.pop(attempt.spec.image, None)
         worker.images[attempt.spec.image] = attempt.spec.image_gb
-        # Bound: the images on the machine; each turn forgets one.
+        # Bound: the images on the machine; each iteration removes one.
         while worker.type and len(worker.images) > 1 and sum(worker.images.values()) > worker.type.cache_gb > 0:
             del worker.images[next(iter(worker.images))]  # the machine keeps the most recently used
 
     def task_completed(self, worker: Worker, attempt: Attempt, partition: JobPartition) -> None:
-        """A task is done; its result is not recorded yet."""
+        """Handle a task that is done; its result is not recorded yet."""
         self.persistence.task_completed(partition)
-        # The job is sound, so the workers on which it failed are not.
+        # The job can succeed, so its failures are attributed to the machines on which it failed.
         self.release_from_hold(partition)
         for name in partition.crash_loop.blamed_machines - {worker.name}:
             if name in self.workers:
@@ -101,16 +101,16 @@
             self.capacity.task_finished((self.ctx.now_us - attempt.running_us) / SECOND)
 
     def term_raised(self, term: int) -> None:
-        """Our leadership has a higher term now, without a failover."""
-        # Every worker that has shown a term of ours stays fenced: what it may still execute is
-        # ours alone, and nothing of an earlier leader's. Only a failover starts anew.
+        """Adopt a higher term of our own leadership, without a failover."""
+        # Every worker that has shown a term of ours stays fenced: all it may still execute comes from us, not from an
+        # earlier leader. Only a failover resets this.
         self.term = term
         self.counter = 0
 
     # Time.
 
     def tick(self) -> None:
-        """Do what is due by the clock."""
+        """Run the periodic work that is due."""
         self.silence_check.tick()
         self.addresses.review()
         self.command_sender.probe_addresses()
@@ -121,7 +121,7 @@
         self._end_retry_pauses()
 
     def _end_retry_pauses(self) -> None:
-        """Let tasks whose pause after a failure is over start again."""
+        """Release tasks whose retry delay after a failure has passed."""
         now_us = self.ctx.now_us
         for job_id in sorted(self.retrying):
             partition = self.partitions.get(job_id)
@@ -133,52 +133,52 @@
                 self.needs_placement = True
 
     def _update_deadline_order(self) -> None:
-        """Order what waits by deadline, and let what has waited too long go first."""
+        """Order waiting partitions by deadline, and put those first that have waited too long."""
         queue = [partition for partition in self.waiting_in_order() if not partition.on_hold]
         if not queue:
             return
         slots, rate = self.capacity.queueing_station()
-        # Of what is still booting, half is there in time for the usual job.
+        # Half of the booting CPUs are expected to be ready in time for a typical job.
         cpus = slots * self.capacity.mean_task().cpus + self.capacity.booting_cpus() / 2
         order_by_deadline(queue, max(cpus * rate, MIN_EXPECTED_CPUS), self.ctx.wall_us)
         self.placement.ageing.update(queue, 1 / rate, slots)
         self.reorder()
 
     def end_batch(self) -> None:
-        """After a batch of messages: place what waits, send workers their commands."""
+        """Finish a batch of messages: place waiting tasks, and send workers their commands."""
         if self.registration.to_register:
             self.registration.register_workers()
         self.placement.place_waiting()
         self.command_sender.send_direct()
 
-    # What load balancing, autoscaling and the log ask; see `CapacityFigures`.
+    # Queries of load balancing, autoscaling and the log; see `CapacityFigures`.
 
     def mean_task(self) -> MeanTask:
         """CPUs and run time of a typical batch task."""
         return self.capacity.mean_task()
 
     def capacity_summary(self) -> CapacitySummary:
-        """Sums over the machines that can be used."""
+        """Totals over the usable machines."""
         return self.capacity.summary()
 
     def queueing_station(self) -> QueueingStation:
-        """Slots for typical tasks, and the rate at which each serves."""
+        """Number of slots for typical tasks, and the service rate of each."""
         return self.capacity.queueing_station()
 
     def free_slots(self) -> int:
-        """Slots that are free right now; none while tasks wait for a machine."""
+        """Number of slots that are free now; 0 while tasks wait for a machine."""
         return self.capacity.free_slots()
 
     def service_room(self) -> list[int]:
-        """CPUs that services could have in each zone, in the order of the settings."""
+        """CPUs available to services, free or by preemption, in each zone in the order of the settings."""
         return self.capacity.service_room()
 
     def quick_room(self) -> int:
-        """The part of it on machines that fetch a usual image of a service in time."""
+        """CPUs available to services on machines that fetch a typical service image in time."""
         return self.capacity.quick_room()
 
     def summary(self) -> str:
-        """One short line for the log, with counts; logs the machines one by one itself, at `debug`."""
+        """A short log line with counts; also logs the machines one by one at `debug`."""
         statuses = machine_statuses(self)
         log_machines(self.index, statuses)
         return str(summarize(self.index, self.waiting_tasks(), statuses))
--- a/quinceslip/coordination/shard/silence.py
+++ b/quinceslip/coordination/shard/silence.py
@@ -1,4 +1,4 @@
-"""Silent workers of a shard: whose lease has expired, and who is probed."""
+"""Silent workers of a shard: expires their leases and probes them."""
 
 import logging
 from typing import TYPE_CHECKING
@@ -11,22 +11,22 @@
 
 log = logging.getLogger(__name__)
 
-#: workers are checked for silence this often
+#: interval between checks for silent workers
 CHECK_INTERVAL_US = SECOND // 2
-#: a worker with services that has been silent for this long is probed
-SERVICE_PROBE_US = 3 * SECOND // 2
+#: a worker with service tasks is probed after this much silence
+SERVICE_PROBE_AFTER_US = 3 * SECOND // 2
 
 
 class SilenceCheck:
     """Expires the leases of silent workers and probes them. Owned by its shard."""
 
     def __init__(self, shard: "Shard") -> None:
-        """Of this shard; the first tick checks."""
+        """The first tick runs a check."""
         self.shard = shard
         self.next_check_us = 0
 
     def tick(self) -> None:
-        """Check all workers, where it is time to."""
+        """Check all workers, if a check is due."""
         now_us = self.shard.ctx.now_us
         if now_us < self.next_check_us:
             return
@@ -39,7 +39,7 @@
                 self.shard.command_sender.probe(worker)
 
     def _expire_lease(self, worker: Worker) -> None:
-        """Expire the worker's lease, if nothing can have renewed it in time."""
+        """Expire the worker's lease if it cannot have been renewed in time."""
         shard = self.shard
         unrenewed_us = shard.ctx.now_us - worker.lease_renewed_us
         if not worker.lease_expired and unrenewed_us > shard.ctx.timing.lease_expiry_us:
@@ -51,7 +51,7 @@
             shard.expire_lease(worker)
 
     def _needs_probe(self, worker: Worker) -> bool:
-        """Whether the worker is to be asked now: one that was inherited at once, others with tasks after a silence."""
+        """Whether to probe the worker now: an inherited one at once, another one with tasks after a silence."""
         shard = self.shard
         now_us = shard.ctx.now_us
         if worker.probing or not worker.endpoint or now_us < worker.next_probe_us:
@@ -66,5 +66,5 @@
     def _probe_after_us(self, worker: Worker) -> int:
         """How long a worker with tasks may be silent before it is probed."""
         probe_after_us = self.shard.ctx.timing.probe_after_us
-        # Replicas of a service that stop are noticed by its users at once, so their machines are probed early.
-        return min(probe_after_us, SERVICE_PROBE_US) if worker.service_tasks else probe_after_us
+        # Users notice at once when replicas of a service stop, so their machines are probed early.
+        return min(probe_after_us, SERVICE_PROBE_AFTER_US) if worker.service_tasks else probe_after_us
