--- a/quinceslip/coordination/actor/context.py
+++ b/quinceslip/coordination/actor/context.py
@@ -36,7 +36,7 @@
         self.wall_offset_us = wall_us - now_us
         self.teams = {team.name: team for team in settings.facts.teams}
         #: the cloud's machine types by label, and the labels of those on which services start fast enough
-        self.types: dict[str, messages.MachineType] = {}
+        self.machine_types: dict[str, messages.MachineType] = {}
         self.quick_types: set[str] = set()
         self.graph = DependencyGraph(self.cache.job, self._job_urgency, self.expected_duration_us)
         #: whether a feature level is active in all controllers (`quinceslip.feature_gate`)
@@ -83,7 +83,7 @@
 
         The owner's estimate gets no margin: a longer one would make every job before an urgent job urgent at once.
         """
-        fetch_rates = (machine_type.fetch_gb_per_s for machine_type in self.types.values())
+        fetch_rates = (machine_type.fetch_gb_per_s for machine_type in self.machine_types.values())
         lowest_rate = max(min(fetch_rates, default=DEFAULT_FETCH_GB_PER_S), MIN_FETCH_GB_PER_S)
         return micros(spec.estimated_run_s + spec.image_gb / lowest_rate) + JOB_OVERHEAD_US
 
@@ -94,6 +94,6 @@
         stall_record = self.cache.by_kind["standstill"].get(self.settings.label)
         return stall_records.rests(stall_record, part, self.wall_us, self.timing.worker_lease_us)
 
-    def progress(self) -> int:
+    def progress_count(self) -> int:
         """A counter that grows while a long message is handled, so that a full listing is not taken for a stall."""
         return self.cache.records_taken + self.records_applied
--- a/quinceslip/coordination/actor/effects.py
+++ b/quinceslip/coordination/actor/effects.py
@@ -40,7 +40,7 @@
     USER = 0  # a user or the leadership of a shard waits for it
     LAUNCH = 1  # launches wait for it
     RESULT = 2
-    REST = 3
+    BACKGROUND = 3
 
 
 # Effects.
@@ -71,13 +71,13 @@
 
 
 @dataclass(slots=True)
-class ToPeers:
+class PeerBroadcast:
     """Frames for all other controllers: a heartbeat, followed by observations of the cloud's capacity."""
 
     frames: bytes
 
 
-Effect = Call | Reply | ToPeers
+Effect = Call | Reply | PeerBroadcast
 
 
 # Messages to the actor.
--- a/quinceslip/coordination/actor/timing.py
+++ b/quinceslip/coordination/actor/timing.py
@@ -6,7 +6,7 @@
 SECOND = 1_000_000
 
 #: maximum relative drift between the monotonic clocks of two machines (PROTOCOL)
-DRIFT = 0.0005
+MAX_CLOCK_DRIFT = 0.0005
 
 #: the key-value store grants leases of up to ten minutes (PROTOCOL); one of less than a second expires at any hiccup
 MIN_LEASE_US, MAX_LEASE_US = SECOND, 600 * SECOND
@@ -44,7 +44,7 @@
         self.heartbeat_period_us = micros(workers.report_s)
         self.worker_lease_us = micros(workers.lease_s)
         cancel_us = micros(workers.cancel_s)
-        self.margin_us = SECOND + int(2 * DRIFT * cancel_us)
+        self.margin_us = SECOND + int(2 * MAX_CLOCK_DRIFT * cancel_us)
         # Time that `cancel_s` leaves to a leader that cannot learn of the cancellation (docs/design.md, "The gap").
         available_us = cancel_us - self.worker_lease_us - 2 * self.margin_us
         if available_us < MIN_LEASE_US:
@@ -63,9 +63,9 @@
         # grace period and a worker's lease must end before a cancellation that it cannot hear of falls due.
         self.grace_us = available_us - self.leader_lease_us
         #: the lease of a worker has expired after this long without an answer, by the leader's clock
-        self.lease_expiry_us = int(self.worker_lease_us * (1 + 2 * DRIFT)) + self.margin_us
+        self.lease_expiry_us = int(self.worker_lease_us * (1 + 2 * MAX_CLOCK_DRIFT)) + self.margin_us
         self.probe_after_us = int(PROBE_AFTER_PERIODS * self.heartbeat_period_us) + PROBE_MARGIN_US
-        self.fresh_us = max(int(MAX_CONTACT_AGE_PERIODS * self.heartbeat_period_us), CONTACT_AGE_FLOOR_US)
+        self.max_contact_age_us = max(int(MAX_CONTACT_AGE_PERIODS * self.heartbeat_period_us), CONTACT_AGE_FLOOR_US)
 
 
 def _check_periods(workers: WorkerFacts) -> None:
--- a/quinceslip/coordination/autoscaling/absorption.py
+++ b/quinceslip/coordination/autoscaling/absorption.py
@@ -22,7 +22,7 @@
 
 def absorbed_cpus(ctx: Context, shard: Shard, part: float) -> float:
     """CPUs of waiting work that the shard's machines get to, with `part` of their slots, while the quickest boots."""
-    boot_times_s = [machine_type.boot_s for machine_type in ctx.types.values()]
+    boot_times_s = [machine_type.boot_s for machine_type in ctx.machine_types.values()]
     slots, rate = shard.queueing_station()
     cpus, _ = shard.mean_task()
     return part * slots * cpus * rate * min(boot_times_s) if boot_times_s else 0.0
--- a/quinceslip/coordination/controller/controller.py
+++ b/quinceslip/coordination/controller/controller.py
@@ -110,7 +110,7 @@
     def _make_periodic_parts(self) -> list[PeriodicPart]:
         """The parts of a tick in their order; their names are those of stall records."""
         return [
-            PeriodicPart("refused", self.ctx.answer_rejected_again),
+            PeriodicPart("refused", self.ctx.report_rejected_writes),
             PeriodicPart("rights", self.election.tick),
             PeriodicPart("rollout", self.feature_gate.tick),
             PeriodicPart("shards", self._tick_shards),
@@ -165,7 +165,7 @@
 
     def _handle_store_changes(self, message: StoreChanges) -> None:
         self.election.lease.watch_answered(message.requested_us)
-        self.ctx.store_ok_us = self.ctx.now_us
+        self.ctx.last_store_answer_us = self.ctx.now_us
         self.record_changes.apply(self.ctx.cache.apply_changes(message.events, message.revision))
         self.user_requests.cache_advanced()
 
--- a/quinceslip/coordination/controller/shard_hand_over.py
+++ b/quinceslip/coordination/controller/shard_hand_over.py
@@ -81,7 +81,7 @@
         heard = 0
         for peer in self.peers.alive():
             heard += sum(count for index, count in peer.heartbeat.misrouted if index == shard)
-        return heard + self.connectivity.misrouted.recorded_by_peers(shard)
+        return heard + self.connectivity.misrouted.count_recorded_by_peers(shard)
 
 
 def _is_settled(worker: Worker) -> bool:
--- a/quinceslip/coordination/controller/submission_checks.py
+++ b/quinceslip/coordination/controller/submission_checks.py
@@ -19,7 +19,7 @@
 
     def never_runs_reason(self, job: records.JobRecord, spec: m.JobSpec) -> str | None:
         """Why a job can never run, shown to its user; None if it can."""
-        if not self.ctx.fits_record(job):
+        if not self.ctx.fits_value_limit(job):
             return "its description is larger than a record may be"
         if self.ctx.team(spec.team) is None:
             return f"unknown team {spec.team}"
@@ -54,7 +54,7 @@
 
     def _fits_nowhere_reason(self, spec: m.JobSpec) -> str | None:
         """Why no allowed machine type holds one task; None if one does."""
-        allowed = [t for t in self.ctx.types.values() if spec.types is None or t.label in spec.types]
+        allowed = [t for t in self.ctx.machine_types.values() if spec.types is None or t.label in spec.types]
         if any(_holds_task(machine_type, spec) for machine_type in allowed):
             return None
         where = "" if spec.zone is None else f" in {spec.zone}"
--- a/quinceslip/coordination/jobs/partition_mover.py
+++ b/quinceslip/coordination/jobs/partition_mover.py
@@ -154,7 +154,7 @@
         conditions = len(plan.job.parts) + OTHER_CONDITIONS_OF_AN_END
         if conditions > CONDITIONS_PER_TXN_OP * self.ctx.limits.txn_ops:
             return False
-        return all(map(self.ctx.fits_record, plan.values()))
+        return all(map(self.ctx.fits_value_limit, plan.values()))
 
     def _mark_moving(self, partition: JobPartition, moved: set[int]) -> None:
         for index in moved:
@@ -180,7 +180,7 @@
         puts = plan.puts(job_id)
         conditions = dict(self.state.election.fencing_condition(self.state.index))
         conditions.update((key, self.ctx.cache.mod_revision(key)) for key in puts)
-        urgency = Urgency.USER if partition.spec.service else Urgency.REST
+        urgency = Urgency.USER if partition.spec.service else Urgency.BACKGROUND
         self.ctx.compare_and_swap(conditions, puts, [], on_written, urgency)
 
 
--- a/quinceslip/coordination/leadership/claims.py
+++ b/quinceslip/coordination/leadership/claims.py
@@ -29,10 +29,12 @@
 class ShardClaims:
     """Claims shards that have no leader, the home shard first and then those before it in the ring."""
 
-    def __init__(self, ctx: Context, lease: LeaderLease, led: LedShards, home: int, on_gained: ShardGained) -> None:
+    def __init__(
+        self, ctx: Context, lease: LeaderLease, led_shards: LedShards, home: int, on_gained: ShardGained
+    ) -> None:
         self.ctx = ctx
         self.lease = lease
-        self.led = led
+        self.led_shards = led_shards
         self.home = home
         self.on_gained = on_gained
         self.next_claim_us = 0
@@ -43,7 +45,7 @@
 
         The caller must have checked that the lease permits it.
         """
-        if self.led.write_pending or self.ctx.now_us < self.next_claim_us or not self.ctx.cache.synced:
+        if self.led_shards.write_pending or self.ctx.now_us < self.next_claim_us or not self.ctx.cache.synced:
             return
         cluster_size = self.ctx.settings.facts.size
         for distance in range(cluster_size):
@@ -54,7 +56,7 @@
 
     def _is_due(self, shard: int, distance: int, yielding: bool) -> bool:
         """Whether a shard has been without a leader for long enough; also tracks since when it has none."""
-        if shard in self.led.mod_revisions:
+        if shard in self.led_shards.mod_revisions:
             return False
         record = self.ctx.cache.shard(shard)
         if record is not None and record.leader != self.ctx.settings.label:
@@ -83,17 +85,17 @@
     def claim(self, shard: int, observed_term: int = 0) -> None:
         """Claim a shard, or raise its term if this controller leads it, to a term greater than `observed_term`."""
         lease_id = self.lease.lease_id
-        if self.led.write_pending or lease_id is None:
+        if self.led_shards.write_pending or lease_id is None:
             return
         cache = self.ctx.cache
         term = self._next_term(observed_term)
         key = records.shard_key(shard)
         conditions = {records.TERM: cache.mod_revision(records.TERM), key: cache.mod_revision(key)}
         previous_own_term = self._previous_own_term(shard)
-        self.led.write_pending = True
+        self.led_shards.write_pending = True
 
         def on_claimed(status: int, failed: list[str]) -> None:
-            self.led.write_pending = False
+            self.led_shards.write_pending = False
             if status == 200 and self.lease.lease_id == lease_id:
                 self._handle_claimed(shard, term, previous_own_term)
             else:
@@ -114,8 +116,8 @@
         return record.term if record is not None and record.leader == self.ctx.settings.label else 0
 
     def _handle_claimed(self, shard: int, term: int, previous_own_term: int) -> None:
-        was_leading = shard in self.led.mod_revisions
-        self.led.mod_revisions[shard] = self.ctx.cache.mod_revision(records.shard_key(shard))
+        was_leading = shard in self.led_shards.mod_revisions
+        self.led_shards.mod_revisions[shard] = self.ctx.cache.mod_revision(records.shard_key(shard))
         self._leaderless_since_us.pop(shard, None)
         log.info("%s shard=%d term=%d", "term raised" if was_leading else "leadership gained", shard, term)
         self.on_gained(shard, term, previous_own_term)
--- a/quinceslip/coordination/leadership/election.py
+++ b/quinceslip/coordination/leadership/election.py
@@ -29,15 +29,15 @@
     def __init__(self, ctx: Context, home: int, on_gained: ShardGained, on_lost: Callable[[int], None]) -> None:
         self.ctx = ctx
         self.home = home
-        self.size = ctx.settings.facts.size
+        self.shard_count = ctx.settings.facts.size
         #: this controller does not reach its workers, so it lets others claim first
         self.yielding = False
-        self.led = LedShards(ctx, on_lost)
-        self.lease = LeaderLease(ctx, self.led.drop_all)
-        self._claims = ShardClaims(ctx, self.lease, self.led, home, on_gained)
-        self._hand_overs = HandOvers(ctx, self.led)
+        self.led_shards = LedShards(ctx, on_lost)
+        self.lease = LeaderLease(ctx, self.led_shards.drop_all)
+        self._claims = ShardClaims(ctx, self.lease, self.led_shards, home, on_gained)
+        self._hand_overs = HandOvers(ctx, self.led_shards)
         #: by shard that this controller leads: the revision of its record
-        self.mod_revisions = self.led.mod_revisions
+        self.mod_revisions = self.led_shards.mod_revisions
 
     def may_launch(self, shard: int | None = None) -> bool:
         """Whether this controller may launch tasks and make decisions, in `shard` if given, which it leads.
@@ -46,7 +46,7 @@
         answer may be lost although the next leader has read the change. Work that reached the shard since would be new
         to both, and both would start it; earlier work is inherited by the next leader as unreconciled.
         """
-        return shard not in self.led.handing_over and self.lease.permits_launch()
+        return shard not in self.led_shards.handing_over and self.lease.permits_launch()
 
     def may_answer(self) -> bool:
         """Whether this controller may still answer the heartbeats of its workers (lease and grace period)."""
@@ -63,20 +63,20 @@
 
     def fencing_condition(self, shard: int) -> dict[str, int]:
         """The condition of every write for a shard that this controller leads; raises KeyError for other shards."""
-        return self.led.fencing_condition(shard)
+        return self.led_shards.fencing_condition(shard)
 
     def tick(self) -> None:
         """Maintain the lease; drop, hand over and claim shards."""
         self.lease.tick()
-        if not self.led.write_pending:
-            self.led.drop_replaced()
+        if not self.led_shards.write_pending:
+            self.led_shards.drop_replaced()
             self._hand_overs.retry()
         if self.may_launch():
             self._claims.claim_next(self.yielding)
 
     def shard_record_changed(self, shard: int) -> None:
         """Handle a change of a shard record in the cache."""
-        self.led.record_changed(shard)
+        self.led_shards.record_changed(shard)
 
     def claim(self, shard: int, observed_term: int = 0) -> None:
         """Claim a shard, or raise its term if this controller leads it, to a term greater than `observed_term`."""
--- a/quinceslip/coordination/load_balancing/load_balancer.py
+++ b/quinceslip/coordination/load_balancing/load_balancer.py
@@ -69,7 +69,7 @@
 
     def quick_service_cpus(self) -> list[int]:
         """CPUs in every shard that services could have on machines that start quickly enough for them."""
-        cpus = {shard.index: shard.quick_room() for shard in self.shards.values()}
+        cpus = {shard.index: shard.quick_service_cpus() for shard in self.shards.values()}
         for load in self.peers.loads():
             cpus.setdefault(load.shard, load.quick_service_cpus)
         return list(cpus.values())
@@ -77,7 +77,7 @@
     def shard_for(self) -> int | None:
         """The shard for a new job: home below its level, else as the paper forwards; None where none has a leader."""
         loads = self.load_collector.collect()
-        led = {shard for shard in range(self.election.size) if self.election.leader(shard)}
+        led = {shard for shard in range(self.election.shard_count) if self.election.leader(shard)}
         if not led:
             return None
         home = self.election.home if self.election.home in led else min(led)
--- a/quinceslip/coordination/shard/capacity.py
+++ b/quinceslip/coordination/shard/capacity.py
@@ -41,8 +41,8 @@
     """Totals over the usable machines of a shard at one moment."""
 
     at_us: int
-    service_room: dict[str, float]  # by zone: CPUs available to services, free or by preemption
-    quick_room: float = 0.0  # the part of them on machines that fetch a typical service image in time
+    available_service_cpus: dict[str, float]  # by zone: CPUs available to services, free or by preemption
+    quick_service_cpus: float = 0.0  # the part of them on machines that fetch a typical service image in time
     batch_cpus: float = 0.0  # CPUs not used by services
     free_cpus: list[float] = field(default_factory=list)  # of each machine
 
@@ -107,9 +107,11 @@
             summary.free_cpus.append(worker.type.cpus - worker.used_cpus)
             if not worker.spot:
                 available_cpus = max(0.0, worker.service_room())
-                summary.service_room[worker.zone] = summary.service_room.get(worker.zone, 0.0) + available_cpus
+                summary.available_service_cpus[worker.zone] = (
+                    summary.available_service_cpus.get(worker.zone, 0.0) + available_cpus
+                )
                 if starts_quickly(worker.type):
-                    summary.quick_room += available_cpus
+                    summary.quick_service_cpus += available_cpus
         return summary
 
     def queueing_station(self) -> QueueingStation:
@@ -134,11 +136,11 @@
             if worker.type is not None and not worker.last_contact_us and not worker.deleting
         )
 
-    def service_room(self) -> list[int]:
+    def available_service_cpus(self) -> list[int]:
         """CPUs available to services, free or by preemption, in each zone in the order of the settings."""
-        cpus_by_zone = self.summary().service_room
+        cpus_by_zone = self.summary().available_service_cpus
         return [int(cpus_by_zone[zone]) for zone in self.ctx.settings.facts.zones]
 
-    def quick_room(self) -> int:
+    def quick_service_cpus(self) -> int:
         """CPUs available to services on machines that fetch a typical service image in time."""
-        return int(self.summary().quick_room)
+        return int(self.summary().quick_service_cpus)
--- a/quinceslip/coordination/shard/shard.py
+++ b/quinceslip/coordination/shard/shard.py
@@ -48,7 +48,7 @@
         self.registration = MachineRegistration(self)
         self.silence_check = SilenceCheck(self)
         self.capacity = CapacityFigures(self)
-        self.moved_us: dict[str, int] = {}  # by job: when the load balancer last moved tasks to another shard
+        self.last_move_us: dict[str, int] = {}  # by job: when the load balancer last moved tasks to another shard
         self.next_deadline_order_us = 0
         self.registration.inherit_workers()
         for job_id in list(ctx.cache.open_jobs):
@@ -169,13 +169,13 @@
         """Number of slots that are free now; 0 while tasks wait for a machine."""
         return self.capacity.free_slots()
 
-    def service_room(self) -> list[int]:
+    def available_service_cpus(self) -> list[int]:
         """CPUs available to services, free or by preemption, in each zone in the order of the settings."""
-        return self.capacity.service_room()
+        return self.capacity.available_service_cpus()
 
-    def quick_room(self) -> int:
+    def quick_service_cpus(self) -> int:
         """CPUs available to services on machines that fetch a typical service image in time."""
-        return self.capacity.quick_room()
+        return self.capacity.quick_service_cpus()
 
     def summary(self) -> str:
         """A short log line with counts; also logs the machines one by one at `debug`."""
