--- a/quinceslip/quota/__init__.py
+++ b/quinceslip/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Nested organisation quotas: caps and guarantees of a whole tree, kept across shards (docs/quotas.md)."""
+"""Hierarchical quotas: caps and guarantees of a tree of levels, enforced across shards (docs/quotas.md)."""
--- a/quinceslip/quota/admission.py
+++ b/quinceslip/quota/admission.py
@@ -1,7 +1,6 @@
-"""Whether tasks may start now under the caps of every level above them, in one shard.
+"""Decides within one shard whether tasks may start now under the caps of every level above them.
 
-Reads the usage and the shard's allocations; writes nothing. What is short, and what is preempted for it, is the job of
-`shard_quota.py`.
+Reads the usage and the shard's allocations; writes nothing. `shard_quota.py` records what is lacking and preempts.
 """
 
 from quinceslip.coordination.shard_state.state import ShardState
@@ -24,30 +23,30 @@
 
 
 class QuotaAdmission(FairShareOrder):
-    """Admits tasks by caps, by room reserved for others, and by the targets of the present fair-share round."""
+    """Admits tasks by caps, by room reserved for other jobs, and by the targets of the current fair-share round."""
 
     def __init__(self, tree: Tree, allocations: Allocations, state: ShardState) -> None:
         super().__init__(tree, allocations, state)
-        #: the last refusal was a target's
+        #: whether a fair-share target caused the last refusal
         self.last_refused_by_target = False
-        #: the level, where the last refusal was for room that is reserved for others
-        self.last_reserved_level: int | None = None
-        #: by job id: what would be preempted for it if machines had any room
-        self.wanted_room: dict[str, Amounts] = {}
+        #: the level whose room reserved for other jobs caused the last refusal; None: something else did
+        self.level_refused_by_reservation: int | None = None
+        #: by job id: quota that preemption would free for the job if a machine had room for it
+        self.preemptable_room: dict[str, Amounts] = {}
 
     def allows(self, spec: m.JobSpec, count: int = 1) -> bool:
-        """Whether that many tasks may start now, by every level above them."""
+        """Whether `count` tasks may start now under every level above them."""
         path = self.tree.path(spec.team)
         if not path:
             return True
         need = times(task_amounts(spec), count)
-        self.last_refused_by_target, self.last_reserved_level = False, None
+        self.last_refused_by_target, self.level_refused_by_reservation = False, None
         return self._caps_allow(spec, need) and self._targets_allow(path, need)
 
     def _caps_allow(self, spec: m.JobSpec, need: Amounts) -> bool:
         capped = self.tree.capped[spec.team]
         for level in capped:
-            refused = self.refused.get(level)
+            refused = self.refused_amounts.get(level)
             if refused is not None and within(refused, need):
                 return False
         if capped and not self.usage_known():
@@ -59,10 +58,10 @@
         limit = allocation.limit(self.state.index)
         wanted = add(self.usage.get(level, ZERO), need)
         if not within(wanted, limit) or allocation.is_exceeded(need) or not self.allocations.is_current(level):
-            self.refused[level] = need
+            self.refused_amounts[level] = need
             return False
         if self.reservations and not within(add(wanted, self.reserved_for_others(level, job_id)), limit):
-            self.last_reserved_level = level
+            self.level_refused_by_reservation = level
             return False
         return True
 
@@ -77,13 +76,13 @@
         return True
 
     def deferred_to_next_round(self) -> bool:
-        """Whether the last refusal was only for the sake of others in this round, with another to come."""
+        """Whether only the target of this round caused the last refusal: a later round may admit the tasks."""
         return self.last_refused_by_target
 
     def startable(self, spec: m.JobSpec, max_count: int, granted_by_level: dict[int, Amounts]) -> int:
-        """How many of `max_count` tasks may have machines added for them: as the shard holds, or can take from pools.
+        """How many of `max_count` tasks machines may be added for, by what the shard holds or can take from the pools.
 
-        `granted_by_level` adds up, by level, what was answered before in the same plan.
+        `granted_by_level` accumulates, by level, what earlier calls for the same plan granted.
         """
         need = task_amounts(spec)
         count = max_count
@@ -99,16 +98,16 @@
     def _room_for_new_machines(self, level: int, job_id: str) -> Amounts:
         allocation = self.allocations.for_cap(level)
         obtainable = add(allocation.limit(self.state.index), positive(allocation.pool()))
-        return add(subtract(obtainable, self.net_usage(level)), self.wanted_room.get(job_id, ZERO))
+        return add(subtract(obtainable, self.net_usage(level)), self.preemptable_room.get(job_id, ZERO))
 
-    def others_hold_any(self, team: str) -> bool:
-        """Whether the levels that had no room could get any from the pool or another shard.
+    def quota_exists_elsewhere(self, team: str) -> bool:
+        """Whether the pool or another shard has any quota of each level that had no room.
 
-        Guard: also one that has none only because it is reserved for others. Without it, part of what a job needs would
-        be made room for here while nobody has the rest, and it and those others would keep room from each other.
+        Guard: this includes a level whose room is only reserved for other jobs. Otherwise this shard would make room
+        for part of a job although the rest exists nowhere, and the job and those others would block each other.
         """
         for level in self.tree.capped.get(team, ()):
-            if level in self.refused or level == self.last_reserved_level:
+            if level in self.refused_amounts or level == self.level_refused_by_reservation:
                 allocation = self.allocations.for_cap(level)
                 elsewhere = subtract(allocation.total_in_force(), allocation.held(self.state.index))
                 if not any(0 < amount < UNLIMITED // 2 for amount in elsewhere):
--- a/quinceslip/quota/allocation.py
+++ b/quinceslip/quota/allocation.py
@@ -1,9 +1,9 @@
 """One allocation: which part of a level's cap or guarantee each shard may use. No I/O, no clock.
 
 A level's cap is one allocation, its guarantee another; each has one record that says what every shard holds
-of it. What no shard holds is the pool. A shard may use no more than it holds, so the sum of all usage is
-never over the total, whoever knows what. `Guard` lists the rules that a holder keeps, each of which `quinceslip model
-quota --without GUARD` leaves out in turn. The same code runs in the service and in the model
+of it. What no shard holds is the pool. A shard may use no more than it holds, so the sum of all usage never exceeds
+the total, even if controllers act on outdated records. `Guard` lists the rules that this takes; `quinceslip model
+quota --without GUARD` shows what happens without one of them. The same code runs in the service and in the model
 (`quinceslip/quota/model.py`).
 """
 
@@ -18,21 +18,21 @@
 class Guard(StrEnum):
     """A rule that keeps the sum of all usage within the total; the values are those of the command line."""
 
-    #: what is on its way out is not used any more, from before the write is sent
+    #: a shard stops using what it gives away before it sends the write
     RESERVE = "reserve"
-    #: only what nothing uses goes out; what may still be on a machine is used
+    #: a shard gives away only what is unused; tasks that may still be on a machine count as usage
     SPARE = "spare"
-    #: what a shard takes for itself is in the pool
+    #: a shard takes no more than the pool has
     POOL = "pool"
-    #: a write holds only for the `mod_revision` of the record that it was made from
+    #: a write succeeds only if the record still has the `mod_revision` that the write is based on
     MOD_REVISION = "stamp"
-    #: a write holds only while its sender leads the shard (a late one of an earlier leader fails)
+    #: a write succeeds only while its sender leads the shard (a delayed write of an earlier leader fails)
     LEADERSHIP = "owner"
-    #: after a write whose outcome is unknown, what it gives stays out of use until the record changed
+    #: after a write whose outcome is unknown, what it gives away stays unused until the record changes
     INDETERMINATE = "in_doubt"
-    #: a successor starts nothing until each worker of the registry showed its term or is gone
+    #: a new leader starts nothing until each registered worker has acknowledged its term or is gone
     RECONCILED = "resolved"
-    #: nor before its cache has what the shard's earlier leader wrote
+    #: a new leader starts nothing until its cache has all that the shard's earlier leader wrote
     CAUGHT_UP = "caught_up"
 
 
@@ -41,36 +41,36 @@
 
 
 class MoveOutcome(StrEnum):
-    """What a controller knows of a write that it has sent."""
+    """What a controller knows about the outcome of a write that it has sent."""
 
     APPLIED = "applied"
     FAILED = "failed"
-    #: it may still be applied, minutes later
+    #: the write may still be applied, even minutes later
     INDETERMINATE = "indeterminate"
 
 
 @dataclass(slots=True)
 class Move:
-    """A change of a record on its way to the key-value store."""
+    """A change of a record that is being written to the key-value store."""
 
     record: GrantRecord
-    #: by key, of the record and of the shard that sends it: the `mod_revision` it must have
+    #: by key of the record and of the sending shard: the `mod_revision` that the key must have
     conditions: dict[str, int]
-    #: by shard that this controller leads: what goes out
+    #: by shard that this controller leads: what the shard gives away
     outgoing: dict[int, Amounts] = field(default_factory=dict)
-    #: its outcome is unknown
+    #: the outcome of the write is unknown
     indeterminate: bool = False
-    #: it only resolves an earlier one whose outcome is unknown
+    #: the move changes nothing and only resolves an earlier one whose outcome is unknown
     resolves_earlier: bool = False
 
 
 def may_start(reconciled: bool, caught_up: bool, guards: frozenset[str] = ALL_GUARDS) -> bool:
-    """Whether a shard's leader knows all that is held and used, and may add to it."""
+    """Whether a shard's leader knows all that is held and used, and so may start tasks."""
     return (reconciled or Guard.RECONCILED not in guards) and (caught_up or Guard.CAUGHT_UP not in guards)
 
 
 class Allocation:
-    """One amount of one level as one controller knows it; it may lead several shards that hold of it."""
+    """One level's cap or guarantee as one controller knows it; the controller may lead several of the holders."""
 
     __slots__ = ("_pool", "guards", "key", "mod_revision", "move", "parent", "record", "total", "version")
 
@@ -87,28 +87,28 @@
         self.move: Move | None = None
         self._pool: Amounts | None = None
 
-    # What is known.
+    # The state according to the record.
 
     def record_changed(self, record: GrantRecord | None, mod_revision: int) -> None:
-        """The cache has the record at another `mod_revision` (0: there is none)."""
+        """Take over the record that the cache has now (`mod_revision` 0: there is none)."""
         self.record, self.mod_revision, self._pool = record, mod_revision, None
         move = self.move
         if move is not None and move.indeterminate and mod_revision != move.conditions.get(self.key, mod_revision):
-            self.move = None  # it was applied at this revision, or can never be
+            self.move = None  # it was applied at this revision, or never will be
 
     def total_in_force(self) -> Amounts:
-        """The total that holds: of two versions of the tree, the newer one's."""
+        """The total by the newer of two versions of the tree: this controller's and the record's."""
         if self.record is not None and self.record.version > self.version:
             return _amounts_of_record(self.record.total)
         return self.total
 
     def held(self, shard: int) -> Amounts:
-        """What a shard holds by the record."""
+        """What a shard holds according to the record."""
         part = self.record.parts.get(str(shard)) if self.record is not None else None
         return _amounts_of_record(part) if part else ZERO
 
     def limit(self, shard: int) -> Amounts:
-        """What a shard led here may use of it now; without bound where the total has none."""
+        """What a shard led by this controller may use now; unlimited in each resource where the total is."""
         held = self.held(shard)
         if self.move is not None and Guard.RESERVE in self.guards:
             held = positive(subtract(held, self.move.outgoing.get(shard, ZERO)))
@@ -121,26 +121,26 @@
         )
 
     def pool(self) -> Amounts:
-        """What nobody holds; negative where more is held than there is any more."""
+        """What no shard holds; negative where the shards hold more than a lowered total."""
         if self._pool is None:
-            self._pool = self._count_pool()
+            self._pool = self._compute_pool()
         return self._pool
 
-    def _count_pool(self) -> Amounts:
-        together = [0, 0, 0, 0]
+    def _compute_pool(self) -> Amounts:
+        held_by_all = [0, 0, 0, 0]
         if self.record is not None:
             for part in self.record.parts.values():
                 for kind, value in enumerate(part):
-                    together[kind] += value
-        pairs = zip(self.total_in_force(), together, strict=True)
+                    held_by_all[kind] += value
+        pairs = zip(self.total_in_force(), held_by_all, strict=True)
         return amounts_of([total - held if total < UNLIMITED else 0 for total, held in pairs])
 
     def is_exceeded(self, need: Sequence[int]) -> bool:
-        """Whether more is held than the (lowered) total in a resource that is needed: nothing new starts."""
+        """Whether the shards hold more than a lowered total of a needed resource, so that nothing new may start."""
         pool = self.pool()
         return min(pool) < 0 and any(wanted > 0 and left < 0 for wanted, left in zip(need, pool, strict=True))
 
-    # Moves. One at a time for each allocation: a second one would rest on a record that the first replaces.
+    # Moves. One at a time for each allocation: a second one would be based on a record that the first replaces.
 
     def _start_move(
         self, changed_parts: dict[int, Amounts], fencing: dict[str, int], outgoing: dict[int, Amounts]
@@ -168,9 +168,9 @@
         )
 
     def take(self, shard: int, amounts: Amounts, fencing: dict[str, int]) -> Move | None:
-        """Raise what a shard holds, out of the pool; None if nothing of it is there.
+        """Move up to `amounts` from the pool to a shard; None if the pool has none of it or a move is under way.
 
-        `fencing` is the condition that this controller still leads the shard, here and below.
+        `fencing`, here and below, is the condition that this controller still leads the shard.
         """
         if self.move is not None:
             return None
@@ -184,7 +184,7 @@
     def give(
         self, shard: int, target: int | None, amounts: Amounts, used: Sequence[int], fencing: dict[str, int]
     ) -> Move | None:
-        """Hand what a shard does not use to another one (None: back to the pool)."""
+        """Move up to `amounts` of what a shard does not use to another one (`target` None: back to the pool)."""
         if self.move is not None:
             return None
         spare = self.held(shard)
@@ -199,9 +199,9 @@
         return self._start_move(parts, fencing, {shard: given})
 
     def rewrite(self, fencing: dict[str, int]) -> Move | None:
-        """Write the record again: brings a newer tree's amounts, or resolves a move whose outcome is unknown.
+        """Write the record again, to update it to a newer tree or to resolve a move whose outcome is unknown.
 
-        Whichever of the two writes comes second fails, since the first one changed the `mod_revision`.
+        Of the unresolved write and this one, the second to arrive fails: the first changes the `mod_revision`.
         """
         earlier = self.move
         if earlier is not None and not earlier.indeterminate:
@@ -211,23 +211,28 @@
         return move
 
     def move_ended(self, move: Move, outcome: MoveOutcome) -> None:
-        """The store has answered, or its answer is lost.
+        """End a move whose answer has arrived, or was lost.
 
-        For `APPLIED`, `record_changed` must have had the record before.
+        For `APPLIED`, `record_changed` must have been called with the new record before.
         """
         if self.move is not move:
             return
         unresolved = outcome is MoveOutcome.INDETERMINATE or (outcome is MoveOutcome.FAILED and move.resolves_earlier)
         record_unchanged = move.conditions.get(self.key, self.mod_revision) == self.mod_revision
         if unresolved and record_unchanged and Guard.INDETERMINATE in self.guards:
-            move.indeterminate = True  # until the record changes: then it was applied, or never can be
+            move.indeterminate = True  # until the record changes: then it was applied, or never will be
         else:
             self.move = None
 
 
 def _amounts_of_record(part: Sequence[int]) -> Amounts:
-    return (_or_unlimited(part[0]), _or_unlimited(part[1]), _or_unlimited(part[2]), _or_unlimited(part[3]))
+    return (
+        _unlimited_if_negative(part[0]),
+        _unlimited_if_negative(part[1]),
+        _unlimited_if_negative(part[2]),
+        _unlimited_if_negative(part[3]),
+    )
 
 
-def _or_unlimited(value: int) -> int:
+def _unlimited_if_negative(value: int) -> int:
     return value if value >= 0 else UNLIMITED
--- a/quinceslip/quota/allocation_giving.py
+++ b/quinceslip/quota/allocation_giving.py
@@ -1,6 +1,6 @@
-"""Gives other shards what one shard holds and does not use, as their want records ask.
+"""Gives other shards what a shard holds and does not use, as their want records ask for.
 
-Where what they lack is in use as borrowed usage here, that is preempted first.
+If borrowed usage takes up what they lack, it is preempted first.
 """
 
 from dataclasses import dataclass
@@ -18,11 +18,11 @@
 from quinceslip.quota.shortfalls import usage_and_demand
 from quinceslip.quota.unmet_demand import UnmetDemand
 
-#: want records are answered no more often than this
+#: minimum interval between answers to want records
 GIVE_INTERVAL_US = SECOND // 2
-#: for so long each holder in turn is the one that preempts for another shard
+#: how long each holder in turn is the one that preempts for another shard
 PREEMPTION_TURN_US = 2 * GIVE_INTERVAL_US
-#: beyond what is asked for, this part of what is idle is given at once
+#: a gift is at least the idle amount divided by this, even if less was asked for
 GIVE_AHEAD_DIVISOR = 2
 
 
@@ -35,7 +35,7 @@
         self.wanted_since_us: dict[int, int] = {}
 
     def want_record_changed(self, shard: int) -> bool:
-        """The cache has another want record of a shard, or none any more; whether there is one."""
+        """Note that a shard's want record in the cache has changed or was deleted; whether there is one."""
         if str(shard) in self.quota.actor.cache.by_kind[WANT]:
             self.wanted_since_us.setdefault(shard, self.quota.actor.now_us)
             return True
@@ -43,7 +43,7 @@
         return False
 
     def give_to_others(self, shard: int, shard_quota: ShardQuota) -> None:
-        """Give other shards what this one holds and does not use, earliest demands first."""
+        """Give other shards what this one holds and does not use, in the order of their demands."""
         want_records: dict[int, WantRecord] = {
             int(name): record for name, record in self.quota.actor.cache.by_kind[WANT].items() if int(name) != shard
         }
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class _ShardGiver:
-    """What one shard gives in one transaction."""
+    """Gathers what one shard gives away in one transaction."""
 
     quota: QuotaContext
     shard: int
@@ -67,86 +67,95 @@
     wanted_since_us: dict[int, int]
 
     def give(self, want_records: dict[int, WantRecord]) -> None:
-        """First for unmet demands, in their order over all shards; then guarantees."""
-        demands = [(wanted, asker) for asker, record in want_records.items() for wanted in record.demands]
-        for wanted, asker in sorted(demands, key=lambda entry: entry[0].order):
-            self._give_for_demand(wanted, asker)
-        for asker, record in want_records.items():
+        """Give for unmet demands first, in their order over all shards, then for guarantees."""
+        demands = [(wanted, requester) for requester, record in want_records.items() for wanted in record.demands]
+        for wanted, requester in sorted(demands, key=lambda entry: entry[0].order):
+            self._give_for_demand(wanted, requester)
+        for requester, record in want_records.items():
             for key, lacking in record.guarantees.items():
-                place = self.quota.allocations.place(key)
-                if place is not None and not self.batch.is_full:
-                    self._give_amount(asker, place, amounts_of(lacking), None)
+                level_amount = self.quota.allocations.level_amount(key)
+                if level_amount is not None and not self.batch.is_full:
+                    self._give_amount(requester, level_amount, amounts_of(lacking), None)
 
-    def _give_for_demand(self, wanted: Wanted, asker: int) -> None:
+    def _give_for_demand(self, wanted: Wanted, requester: int) -> None:
         still_lacking: dict[int, Amounts] = {}
         for key, amounts in wanted.shortfall.items():
-            place = self.quota.allocations.place(key)
-            if place is None or self.batch.is_full:
+            level_amount = self.quota.allocations.level_amount(key)
+            if level_amount is None or self.batch.is_full:
                 continue
-            lacking = self._give_amount(asker, place, amounts_of(amounts), wanted)
-            if place.kind == AmountKind.CAP and any(lacking):
-                still_lacking[place.level] = least(lacking, wanted.unit)
+            lacking = self._give_amount(requester, level_amount, amounts_of(amounts), wanted)
+            if level_amount.kind == AmountKind.CAP and any(lacking):
+                still_lacking[level_amount.level] = least(lacking, wanted.unit)
         if not still_lacking or wanted.order.without_machines:
             return
-        if self._is_our_turn(asker, next(iter(still_lacking))):
+        if self._is_our_turn(requester, next(iter(still_lacking))):
             self._preempt_for(wanted, still_lacking)
 
-    def _give_amount(self, asker: int, place: LevelAmount, lacking: Amounts, wanted: Wanted | None) -> Amounts:
-        """Give what is idle of one allocation; what the asker still lacks of it."""
-        allocation, used = self._usage_to_keep(place, wanted)
+    def _give_amount(
+        self, requester: int, level_amount: LevelAmount, lacking: Amounts, wanted: Wanted | None
+    ) -> Amounts:
+        """Give what is idle of one allocation; returns what the requester still lacks of it."""
+        allocation, used = self._usage_to_keep(level_amount, wanted)
         spare = subtract(allocation.held(self.shard), used)
-        # More than is asked for, where more is idle: so a burst costs few writes.
+        # Gives more than was asked for if much is idle, so that a burst takes few writes.
         pairs = zip(lacking, spare, strict=True)
         amounts = [max(asked, idle // GIVE_AHEAD_DIVISOR) if asked else 0 for asked, idle in pairs]
-        move = allocation.give(self.shard, asker, amounts_of(amounts), used, self.fencing)
+        move = allocation.give(self.shard, requester, amounts_of(amounts), used, self.fencing)
         if move is None:
             return lacking
         self.batch.add(allocation, move)
         given = move.outgoing[self.shard]
-        self.shard_quota.release(wanted.order.job_id if wanted is not None else "", given)
+        self.shard_quota.use_reservation(wanted.order.job_id if wanted is not None else "", given)
         return positive(subtract(lacking, given))
 
-    def _usage_to_keep(self, place: LevelAmount, wanted: Wanted | None) -> tuple[Allocation, Amounts]:
-        """An allocation, and how much of it this shard keeps for its own tasks."""
-        level = place.level
-        if place.kind == AmountKind.GUARANTEE:
+    def _usage_to_keep(self, level_amount: LevelAmount, wanted: Wanted | None) -> tuple[Allocation, Amounts]:
+        """The allocation of `level_amount`, and how much of it this shard keeps for its own tasks."""
+        level = level_amount.level
+        if level_amount.kind == AmountKind.GUARANTEE:
             return self.quota.allocations.for_guarantee(level), usage_and_demand(self.shard_quota, level)
         used = self.shard_quota.usage.get(level, ZERO)
         if wanted is not None:
-            # A demand of ours that comes first keeps what it needs; of two, only one can wait.
+            # A demand of this shard with precedence keeps what it needs. Both sides order the two demands alike, so
+            # that only one of them waits for the other.
             for demand in self.shard_quota.unmet_demands.values():
-                if level in self.quota.tree.path(demand.team) and self._comes_first(demand, wanted):
+                if level in self.quota.tree.path(demand.team) and self._precedes(demand, wanted):
                     used = add(used, demand.need)
         return self.quota.allocations.for_cap(level), used
 
-    def _comes_first(self, demand: UnmetDemand, wanted: Wanted) -> bool:
-        """Whether our demand comes before another's, the same in every shard: a guarantee, then their order."""
-        parting = self.quota.tree.parting(demand.team, wanted.team)
-        if parting is not None:
-            our_level, their_level = parting
+    def _precedes(self, demand: UnmetDemand, wanted: Wanted) -> bool:
+        """Whether a demand of this shard precedes another shard's; both shards come to the same answer.
+
+        The one that a guarantee covers comes first where the other's does not, then their order decides.
+        """
+        diverging_levels = self.quota.tree.parting(demand.team, wanted.team)
+        if diverging_levels is not None:
+            our_level, their_level = diverging_levels
             ours = our_level in self.shard_quota.guarantees_covering(demand.spec, demand.count)
             theirs = self.quota.tree.levels[their_level].name in wanted.covering_guarantees
             if ours != theirs:
                 return ours
         return demand.order < wanted.order
 
-    def _is_our_turn(self, asker: int, level: int) -> bool:
-        """Holders preempt for another shard one after the other, the largest first: all at once is too much."""
+    def _is_our_turn(self, requester: int, level: int) -> bool:
+        """Whether this shard is the holder that may preempt for another shard now.
+
+        Holders take turns, the largest first: if all preempted at once, too much would be stopped.
+        """
         record = self.quota.allocations.for_cap(level).record
         parts = record.parts if record is not None else {}
-        holders = [int(shard) for shard in parts if int(shard) != asker]
+        holders = [int(shard) for shard in parts if int(shard) != requester]
         holders.sort(key=lambda shard: (-max(parts[str(shard)]), shard))
         if self.shard not in holders:
             return False
         now_us = self.quota.actor.now_us
-        turn = (now_us - self.wanted_since_us.get(asker, now_us)) // PREEMPTION_TURN_US
+        turn = (now_us - self.wanted_since_us.get(requester, now_us)) // PREEMPTION_TURN_US
         return holders[turn % len(holders)] == self.shard
 
     def _preempt_for(self, wanted: Wanted, lacking: dict[int, Amounts]) -> None:
-        """Preempt borrowed usage of this shard for the work of another one."""
+        """Preempt borrowed usage in this shard for a job of another one."""
         job = self.quota.actor.cache.job(wanted.order.job_id)
         if job is None or job.spec is None:
-            return  # it is over, or not known here yet
+            return  # the job has ended, or is not in the cache yet
         levels = self.quota.tree.by_name
         covering = {levels[name].index for name in wanted.covering_guarantees if name in levels}
         shortfall: dict[int, Amounts] = {}
--- a/quinceslip/quota/allocation_manager.py
+++ b/quinceslip/quota/allocation_manager.py
@@ -1,11 +1,11 @@
-"""Keeps the allocations of a controller's shards: calls its parts when something happens, and in turn.
-
-Writes happen only when something is short: what a shard holds stays with it when its work has ended, so
-the ordinary path makes no call. A shard that lacks something first takes from the pools (`pool_taking.py`). What these
-lack it asks for in its want record (`shortfall_publishing.py`); holders answer with one transaction, and where they use
-what was borrowed, have that stop first (`allocation_giving.py`). The demand goes through the key-value store, as its
-answer must: where that cannot be reached nothing may start anyway, and links between controllers may be refused while
-it can. `tree_updates.py` follows the operators' file.
+"""Manages the allocations of the shards that a controller leads: passes events to its parts, and runs them regularly.
+
+Writes happen only when a shard lacks quota: it keeps what it holds when its work has ended, so the common path makes
+no call. A shard that lacks quota first takes from the pools (`pool_taking.py`). What the pools do not have, it asks for
+in its want record (`shortfall_publishing.py`). Holders answer with one transaction, and preempt borrowed usage first if
+that takes up what is wanted (`allocation_giving.py`). Demands go through the key-value store, as the answers must:
+while the store is unreachable nothing may start anyway, and it may be reachable while links between controllers are
+refused. `tree_updates.py` follows the operators' file.
 """
 
 from typing import Any
@@ -30,7 +30,7 @@
 
 
 class AllocationManager(Subsystem):
-    """The subsystem of a controller that keeps quotas."""
+    """The subsystem of a controller that enforces quotas."""
 
     kinds = {GRANT: GrantRecord, WANT: WantRecord, TREE: TreeRecord}
     questions = ("quota",)
@@ -51,17 +51,17 @@
         self._next_exchange_us = 0
 
     def shard_gained(self, shard: Shard) -> None:
-        """A shard led here has quotas of its own."""
+        """Create the quotas of a shard that this controller leads now."""
         self.shard_quotas[shard.index] = shard.quota = ShardQuota(self.tree, self.allocations, shard)
 
     def shard_lost(self, index: int) -> None:
-        """What the shard holds stays with it, for its next leader."""
+        """Drop the quotas of a shard; what it holds stays with it, for its next leader."""
         self.shard_quotas.pop(index, None)
 
     def record_changed(self, kind: str, name: str) -> None:
-        """One of the records of quotas changed in the cache."""
+        """Pass a change of a quota record in the cache to the part that follows this kind."""
         if kind == GRANT:
-            self.allocations.changed(name)
+            self.allocations.grant_record_changed(name)
             self._writer.request_placement()
         elif kind == WANT:
             if self._giver.want_record_changed(int(name)):
@@ -70,15 +70,15 @@
             self._tree_updater.tree_record_changed()
 
     def never_runs_reason(self, spec: m.JobSpec) -> str | None:
-        """The level whose cap a job can never fit, for the 422 of its user."""
+        """Name the level whose cap a job can never fit, for the 422 answer to the user; None if there is none."""
         return self.tree.never_fits(spec)
 
     def batch_ended(self) -> None:
-        """Take from the pools what placement has found to be short."""
-        self._pool_taker.take_for_all()
+        """Take from the pools what placement has found to be lacking."""
+        self._pool_taker.take_for_all_shards()
 
     def tick(self) -> None:
-        """Exchange with other shards, and keep the records up with the tree."""
+        """Exchange quota with other shards, and update the records to the tree."""
         now_us = self.ctx.now_us
         if now_us < self._next_exchange_us or not self.election.may_launch() or not self.ctx.cache.synced:
             return
@@ -93,10 +93,10 @@
                 self._publisher.publish(shard, shard_quota)
 
     def answer(self, question: str, after: str) -> Any:
-        """The page of levels that `/quota` shows."""
+        """The page of levels that `/quota` returns."""
         return page(self.tree, self.allocations, self.shard_quotas, after, self._tree_updater.trouble)
 
 
 def attach(tree: Tree) -> SubsystemFactory:
-    """What a controller needs to take the quotas in."""
+    """The factory that adds the quota subsystem to a controller."""
     return lambda ctx, election, shards: AllocationManager(tree, ctx, election, shards)
--- a/quinceslip/quota/allocation_writer.py
+++ b/quinceslip/quota/allocation_writer.py
@@ -1,4 +1,4 @@
-"""Writes the records of quotas: moves of allocations together in one transaction, other records one by one."""
+"""Writes the quota records: moves of several allocations in one transaction, other records one at a time."""
 
 import logging
 from typing import Any, NamedTuple
@@ -13,7 +13,7 @@
 log = logging.getLogger(__name__)
 
 _APPLIED_STATUS = 200
-#: statuses that show that a write was not carried out, and never will be
+#: statuses after which a write has not been applied and never will be
 _FAILED_STATUSES = (409, 429, 503, 400, NOT_SENT)
 
 
@@ -25,7 +25,7 @@
 
 
 class MoveBatch:
-    """The moves of one transaction, at most as many as the key-value store takes."""
+    """The moves of one transaction, at most as many as the key-value store accepts."""
 
     def __init__(self, max_moves: int) -> None:
         self.max_moves = max_moves
@@ -37,13 +37,13 @@
         return len(self.moves) >= self.max_moves
 
     def add(self, allocation: Allocation, move: Move | None) -> None:
-        """Add a move of an allocation, if it has made one."""
+        """Add a move of an allocation; None adds nothing."""
         if move is not None:
             self.moves.append(PendingMove(allocation, move))
 
 
 class AllocationWriter:
-    """Sends moves and other records, and tells the allocations what came of them."""
+    """Sends moves and other records, and reports the outcome of each move to its allocation."""
 
     def __init__(self, ctx: Context, allocations: Allocations, shards: dict[int, Shard]) -> None:
         self.ctx = ctx
@@ -55,11 +55,11 @@
         self._keys_being_written: set[str] = set()
 
     def new_batch(self) -> MoveBatch:
-        """An empty batch."""
+        """Create an empty batch with the limit of the key-value store."""
         return MoveBatch(self.ctx.limits.txn_ops)
 
     def send(self, batch: MoveBatch, urgency: Urgency) -> None:
-        """Write several allocations in one transaction; each knows what came of its part."""
+        """Write several allocations in one transaction; each is told the outcome."""
         moves = batch.moves
         if not moves:
             return
@@ -77,19 +77,19 @@
         written = ", ".join(f"{allocation.key} {move.record.parts}" for allocation, move in moves)
         log.debug("allocations written outcome=%s records=%s", outcome, written)
         for allocation, move in moves:
-            self.allocations.changed(allocation.key.split("/", 2)[2])
+            self.allocations.grant_record_changed(allocation.key.split("/", 2)[2])
             allocation.move_ended(move, outcome)
             if allocation.move is not None and allocation.move.indeterminate:
                 self.indeterminate[allocation] = None
         self.request_placement()
 
     def request_placement(self) -> None:
-        """What may start has changed: every shard has a pass."""
+        """Request a placement pass of every shard, since the tasks that may start have changed."""
         for shard in self.shards.values():
             shard.needs_placement = True
 
     def write_record(self, key: str, conditions: dict[str, int], value: Any) -> None:
-        """Write a record of its own, or drop it (None); at most one write of a key at a time."""
+        """Write a single record, or delete it (`value` None); at most one write of a key at a time."""
         if key in self._keys_being_written:
             return
         self._keys_being_written.add(key)
@@ -98,8 +98,8 @@
             self._keys_being_written.discard(key)
 
         puts: Puts = {} if value is None else {key: (value, None)}
-        drops = [key] if value is None else []
-        self.ctx.compare_and_swap(conditions, puts, drops, on_written, Urgency.REST)
+        deletes = [key] if value is None else []
+        self.ctx.compare_and_swap(conditions, puts, deletes, on_written, Urgency.REST)
 
 
 def _outcome_of(status: int) -> MoveOutcome:
--- a/quinceslip/quota/fair_share_order.py
+++ b/quinceslip/quota/fair_share_order.py
@@ -1,7 +1,7 @@
-"""In which order the teams of one shard are served.
+"""Orders the queue of one shard by the fair shares of its teams.
 
-A pass of placement goes through the queue in rounds: each level within its fair share first, then what is left over.
-The shares are those of `max_min.py`; `fair_share_targets.py` divides them down the tree.
+A placement pass goes through the queue in rounds: first each level up to its fair share, then what is left over.
+`max_min.py` computes the shares; `fair_share_targets.py` divides them down the tree.
 """
 
 from collections import Counter
@@ -27,62 +27,62 @@
 from quinceslip.quota.tree import Tree
 from quinceslip.quota.usage import UsageMeter
 
-#: of so many waiting job partitions at most the fairest is sought for one place; a whole pass looks at all
-MAX_FOR_ONE_PLACE = 64
-#: of these so many of one team
+#: at most this many waiting job partitions are ordered to fill one freed place; a whole pass orders all
+MAX_PARTITIONS_ORDERED = 64
+#: at most this many of them are of one team
 MAX_PARTITIONS_PER_TEAM = 16
-#: The first so many job partitions of a shard's queue are looked at for one place that a heartbeat has freed.
-#: This bounds waiting jobs, not machines: each heartbeat fills its own machine only, so its work does not grow with the
-#: fleet, and 4,000 machines need no larger value. Where more jobs wait, those behind are served by the whole passes.
+#: How many job partitions at the head of the queue are examined to fill one place that a heartbeat has freed. Each
+#: heartbeat fills only its own machine, so this need not grow with the fleet: it suffices for 4,000 machines. Job
+#: partitions further back are left to the whole passes.
 MAX_PARTITIONS_EXAMINED = 1024
 
-#: (beyond its guarantee, usage beyond it for its weight) of one level
+#: of one level: (0.0 if it uses less than its guarantee, else 1.0; usage beyond the guarantee by weight)
 FairKey = tuple[float, float]
 
 
 class FairShareOrder(UsageMeter):
-    """Orders job partitions by what their teams, and the levels above them, use beyond their guarantees."""
+    """Orders job partitions by what their teams and the levels above them use beyond their guarantees."""
 
     def __init__(self, tree: Tree, allocations: Allocations, state: ShardState) -> None:
         super().__init__(tree, allocations, state)
-        #: by level: what it may use in the present round of a pass
+        #: by level: what it may use in the current round of a pass
         self.targets: dict[int, Amounts] = {}
-        #: a target, not a limit, has refused something in this round
+        #: a target, not a limit, has kept a task from starting in this round
         self.refused_by_target = False
-        #: by level with a guarantee: what waiting work needs
+        #: by level with a guarantee: what waiting tasks need
         self.demand: dict[int, Amounts] = {}
-        #: of all machines of the shard
+        #: the capacity of all machines of the shard
         self.capacity: Amounts = ZERO
-        #: by job id: refused in this pass for the sake of room that is reserved for others
+        #: by job id: the job partitions that room reserved for other jobs kept from starting in this pass
         self.refused_for_reservations: dict[str, JobPartition] = {}
-        #: such room was given up after that
+        #: reserved room has been released in this pass
         self.reservation_released = False
 
-    def begin(self, queue: Sequence[JobPartition]) -> None:
-        """A whole pass begins."""
+    def begin_pass(self, queue: Sequence[JobPartition]) -> None:
+        """Prepare for a whole pass."""
 
     # A whole pass.
 
     def fair_share_rounds(
         self, queue: Sequence[JobPartition], workers: Sequence[Worker]
     ) -> Iterator[list[JobPartition]]:
-        """The queue in rounds: priority by priority; first each level within its share, then what is left over.
+        """Yield the queue in rounds, by priority: first each level up to its share, then what is left over.
 
-        Without a second round, room would stay empty that nobody entitled to it can use.
+        Without the second kind of round, room would stay empty if those entitled to it cannot use it.
         """
-        self.settle_attempts()
-        self.begin(queue)
+        self.remove_ended_attempts()
+        self.begin_pass(queue)
         self.capacity = _capacity(workers)
         self._measure_demand(queue)
         for _, partitions in groupby(queue, key=lambda partition: partition.spec.priority):
             yield from self._rounds_of_priority(list(partitions), workers)
         if self.reservation_released and self.refused_for_reservations:
-            # Guard: whoever came before it in this pass was refused what has been given up since. Without this they
-            # wait beside it until something else brings another pass.
-            again = [partition for partition in self.refused_for_reservations.values() if partition.pending]
-            for partition in again:
+            # Guard: these were refused room that was released later in the pass. Without this round they would wait
+            # next to free room until another event triggers a pass.
+            retried = [partition for partition in self.refused_for_reservations.values() if partition.pending]
+            for partition in retried:
                 partition.on_hold = False
-            yield self._fairest(again)
+            yield self._sorted_by_fairness(retried)
 
     def _measure_demand(self, queue: Sequence[JobPartition]) -> None:
         self.demand.clear()
@@ -96,48 +96,53 @@
     def _rounds_of_priority(
         self, partitions: list[JobPartition], workers: Sequence[Worker]
     ) -> Iterator[list[JobPartition]]:
-        """The rounds of the job partitions of one priority class."""
+        """Yield the rounds of the job partitions of one priority class."""
         self.refused_by_target, self.targets = False, {}
         start_due = [partition for partition in partitions if partition.start_due]
         if start_due:
-            yield start_due  # a first start, whatever its team has
-        least_cpus = min(partition.spec.cpus for partition in partitions)
-        # Where nothing is free, nothing is to be divided.
-        if _any_free(workers, least_cpus) and _several_teams(partitions):
+            yield start_due  # regardless of what their teams use
+        min_cpus = min(partition.spec.cpus for partition in partitions)
+        # Without free machines there is nothing to divide.
+        if _has_free_cpus(workers, min_cpus) and _has_several_teams(partitions):
             self.targets = self._targets(partitions)
-            # Some have more than their share by now, and keep it: what is left goes first to those
-            # that their guarantee gives it to.
-            yield self._fairest(partitions)
-            yield from self._lend_spare(partitions, workers, least_cpus)
-            # In the same order: what is left over goes first to whoever is furthest below its share.
+            # Some teams already use more than their share, and keep it: what is left goes first to those whose
+            # guarantee entitles them to it.
+            yield self._sorted_by_fairness(partitions)
+            yield from self._leftover_rounds(partitions, workers, min_cpus)
+            # What is left over goes first to the teams furthest below their share.
             refused = self.refused_by_target
-            partitions = self._fairest(partition for partition in partitions if partition.pending) if refused else []
+            partitions = (
+                self._sorted_by_fairness(partition for partition in partitions if partition.pending) if refused else []
+            )
             self.targets = {}
         if partitions:
             yield partitions
 
-    def _lend_spare(
-        self, partitions: Sequence[JobPartition], workers: Sequence[Worker], least_cpus: float
+    def _leftover_rounds(
+        self, partitions: Sequence[JobPartition], workers: Sequence[Worker], min_cpus: float
     ) -> Iterator[list[JobPartition]]:
-        """What whole tasks left of the shares: one task at a time to whoever has borrowed least.
+        """Yield rounds for the remainders that are left since tasks are indivisible, least borrowed first.
 
-        Turn by turn twice as many, so that room which only few can use is given out in few turns.
+        Each team gets one task more in the first round and twice as many in each further one, so that room which only
+        few teams can use is filled in few rounds.
         """
-        tasks_per_turn = 1
-        # Bound: the tasks that wait; a turn in which none of them starts is the last.
-        while self.refused_by_target and _any_free(workers, least_cpus):
-            rest = self._fairest(partition for partition in partitions if partition.pending and not partition.on_hold)
+        tasks_per_team = 1
+        # Bound: the waiting tasks; a round in which none of them starts is the last.
+        while self.refused_by_target and _has_free_cpus(workers, min_cpus):
+            waiting = self._sorted_by_fairness(
+                partition for partition in partitions if partition.pending and not partition.on_hold
+            )
             self.refused_by_target = False
-            self.targets = self._targets_of_turn(rest, tasks_per_turn)
-            before = self.attempts_counted
-            yield rest
-            if self.attempts_counted == before:
+            self.targets = self._targets_of_leftover_round(waiting, tasks_per_team)
+            attempts_before = self.attempts_counted
+            yield waiting
+            if self.attempts_counted == attempts_before:
                 self.refused_by_target = True
                 return
-            tasks_per_turn *= 2
+            tasks_per_team *= 2
 
-    def _targets_of_turn(self, partitions: Sequence[JobPartition], tasks: int) -> dict[int, Amounts]:
-        """So many tasks more for each team; the first partition of a team decides of which size."""
+    def _targets_of_leftover_round(self, partitions: Sequence[JobPartition], tasks: int) -> dict[int, Amounts]:
+        """Targets that allow each team `tasks` more of the size of its first partition."""
         targets: dict[int, Amounts] = {}
         for partition in reversed(partitions):
             path = self.tree.path(partition.spec.team)
@@ -147,58 +152,58 @@
         return targets
 
     def _targets(self, partitions: Sequence[JobPartition]) -> dict[int, Amounts]:
-        """What each level should use after this round: its usage so far, and a fair share of what is left."""
+        """What each level should use after this round: its usage so far plus a fair share of what is left."""
         waiting: dict[str, Amounts] = {}
         for partition in partitions:
             team = partition.spec.team
             waiting[team] = add(waiting.get(team, ZERO), task_amounts(partition.spec), len(partition.pending))
         return FairShareTargets(self, self.capacity, waiting).by_level()
 
-    # One place.
+    # Filling one freed place.
 
     def order_for_one_place(self, queue: Sequence[JobPartition]) -> list[JobPartition]:
-        """Who may take a place that has just become free, first the one furthest below its share."""
-        # Guard: a few of each team. The first of all alone would be one team's where it floods the queue.
-        of_team: Counter[str] = Counter()
-        first: list[JobPartition] = []
+        """The candidates for a place that has just become free, those furthest below their share first."""
+        # Guard: a few partitions of each team. Otherwise a team that floods the queue would be the only candidate.
+        count_by_team: Counter[str] = Counter()
+        candidates: list[JobPartition] = []
         for partition in islice(queue, MAX_PARTITIONS_EXAMINED):
-            if not partition.on_hold and of_team[partition.spec.team] < MAX_PARTITIONS_PER_TEAM:
-                of_team[partition.spec.team] += 1
-                first.append(partition)
-                if len(first) >= MAX_FOR_ONE_PLACE:
+            if not partition.on_hold and count_by_team[partition.spec.team] < MAX_PARTITIONS_PER_TEAM:
+                count_by_team[partition.spec.team] += 1
+                candidates.append(partition)
+                if len(candidates) >= MAX_PARTITIONS_ORDERED:
                     break
-        return self._fairest(first) if _several_teams(first) else first
+        return self._sorted_by_fairness(candidates) if _has_several_teams(candidates) else candidates
 
-    # The order itself.
+    # The sort key.
 
-    def _fairest(self, partitions: Iterable[JobPartition]) -> list[JobPartition]:
-        """Priority first, then who has borrowed least, then first come, first served."""
-        known: dict[int, FairKey] = {}  # teams share the levels above them
+    def _sorted_by_fairness(self, partitions: Iterable[JobPartition]) -> list[JobPartition]:
+        """Sort by priority, then by least borrowed usage, then first come, first served."""
+        key_by_level: dict[int, FairKey] = {}  # teams share the levels above them
         return sorted(
             partitions,
             key=lambda partition: (
                 partition.spec.priority,
                 not partition.start_due,
-                self.fair_key(partition.spec.team, known),
+                self.fair_key(partition.spec.team, key_by_level),
                 partition.sort_key(),
             ),
         )
 
-    def fair_key(self, team: str, known: dict[int, FairKey]) -> tuple[FairKey, ...]:
-        """From the root on: whether a level is beyond its guarantee, and what it borrows for its weight.
+    def fair_key(self, team: str, key_by_level: dict[int, FairKey]) -> tuple[FairKey, ...]:
+        """Sort key of a team: the keys of the levels on its path, from the root down.
 
-        `known` keeps what was found of each level.
+        `key_by_level` caches the key of each level.
         """
         key = []
         for level in reversed(self.tree.path(team)):
-            found = known.get(level)
-            if found is None:
-                found = known[level] = self._fair_key_of_level(level)
-            key.append(found)
+            level_key = key_by_level.get(level)
+            if level_key is None:
+                level_key = key_by_level[level] = self._fair_key_of_level(level)
+            key.append(level_key)
         return tuple(key)
 
     def _fair_key_of_level(self, level: int) -> FairKey:
-        guaranteed, used = self.guaranteed_here(level), self.usage.get(level, ZERO)
+        guaranteed, used = self.shard_guarantee(level), self.usage.get(level, ZERO)
         below = any(amount < limit < UNLIMITED for amount, limit in zip(used, guaranteed, strict=True))
         borrowed = largest_share(positive(subtract(used, guaranteed)), self.capacity)
         return float(not below), borrowed / self.tree.levels[level].weight
@@ -214,9 +219,9 @@
     )
 
 
-def _any_free(workers: Sequence[Worker], cpus: float) -> bool:
+def _has_free_cpus(workers: Sequence[Worker], cpus: float) -> bool:
     return any(worker.free()[0] >= cpus for worker in workers)
 
 
-def _several_teams(partitions: Iterable[JobPartition]) -> bool:
+def _has_several_teams(partitions: Iterable[JobPartition]) -> bool:
     return len({partition.spec.team for partition in partitions}) > 1
--- a/quinceslip/quota/fair_share_targets.py
+++ b/quinceslip/quota/fair_share_targets.py
@@ -19,33 +19,34 @@
 from quinceslip.quota.max_min import Claim, divide
 from quinceslip.quota.usage import UsageMeter
 
-#: shares are compared in parts of what a parent has
-WHOLE_SHARE = 1 << 30
+#: the unit of shares: a share of this size is all that a parent has
+SHARE_SCALE = 1 << 30
 
 
 @dataclass(slots=True)
 class FairShareTargets:
-    """One division of what the machines have between the levels with waiting work."""
+    """Divides the capacity of the machines once between the levels with waiting tasks."""
 
     usage: UsageMeter
     capacity: Amounts
-    #: by team, what its waiting tasks need
+    #: by team: what its waiting tasks need
     waiting: Mapping[str, Amounts]
 
     def by_level(self) -> dict[int, Amounts]:
-        """The target of each level with waiting work: its usage so far, and a fair share of what is left."""
+        """The target of each level with waiting tasks: its usage so far plus a fair share of what is left."""
         need = self._need_by_level()
         targets: dict[int, Amounts] = {}
-        tops = [level for level in need if not self.usage.tree.levels[level].parent]
-        self._divide(tops, self.capacity, ZERO, need, targets)
+        roots = [level for level in need if not self.usage.tree.levels[level].parent]
+        self._divide(roots, self.capacity, ZERO, need, targets)
         return targets
 
     def _need_by_level(self) -> dict[int, Amounts]:
-        """What each level uses and wants to use beyond it, as far as the limits beneath it and its own allow."""
+        """What each level uses and wants to use in addition, within its own limits and those beneath it."""
         need: dict[int, Amounts] = {}
         for team, amounts in self.waiting.items():
             accumulate(need, self.usage.tree.path(team), amounts)
-        # Children come after their parents: what a child's own limit keeps from it is no need of its parent.
+        # Children come after their parents in the order of levels. A parent's need leaves out what a child's own limit
+        # keeps from the child.
         for level in sorted(need, reverse=True):
             total = self.usage.usage.get(level, ZERO)
             children = self._children_in(level, need)
@@ -53,7 +54,7 @@
                 total = subtract(add(total, need[child]), self.usage.usage.get(child, ZERO))
             if not children:
                 total = add(total, need[level])
-            need[level] = _shrink(total, self.usage.limit_here(level))
+            need[level] = _scale_to_fit(total, self.usage.shard_limit(level))
         return need
 
     def _children_in(self, level: int, need: Mapping[int, Amounts]) -> list[int]:
@@ -63,43 +64,43 @@
         self,
         siblings: list[int],
         capacity: Amounts,
-        taken: Amounts,
+        used_by_others: Amounts,
         need: dict[int, Amounts],
         targets: dict[int, Amounts],
     ) -> None:
-        """Divide a parent's capacity, less what others beneath it use, between the siblings that want more.
+        """Divide a parent's capacity, less what its other children use, between the siblings that want more.
 
-        Bound: as deep as the tree, which its settings limit (`level_checks.MAX_TREE_DEPTH`).
+        Bound: the depth of the tree, which is limited (`level_checks.MAX_TREE_DEPTH`).
         """
-        room = positive(subtract(capacity, taken))
+        room = positive(subtract(capacity, used_by_others))
         claims = [self._claim(level, need[level], room) for level in siblings]
-        for level, share, claim in zip(siblings, divide(WHOLE_SHARE, claims), claims, strict=True):
+        for level, share, claim in zip(siblings, divide(SHARE_SCALE, claims), claims, strict=True):
             targets[level] = _scale(need[level], share, claim.need) if share < claim.need else need[level]
             children = self._children_in(level, need)
             if children:
-                used = self.usage.usage.get(level, ZERO)
+                used_by_other_children = self.usage.usage.get(level, ZERO)
                 for child in children:
-                    used = subtract(used, self.usage.usage.get(child, ZERO))
-                limit = least(_unbounded_where(targets[level], capacity), self.usage.limit_here(level))
-                self._divide(children, limit, used, need, targets)
+                    used_by_other_children = subtract(used_by_other_children, self.usage.usage.get(child, ZERO))
+                limit = least(_unbounded_like_capacity(targets[level], capacity), self.usage.shard_limit(level))
+                self._divide(children, limit, used_by_other_children, need, targets)
 
     def _claim(self, level: int, need: Amounts, room: Amounts) -> Claim:
         weight = self.usage.tree.levels[level].weight
-        return Claim(weight, largest_share(self.usage.guaranteed_here(level), room), largest_share(need, room))
+        return Claim(weight, largest_share(self.usage.shard_guarantee(level), room), largest_share(need, room))
 
 
 def largest_share(amounts: Sequence[int], whole: Sequence[int]) -> int:
-    """The largest share that an amount takes of another in any resource, in parts of WHOLE_SHARE."""
+    """The largest share over all limited resources that `amounts` takes of `whole`, in units of 1 / SHARE_SCALE."""
     shares = [
-        amounts[kind] * WHOLE_SHARE // max(whole[kind], 1)
+        amounts[kind] * SHARE_SCALE // max(whole[kind], 1)
         for kind in range(KINDS)
         if whole[kind] < UNLIMITED and amounts[kind] < UNLIMITED
     ]
     return max(shares, default=0)
 
 
-def _unbounded_where(target: Amounts, capacity: Amounts) -> Amounts:
-    """A target without a bound where nothing bounds its parent: there, no share is too large."""
+def _unbounded_like_capacity(target: Amounts, capacity: Amounts) -> Amounts:
+    """The target, but unlimited in each resource where the parent's capacity is: there, no share is too large."""
     return amounts_of(
         [part if whole < UNLIMITED else whole for part, whole in zip(target, capacity, strict=True)],
     )
@@ -115,8 +116,8 @@
     )
 
 
-def _shrink(amounts: Amounts, limit: Amounts) -> Amounts:
-    """As much of an amount as fits into a limit, all resources in proportion."""
+def _scale_to_fit(amounts: Amounts, limit: Amounts) -> Amounts:
+    """Scale an amount down, all resources in proportion, until it fits into a limit."""
     if within(amounts, limit):
         return amounts
     exceeded = [(amount, bound) for amount, bound in zip(amounts, limit, strict=True) if amount > bound]
--- a/quinceslip/quota/max_min.py
+++ b/quinceslip/quota/max_min.py
@@ -1,7 +1,7 @@
 """Weighted max-min division between siblings. No I/O, no clock.
 
-Every child first gets what it needs of its own guarantee. What is left goes to those that need more, by
-weight; what one of them does not need goes to the others, and only what no child needs leaves the parent.
+Every child first gets what it needs of its own guarantee. What is left goes by weight to those that need more;
+what one of them does not need goes to the others, and only what no child needs stays with the parent.
 """
 
 from collections.abc import Sequence
@@ -9,7 +9,7 @@
 
 
 class Claim(NamedTuple):
-    """What one child wants of its parent's amount, in one unit."""
+    """What one child wants of its parent's amount; all claims have the same unit."""
 
     weight: float
     guarantee: int
@@ -17,29 +17,29 @@
 
 
 def fill(amount: int, wants: Sequence[tuple[float, int]]) -> list[int]:
-    """Divide an amount by weight: (weight, most) each; what one cannot take the others share.
+    """Divide an amount by weight between `wants` of (weight, maximum share); the others share what one cannot take.
 
-    Max-min: nobody's share over weight can rise without lowering one that is no larger. Shares are whole;
-    what rounding leaves goes to the first that can take it, so the sum is exact.
+    Weighted max-min fair: no share over its weight can rise without lowering another one that is no larger. Shares are
+    integers; what rounding leaves goes to the first that can take it, so the sum is exact.
     """
     shares = [0] * len(wants)
-    # Satisfied first are those that want least for their weight.
+    # Those that want least for their weight are satisfied first.
     unsatisfied = sorted(
-        (index for index, (_, most) in enumerate(wants) if most > 0),
+        (index for index, (_, max_share) in enumerate(wants) if max_share > 0),
         key=lambda index: wants[index][1] / wants[index][0],
     )
     left = amount
     weight_left = sum(wants[index][0] for index in unsatisfied)
-    for place, index in enumerate(unsatisfied):
-        weight, most = wants[index]
+    for position, index in enumerate(unsatisfied):
+        weight, max_share = wants[index]
         if left <= 0:
             return shares
-        if most * weight_left > left * weight:
-            # Nobody after this one is satisfied either: all stand at the same level.
-            _split_by_weight(left, weight_left, unsatisfied[place:], wants, shares)
+        if max_share * weight_left > left * weight:
+            # None of the remaining ones can be satisfied either: all get the same share for their weight.
+            _split_by_weight(left, weight_left, unsatisfied[position:], wants, shares)
             return shares
-        shares[index] = most
-        left -= most
+        shares[index] = max_share
+        left -= max_share
         weight_left -= weight
     return shares
 
@@ -47,23 +47,23 @@
 def _split_by_weight(
     amount: int, total_weight: float, indices: Sequence[int], wants: Sequence[tuple[float, int]], shares: list[int]
 ) -> None:
-    """Set the shares of children of which none gets all it wants."""
+    """Set the shares of children none of which gets all it wants."""
     for index in indices:
-        weight, most = wants[index]
-        shares[index] = min(most, int(amount * weight / total_weight))
-    rounding = amount - sum(shares[index] for index in indices)
+        weight, max_share = wants[index]
+        shares[index] = min(max_share, int(amount * weight / total_weight))
+    remainder = amount - sum(shares[index] for index in indices)
     for index in indices:
-        more = min(rounding, wants[index][1] - shares[index])
+        more = min(remainder, wants[index][1] - shares[index])
         shares[index] += more
-        rounding -= more
+        remainder -= more
 
 
 def divide(amount: int, claims: Sequence[tuple[float, int, int]]) -> list[int]:
-    """Divide what a parent has between its children, each with a `Claim`: (weight, guarantee, need)."""
+    """Divide a parent's amount between its children, each with a `Claim`: (weight, guarantee, need)."""
     guaranteed = [min(guarantee, need) for _, guarantee, need in claims]
     if sum(guaranteed) >= amount:
-        wants = [(max(guarantee, 1), own) for (_, guarantee, _), own in zip(claims, guaranteed, strict=True)]
+        wants = [(max(guarantee, 1), base) for (_, guarantee, _), base in zip(claims, guaranteed, strict=True)]
         return fill(amount, wants)
-    beyond = [(weight, need - own) for (weight, _, need), own in zip(claims, guaranteed, strict=True)]
+    beyond = [(weight, need - base) for (weight, _, need), base in zip(claims, guaranteed, strict=True)]
     borrowed = fill(amount - sum(guaranteed), beyond)
-    return [own + more for own, more in zip(guaranteed, borrowed, strict=True)]
+    return [base + extra for base, extra in zip(guaranteed, borrowed, strict=True)]
--- a/quinceslip/quota/pool_taking.py
+++ b/quinceslip/quota/pool_taking.py
@@ -7,9 +7,9 @@
 from quinceslip.quota.shard_quota import ShardQuota
 from quinceslip.quota.shortfalls import Shortfalls
 
-#: a shard takes from the pools no more often than this
+#: minimum interval between two takings of one shard
 TAKE_INTERVAL_US = SECOND // 10
-#: beyond what is lacking, this part of an equal share is taken at once
+#: a shard takes at least an equal share of the pool divided by this, even if it lacks less
 TAKE_AHEAD_DIVISOR = 2
 
 
@@ -21,8 +21,8 @@
         self.shortfalls = shortfalls
         self._next_take_us: dict[int, int] = {}
 
-    def take_for_all(self) -> None:
-        """Take for each shard that lacks something and whose last time is long enough ago."""
+    def take_for_all_shards(self) -> None:
+        """Take for each shard that lacks something and has not taken too recently."""
         now_us = self.quota.actor.now_us
         for shard, shard_quota in self.quota.shard_quotas.items():
             if not shard_quota.unmet_demands and not shard_quota.demand:
@@ -32,19 +32,19 @@
                 self._take(shard, shard_quota)
 
     def _take(self, shard: int, shard_quota: ShardQuota) -> None:
-        """Take what is short, and somewhat ahead, in one transaction."""
+        """Take what is lacking, and some more in advance, in one transaction."""
         if self.quota.allocations.tree_outdated:
-            return  # an older tree may be wrong about what there is to take
+            return  # the pools of an outdated tree may be wrong
         fencing = self.quota.election.fencing_condition(shard)
-        shares = self.quota.actor.settings.facts.size * TAKE_AHEAD_DIVISOR
+        advance_divisor = self.quota.actor.settings.facts.size * TAKE_AHEAD_DIVISOR
         batch = self.quota.writer.new_batch()
         for allocation, shortfall in [
             *self.shortfalls.of_caps(shard, shard_quota).items(),
             *self.shortfalls.of_guarantees(shard, shard_quota).items(),
         ]:
             pairs = zip(shortfall, positive(allocation.pool()), strict=True)
-            amounts = [max(lacking, pool // shares) if lacking else 0 for lacking, pool in pairs]
+            amounts = [max(lacking, pool // advance_divisor) if lacking else 0 for lacking, pool in pairs]
             batch.add(allocation, allocation.take(shard, amounts_of(amounts), fencing))
             if batch.is_full:
                 break
-        self.quota.writer.send(batch, Urgency.LAUNCH)  # launches wait for it
+        self.quota.writer.send(batch, Urgency.LAUNCH)  # launches wait for this write
--- a/quinceslip/quota/preemption.py
+++ b/quinceslip/quota/preemption.py
@@ -1,7 +1,7 @@
-"""Whose work is preempted for a job that a guarantee, or its priority, entitles to room. Decides, stops nothing.
+"""Chooses the attempts to preempt for a job that a guarantee or its priority entitles to room; stops nothing itself.
 
-`GuaranteeAwarePreemption` is the policy, asked for one victim at a time; `VictimSearch` goes through the candidates
-until a job has room.
+`GuaranteeAwarePreemption` is the policy, which decides on one victim at a time; `VictimSearch` goes through the
+candidates until a job has room.
 """
 
 from collections.abc import Sequence
@@ -12,15 +12,15 @@
 from quinceslip.quota.amounts import ZERO, Amounts, accumulate, positive, subtract, within
 from quinceslip.quota.usage import UsageMeter
 
-#: the last priority class (urgent, production) that may preempt lower ones without a guarantee
+#: the lowest priority class (of urgent and production) that may preempt lower ones without a guarantee
 MAX_PREEMPTING_PRIORITY = 1
 
 
 class GuaranteeAwarePreemption:
-    """Which attempts may be preempted for a job, considering those that were chosen already."""
+    """Which attempts may be preempted for a job, given the victims chosen so far."""
 
     def __init__(self, usage: UsageMeter, spec: m.JobSpec, covering_guarantees: set[int]) -> None:
-        """`covering_guarantees`: the levels within whose guarantee the job would be."""
+        """`covering_guarantees`: the levels whose guarantee covers the job."""
         self.usage = usage
         self.spec = spec
         self.covering_guarantees = covering_guarantees
@@ -28,44 +28,45 @@
         self.chosen_usage: dict[int, Amounts] = {}
 
     def may_preempt(self, victim: Attempt) -> bool:
-        """Production and urgent work preempts lower priorities; otherwise only borrowed usage is preempted.
+        """Whether the job may preempt the victim, by their guarantees and priorities.
 
-        Usage of a level is borrowed if every level from its team up to where the two paths part is
-        beyond its guarantee: an uncle's guarantee is as safe as a sibling's. Priority alone does not preempt
-        what rests on a guarantee unless the job does as well: the victim's team would claim the room back at
-        once, and the two would preempt each other for ever.
+        A job covered by a guarantee may preempt borrowed usage of any priority; production and urgent jobs may also
+        preempt lower priorities. The victim's usage is borrowed if every level from its team up to where the two paths
+        diverge is beyond its guarantee, so the guarantees of all levels on the way are respected. Priority alone, with
+        no guarantee that covers the job, does not preempt usage that a guarantee covers: the victim's team would
+        reclaim the room at once, and the two would preempt each other for ever.
         """
-        parting = self.usage.tree.parting(self.spec.team, victim.spec.team)
-        higher = self.spec.priority <= MAX_PREEMPTING_PRIORITY and victim.spec.priority > self.spec.priority
-        if parting is None:
-            return higher
-        own_level, victim_level = parting
+        diverging_levels = self.usage.tree.parting(self.spec.team, victim.spec.team)
+        higher_priority = self.spec.priority <= MAX_PREEMPTING_PRIORITY and victim.spec.priority > self.spec.priority
+        if diverging_levels is None:
+            return higher_priority
+        own_level, victim_level = diverging_levels
         if own_level in self.covering_guarantees:
-            return higher or self._is_borrowed(victim, victim_level)
-        return higher and self._is_borrowed(victim, victim_level)
+            return higher_priority or self._is_borrowed(victim, victim_level)
+        return higher_priority and self._is_borrowed(victim, victim_level)
 
     def _is_borrowed(self, victim: Attempt, top: int) -> bool:
         """Whether each level from the victim's team up to `top` uses more than its guarantee."""
         for level in self.usage.tree.path(victim.spec.team):
             used = subtract(self.usage.net_usage(level), self.chosen_usage.get(level, ZERO))
-            if within(used, self.usage.guaranteed_here(level)):
+            if within(used, self.usage.shard_guarantee(level)):
                 return False
             if level == top:
                 return True
         return False
 
     def choose(self, victim: Attempt) -> None:
-        """The victim will be stopped: later answers count its usage as gone."""
+        """Choose a victim: later answers count its usage as gone."""
         if victim.counted_usage is not None:
             accumulate(self.chosen_usage, self.usage.tree.path(victim.spec.team), victim.counted_usage)
 
 
-class GangPlaces:
-    """How many tasks of a gang the machines can take once what is stopping, and what is chosen, has gone."""
+class GangCapacity:
+    """How many tasks of a gang the machines can take once stopping attempts and chosen victims have ended."""
 
     def __init__(self, spec: m.JobSpec, workers: Sequence[Worker]) -> None:
         self.spec = spec
-        #: by name of the worker: free CPUs, GPUs and GB of memory
+        #: by worker name: free CPUs, GPUs and GB of memory
         self.free = {worker.name: worker.free() for worker in workers}
         self.count = sum(self._tasks_that_fit(free) for free in self.free.values())
         for worker in workers:
@@ -74,11 +75,11 @@
                     self.add_freed(attempt)
 
     def add_freed(self, attempt: Attempt) -> None:
-        """The attempt will leave its machine."""
+        """Count an attempt as gone from its machine."""
         self._change(attempt, 1)
 
     def remove_freed(self, attempt: Attempt) -> None:
-        """The attempt stays after all."""
+        """Undo `add_freed`: the attempt stays on its machine."""
         self._change(attempt, -1)
 
     def _change(self, attempt: Attempt, factor: int) -> None:
@@ -95,29 +96,29 @@
 
     def _tasks_that_fit(self, free: tuple[float, float, float]) -> int:
         needs = (self.spec.cpus, self.spec.gpus, self.spec.memory_gb)
-        counts = ((have + EPSILON) // need for have, need in zip(free, needs, strict=True) if need > 0)
+        counts = ((available + EPSILON) // need for available, need in zip(free, needs, strict=True) if need > 0)
         return int(min(counts, default=self.spec.tasks))
 
 
 @dataclass(slots=True)
 class RoomRequest:
-    """Room that is to be made for a job by preempting borrowed usage."""
+    """A request to make room for a job by preemption."""
 
     spec: m.JobSpec
     #: tasks that start together
     count: int
-    #: only what runs here is preempted, and it must have room for a task afterwards
+    #: only attempts on this machine are preempted, and it must have room for a task afterwards
     machine: Worker | None = None
-    #: all tasks of the gang must find a place afterwards
-    places: GangPlaces | None = None
-    #: given where the job waits in another shard, else found here: the levels within whose guarantee it would be
+    #: set for a gang: the machines must have room for all its tasks afterwards
+    gang_capacity: GangCapacity | None = None
+    #: the levels whose guarantee covers the job: given if it waits in another shard, else None and computed here
     covering_guarantees: set[int] | None = None
-    #: likewise: by level, what its shard lacks
+    #: by level, what the job's shard lacks: likewise
     shortfall: dict[int, Amounts] | None = None
 
 
 class VictimSearch:
-    """One search through the candidates for attempts whose end makes the room that a request asks for."""
+    """One search through the candidates for victims that make the requested room."""
 
     def __init__(
         self,
@@ -130,15 +131,15 @@
         self.tree = policy.usage.tree
         self.candidates = candidates
         self.request = request
-        #: by level, what is still lacking
+        #: by level: what is still lacking
         self.shortfall = dict(shortfall)
         self.machine_free = request.machine.free() if request.machine is not None else (0.0, 0.0, 0.0)
         self.chosen: list[Attempt] = []
 
     def find_room(self, partial_allowed: bool) -> bool:
-        """Choose victims until no level lacks anything and the machine has room; whether that is reached.
+        """Choose victims until no level lacks anything and the machine has room; returns whether that succeeded.
 
-        `partial_allowed`: some room is enough, since other shards may have the rest.
+        `partial_allowed`: some quota is enough, since other shards may have the rest.
         """
         for victim in self.candidates:
             if not self.shortfall and self._machine_has_room():
@@ -163,8 +164,8 @@
     def _choose(self, victim: Attempt) -> None:
         self.policy.choose(victim)
         self.chosen.append(victim)
-        if self.request.places is not None:
-            self.request.places.add_freed(victim)
+        if self.request.gang_capacity is not None:
+            self.request.gang_capacity.add_freed(victim)
         free, spec = self.machine_free, victim.spec
         self.machine_free = (free[0] + spec.cpus, free[1] + spec.gpus, free[2] + spec.memory_gb)
         for level in self.tree.path(spec.team):
@@ -177,30 +178,30 @@
             else:
                 del self.shortfall[level]
 
-    def find_places(self, places: GangPlaces) -> bool:
-        """Whether all tasks find places once the chosen victims have gone; more are chosen if it takes that."""
-        needed_for_quota = len(self.chosen)
+    def find_room_for_gang(self, gang_capacity: GangCapacity) -> bool:
+        """Choose further victims until the machines have room for the gang; returns whether that succeeded."""
+        quota_victim_count = len(self.chosen)
         already_chosen = set(self.chosen)
         for victim in self.candidates:
-            if places.count >= self.request.count:
+            if gang_capacity.count >= self.request.count:
                 break
-            if victim in already_chosen or victim.worker not in places.free or not _can_be_stopped(victim):
+            if victim in already_chosen or victim.worker not in gang_capacity.free or not _can_be_stopped(victim):
                 continue
             if self.policy.may_preempt(victim):
                 self.policy.choose(victim)
-                places.add_freed(victim)
+                gang_capacity.add_freed(victim)
                 self.chosen.append(victim)
-        if places.count < self.request.count:
+        if gang_capacity.count < self.request.count:
             return False
-        self._spare_needless(places, needed_for_quota)
+        self._drop_unneeded_victims(gang_capacity, quota_victim_count)
         return True
 
-    def _spare_needless(self, places: GangPlaces, first: int) -> None:
-        """Victims from the index `first` on without which the gang still finds its places are not stopped."""
+    def _drop_unneeded_victims(self, gang_capacity: GangCapacity, first: int) -> None:
+        """Drop each victim from index `first` on without which the gang still has room."""
         for victim in self.chosen[first:]:
-            places.remove_freed(victim)
-            if places.count < self.request.count:
-                places.add_freed(victim)
+            gang_capacity.remove_freed(victim)
+            if gang_capacity.count < self.request.count:
+                gang_capacity.add_freed(victim)
             else:
                 self.chosen.remove(victim)
 
@@ -210,5 +211,5 @@
 
 
 def preemption_order(attempt: Attempt) -> tuple[int, bool, int, str]:
-    """Sort key of victims: lowest priority first, then what saves checkpoints, then what has run shortest."""
+    """Sort key of victims: lowest priority first, then jobs that save checkpoints, then the latest started."""
     return (-attempt.spec.priority, attempt.spec.checkpoint_interval_s == 0, -attempt.running_us, attempt.name)
--- a/quinceslip/quota/quota_context.py
+++ b/quinceslip/quota/quota_context.py
@@ -1,4 +1,4 @@
-"""What the parts of the allocation manager share."""
+"""The state that the parts of the allocation manager share."""
 
 from dataclasses import dataclass
 
@@ -19,5 +19,5 @@
     election: LeaderElection
     allocations: Allocations
     writer: AllocationWriter
-    #: by index: the quotas of the shards that this controller leads
+    #: by shard index: the quotas of the shards that this controller leads
     shard_quotas: dict[int, ShardQuota]
--- a/quinceslip/quota/shard_quota.py
+++ b/quinceslip/quota/shard_quota.py
@@ -1,8 +1,8 @@
-"""The quotas of one shard as its placement asks them, and the room that preemption makes for what they hold up.
+"""The quotas of one shard as placement sees them, and preemption for job partitions that they block.
 
-What a job partition lacks is noted as an unmet demand, which `allocation_manager.py` takes to the key-value store.
-Where its priority or a guarantee entitles it to room, borrowed usage here is preempted at once, and the room stays
-reserved for it until its tasks start.
+What a blocked job partition lacks is recorded as an unmet demand, which `allocation_manager.py` publishes in the
+key-value store. If priority or a guarantee entitles the job to room, borrowed usage in this shard is preempted at once,
+and the room stays reserved for the job until its tasks start.
 """
 
 import logging
@@ -18,7 +18,7 @@
 from quinceslip.quota.amounts import ZERO, Amounts, accumulate, add, positive, subtract, task_amounts, times, within
 from quinceslip.quota.preemption import (
     MAX_PREEMPTING_PRIORITY,
-    GangPlaces,
+    GangCapacity,
     GuaranteeAwarePreemption,
     RoomRequest,
     VictimSearch,
@@ -31,7 +31,7 @@
 
 log = logging.getLogger(__name__)
 
-#: room that was made for a job is reserved for it so long: what stops may have to save first
+#: how long room made for a job stays reserved: stopping attempts may have to save a checkpoint first
 RESERVATION_US = 10 * SECOND
 
 
@@ -40,24 +40,24 @@
 
     def __init__(self, tree: Tree, allocations: Allocations, state: ShardState) -> None:
         super().__init__(tree, allocations, state)
-        #: by team
+        #: by team: what its quota keeps from starting in this pass
         self.unmet_demands: dict[str, UnmetDemand] = {}
         #: by level: room that was made or found for jobs in this pass
         self.promised: dict[int, Amounts] = {}
-        #: the ids of these jobs
+        #: ids of these jobs
         self.jobs_promised_room: set[str] = set()
-        #: what could be preempted, in order, in this pass; None: not looked for yet
+        #: the attempts that may be preempted in this pass, in order; None: not computed yet
         self._candidates: list[Attempt] | None = None
 
-    # A pass.
+    # A placement pass.
 
-    def begin(self, queue: Sequence[JobPartition]) -> None:
-        """What was found in the last pass is found anew; room stays reserved for what still waits for it."""
+    def begin_pass(self, queue: Sequence[JobPartition]) -> None:
+        """Discard the findings of the last pass; room stays reserved for jobs that still wait for it."""
         self.unmet_demands.clear()
         self.promised.clear()
         self.jobs_promised_room.clear()
-        self.refused.clear()
-        self.wanted_room.clear()
+        self.refused_amounts.clear()
+        self.preemptable_room.clear()
         self.refused_for_reservations.clear()
         self.reservation_released = False
         self.forget_candidates()
@@ -75,34 +75,34 @@
         }
 
     def queue_empty(self) -> None:
-        """Nothing waits in this shard."""
+        """Clear the unmet demands, since no task waits in this shard."""
         self.unmet_demands.clear()
 
     def forget_candidates(self) -> None:
-        """The attempts that may be preempted are looked for anew."""
+        """Make the next search compute the attempts that may be preempted again."""
         self._candidates = None
 
-    # What a job partition lacks.
+    # Shortfalls of job partitions.
 
     def blocked_by_quota(
         self, partition: JobPartition, count: int, placeable: bool, workers: Iterable[Worker] = ()
     ) -> None:
-        """Only its quota keeps a job partition from starting: note its demand, and preempt borrowed usage for it.
+        """Record the demand of a job partition that only its quota keeps from starting, and preempt for it.
 
-        `count` tasks start together; `placeable` says that machines have room for them.
+        `count` tasks start together; `placeable` says whether machines have room for them.
         """
         partition.on_hold = self.has_partitions_on_hold = True
         spec = partition.spec
         waiting = times(task_amounts(spec), max(count, len(partition.pending)))
         seen_in_this_pass = partition.job_id in self.refused_for_reservations
-        if self.last_reserved_level is not None:
+        if self.level_refused_by_reservation is not None:
             self.refused_for_reservations[partition.job_id] = partition
-        known = self.unmet_demands.get(spec.team)
-        if known is not None:
+        recorded = self.unmet_demands.get(spec.team)
+        if recorded is not None:
             if not seen_in_this_pass:
-                known.need = add(known.need, waiting)
+                recorded.need = add(recorded.need, waiting)
             return
-        if self.others_hold_any(spec.team):
+        if self.quota_exists_elsewhere(spec.team):
             self.unmet_demands[spec.team] = self._unmet_demand(partition, count, placeable, waiting)
         entitled = spec.priority <= MAX_PREEMPTING_PRIORITY or bool(self.tree.guaranteed.get(spec.team))
         if entitled and self.usage_known():
@@ -115,18 +115,18 @@
         return UnmetDemand(spec.team, times(task_amounts(spec), count), waiting, order, spec, count)
 
     def shortfall(self, spec: m.JobSpec, count: int) -> dict[int, Amounts]:
-        """By level, how much more the shard would have to hold, or others stop using."""
+        """By level, how much more `count` tasks need, by a larger allocation or by preemption of other jobs."""
         need = times(task_amounts(spec), count)
         shortfalls: dict[int, Amounts] = {}
         for level in self.tree.capped.get(spec.team, ()):
             wanted = add(self._committed_usage(level, spec.job_id), need)
-            lacking = positive(subtract(wanted, self.limit_here(level)))
+            lacking = positive(subtract(wanted, self.shard_limit(level)))
             if any(lacking):
                 shortfalls[level] = lacking
         return shortfalls
 
     def guarantees_covering(self, spec: m.JobSpec, count: int = 1) -> set[int]:
-        """The levels within whose guarantee that many tasks more would be."""
+        """The levels whose guarantee in this shard covers `count` more tasks."""
         path = self.tree.guaranteed.get(spec.team)
         if not path:
             return set()
@@ -134,13 +134,13 @@
         return {
             level
             for level in path
-            if within(add(self._committed_usage(level, spec.job_id), need), self.guaranteed_here(level))
+            if within(add(self._committed_usage(level, spec.job_id), need), self.shard_guarantee(level))
         }
 
     def _committed_usage(self, level: int, job_id: str) -> Amounts:
-        """What stays in use, what was made room for in this pass, and what is reserved for others since earlier ones.
+        """Usage that stays, room made for jobs in this pass, and room reserved for other jobs in earlier passes.
 
-        Guard: without the last, room for two jobs would be made where there is room for one, and neither could start.
+        Guard: without the last, the same room would be made for two jobs, and neither could start.
         """
         return add(
             add(self.net_usage(level), self.promised.get(level, ZERO)),
@@ -152,7 +152,7 @@
     def preemption_policy(
         self, spec: m.JobSpec, count: int = 1, covering_guarantees: set[int] | None = None
     ) -> GuaranteeAwarePreemption:
-        """Whose work may be stopped for so many tasks of a job."""
+        """The policy that says which attempts may be preempted for `count` tasks of a job."""
         if covering_guarantees is None:
             covering_guarantees = self.guarantees_covering(spec, count)
         return GuaranteeAwarePreemption(self, spec, covering_guarantees)
@@ -160,12 +160,12 @@
     def _preempt_for(self, partition: JobPartition, count: int, placeable: bool, workers: Iterable[Worker]) -> None:
         reservation = self.reservations.get(partition.job_id)
         released = reservation.released if reservation is not None else ZERO
-        made = self._make_room_for(partition, count, placeable, workers, released)
-        if reservation is None or made or not reservation.waits_here:
+        room_made = self._make_room_for(partition, count, placeable, workers, released)
+        if reservation is None or room_made or not reservation.waits_here:
             return
-        if self.last_reserved_level is None and not self.others_hold_any(partition.spec.team):
-            # Guard: it needs more by now than what is reserved (a service of which nothing runs any more starts as a
-            # whole), and nobody can give that. Without this, what is reserved serves nobody.
+        if self.level_refused_by_reservation is None and not self.quota_exists_elsewhere(partition.spec.team):
+            # Guard: the job needs more by now than what is reserved (a service of which nothing runs any more starts as
+            # a whole), and no other shard or pool has that. Without this, the reserved room would stay unused.
             self._release_reservation(reservation)
 
     def _make_room_for(
@@ -173,48 +173,49 @@
     ) -> bool:
         spec = partition.spec
         if spec.gang and not partition.precedence:
-            # Guard: all of it must find places. Without this, work would stop for a gang that cannot start, and the
-            # room would stay empty. One that has waited too long has machines kept for it, and room with them.
+            # Guard: the machines must have room for the whole gang. Without this, attempts would be stopped for a gang
+            # that cannot start, and the room would stay empty. A gang that has waited too long has precedence: machines
+            # are reserved for it, and room with them.
             if partition.attempts or any(released):
                 return False
-            return self.make_room(RoomRequest(spec, count, places=GangPlaces(spec, list(workers))))
-        lots = len(partition.pending) // count
+            return self.make_room(RoomRequest(spec, count, gang_capacity=GangCapacity(spec, list(workers))))
+        repeats = len(partition.pending) // count
         if placeable and (spec.gang or not any(released)):
-            return self.make_room(RoomRequest(spec, count), lots)
-        # No machine has room either: what stops must leave room for a task on one of them.
+            return self.make_room(RoomRequest(spec, count), repeats)
+        # No machine has room either: the victims must also leave room for a task on one machine.
         if any(released):
-            self.wanted_room[spec.job_id] = released
-        return self._make_room_on_machines(spec, count, lots, workers)
+            self.preemptable_room[spec.job_id] = released
+        return self._make_room_on_machines(spec, count, repeats, workers)
 
-    def _make_room_on_machines(self, spec: m.JobSpec, count: int, lots: int, workers: Iterable[Worker]) -> bool:
-        made = False
+    def _make_room_on_machines(self, spec: m.JobSpec, count: int, repeats: int, workers: Iterable[Worker]) -> bool:
+        room_made = False
         for worker in workers:
-            # Bound: the tasks that wait, in lots of `count`.
-            while lots > 0 and self.make_room(RoomRequest(spec, count, machine=worker)):
-                lots -= 1
-                made = True
-        return made
+            # Bound: the waiting tasks, in groups of `count`.
+            while repeats > 0 and self.make_room(RoomRequest(spec, count, machine=worker)):
+                repeats -= 1
+                room_made = True
+        return room_made
 
     def make_room(self, request: RoomRequest, repeats: int = 1) -> bool:
-        """Preempt borrowed usage for `request.count` tasks, so many times over; whether any room is made."""
+        """Make room for `request.count` tasks by preemption, up to `repeats` times; returns whether any was made."""
         spec, count = request.spec, request.count
-        # Other shards may have the rest of it: what one alone cannot make room for must not wait for ever.
+        # Other shards may have the rest: a job that no single shard can make room for must not wait for ever.
         partial_allowed = request.shortfall is not None or (
-            count > 1 and request.machine is None and self.others_hold_any(spec.team)
+            count > 1 and request.machine is None and self.quota_exists_elsewhere(spec.team)
         )
-        made = False
+        room_made = False
         for _ in range(repeats):
             shortfall = self.shortfall(spec, count) if request.shortfall is None else request.shortfall
             policy = self.preemption_policy(spec, count, request.covering_guarantees)
             stopped = self._preempt(request, shortfall, policy, partial_allowed) if shortfall else []
             if stopped is None:
                 break
-            made = True
+            room_made = True
             accumulate(self.promised, self.tree.path(spec.team), times(task_amounts(spec), count))
             self.jobs_promised_room.add(spec.job_id)
             if shortfall:
                 self._reserve(request, stopped, partial_allowed)
-        return made
+        return room_made
 
     def _preempt(
         self,
@@ -223,15 +224,15 @@
         policy: GuaranteeAwarePreemption,
         partial_allowed: bool,
     ) -> list[Attempt] | None:
-        """Stop attempts until the levels have so much room: what stops, or None where that can't be reached."""
+        """Stop attempts to make up the shortfall; returns the victims, or None if that is not possible."""
         spec = request.spec
         if spec.priority > MAX_PREEMPTING_PRIORITY and not policy.covering_guarantees:
             return None
         search = VictimSearch(policy, self._preemption_candidates(), request, shortfall)
         if not search.find_room(partial_allowed):
             return None
-        if request.places is not None and not search.find_places(request.places):
-            self.wanted_room[spec.job_id] = times(task_amounts(spec), request.count)
+        if request.gang_capacity is not None and not search.find_room_for_gang(request.gang_capacity):
+            self.preemptable_room[spec.job_id] = times(task_amounts(spec), request.count)
             return None
         for victim in search.chosen:
             log.info("attempt preempted by quotas attempt=%s job=%s", victim.name, spec.job_id)
@@ -240,14 +241,16 @@
 
     def _preemption_candidates(self) -> list[Attempt]:
         if self._candidates is None:
-            observed = (attempt for attempts in self.teams.values() for attempt in attempts if attempt.observed)
+            observed = (
+                attempt for attempts in self.attempts_by_team.values() for attempt in attempts if attempt.observed
+            )
             self._candidates = sorted(observed, key=preemption_order)
         return self._candidates
 
     # Reservations.
 
     def _reserve(self, request: RoomRequest, stopped: list[Attempt], partial: bool) -> None:
-        """Keep the room that the stopped attempts leave for the job of the request."""
+        """Reserve the room of the stopped attempts for the job of the request."""
         spec = request.spec
         room = times(task_amounts(spec), request.count)
         waits_here = request.shortfall is None
@@ -258,12 +261,12 @@
         reservation.until_us = self.state.ctx.now_us + RESERVATION_US
 
     def not_placed(self, partition: JobPartition) -> None:
-        """A whole pass has found no machine for what still waits of a job partition.
+        """Release the reservation of a job partition for whose waiting tasks a whole pass found no machine.
 
-        Guard: what is reserved for it is for others then, except while what was stopped for it still runs, or machines
-        are kept for it as well. Without this, the room would stay empty beside work that fits: the rest of a service of
-        which no machine takes more keeps it from all others. Until its time is over, nothing stops for the job but on
-        a machine that can take it: else the two would preempt each other in every pass.
+        Guard: other jobs may use the room then, except while attempts stopped for it still run, or machines are kept
+        for the job as well. Without this, room would stay empty next to tasks that fit: the rest of a service that no
+        machine can take would block all others. Until the reservation expires, attempts are stopped for the job only on
+        a machine that can take it: otherwise the job and those others would preempt each other in every pass.
         """
         reservation = self.reservations.get(partition.job_id)
         if reservation is None or not reservation.waits_here or not any(reservation.room):
@@ -273,7 +276,7 @@
             self._release_reservation(reservation)
 
     def _release_reservation(self, reservation: Reservation) -> None:
-        """Others may have what is reserved, unless what was stopped for it still runs."""
+        """Release reserved room to other jobs, unless attempts that were stopped for it still run."""
         still_stopping = any(attempt.counted_usage is not None for attempt in reservation.stopping)
         if any(reservation.room) and not still_stopping:
             reservation.room, reservation.released = ZERO, reservation.room
--- a/quinceslip/quota/shortfall_publishing.py
+++ b/quinceslip/quota/shortfall_publishing.py
@@ -1,4 +1,4 @@
-"""Publishes what a shard lacks beyond the pools, in its want record, for the shards that hold it."""
+"""Publishes what a shard lacks and the pools do not have, in its want record, for the shards that hold it."""
 
 import msgspec
 
@@ -11,9 +11,9 @@
 from quinceslip.quota.shortfalls import Shortfalls
 from quinceslip.quota.unmet_demand import UnmetDemand
 
-#: a want record of which only the amounts change is not written again so soon
+#: minimum interval between writes of a want record if only the amounts have changed
 REPUBLISH_US = 2 * SECOND
-#: unmet demands in one want record; the rest come when these are met
+#: unmet demands in one want record; the others follow when these are met
 MAX_PUBLISHED_DEMANDS = 8
 
 
@@ -23,19 +23,24 @@
     def __init__(self, quota: QuotaContext, shortfalls: Shortfalls) -> None:
         self.quota = quota
         self.shortfalls = shortfalls
-        #: by shard: when its want record was written last
+        #: by shard: when its want record was last written
         self._published_us: dict[int, int] = {}
 
     def publish(self, shard: int, shard_quota: ShardQuota) -> None:
-        """Say durably what the pools lack; the record goes when nothing is wanted any more."""
+        """Write what the shard lacks beyond the pools to its want record; delete it when nothing is lacking."""
         ctx = self.quota.actor
         record = self._want_record(shard, shard_quota)
         known: WantRecord | None = ctx.cache.by_kind[WANT].get(str(shard))
         if record == known:
             return
-        published_lately = ctx.now_us < self._published_us.get(shard, 0) + REPUBLISH_US
-        if published_lately and record is not None and known is not None and _asks_for(record) == _asks_for(known):
-            return  # only the amounts are others: holders give by halves of what idles anyway
+        published_recently = ctx.now_us < self._published_us.get(shard, 0) + REPUBLISH_US
+        if (
+            published_recently
+            and record is not None
+            and known is not None
+            and _requested_allocations(record) == _requested_allocations(known)
+        ):
+            return  # only the amounts differ: holders give up to half of what is idle in any case
         self._published_us[shard] = ctx.now_us
         key = want_key(shard)
         conditions = {**self.quota.election.fencing_condition(shard), key: ctx.cache.mod_revision(key)}
@@ -48,9 +53,9 @@
             return None
         record = WantRecord(demands, guarantees)
         max_bytes = self.quota.actor.limits.value_kb * 1000
-        # Bound: the demands; each turn drops one.
+        # Bound: the demands; each iteration drops one.
         while record.demands and len(msgspec.json.encode(record)) > max_bytes:
-            record.demands.pop()  # deep trees with long names: the rest comes when these are met
+            record.demands.pop()  # happens with deep trees and long names; the rest follows when these are met
         return record
 
     def _wanted_demands(self, shard: int, shard_quota: ShardQuota) -> list[Wanted]:
@@ -59,7 +64,7 @@
         return [entry for entry in wanted if entry is not None][:MAX_PUBLISHED_DEMANDS]
 
     def _wanted(self, shard: int, shard_quota: ShardQuota, demand: UnmetDemand) -> Wanted | None:
-        """The entry of an unmet demand; None if the pools have all it lacks."""
+        """The entry of an unmet demand in the want record; None if the pools have all that it lacks."""
         shortfall: dict[str, list[int]] = {}
         for level in self.quota.tree.capped[demand.team]:
             allocation = self.quota.allocations.for_cap(level)
@@ -84,12 +89,12 @@
 
 
 def _beyond_pool(shard: int, allocation: Allocation, lacking: Amounts) -> Amounts:
-    """The part of a shortfall that only other holders can meet."""
+    """The part of a shortfall that only other shards can meet."""
     pool = positive(allocation.pool())
     held_by_others = positive(subtract(subtract(allocation.total_in_force(), pool), allocation.held(shard)))
     return least(positive(subtract(lacking, pool)), held_by_others)
 
 
-def _asks_for(record: WantRecord) -> list[tuple[str, list[str]]]:
-    """The teams that ask, and the allocations they lack."""
+def _requested_allocations(record: WantRecord) -> list[tuple[str, list[str]]]:
+    """The teams with demands in a record, and the allocations that each lacks."""
     return [(wanted.team, sorted(wanted.shortfall)) for wanted in record.demands]
--- a/quinceslip/quota/shortfalls.py
+++ b/quinceslip/quota/shortfalls.py
@@ -1,4 +1,4 @@
-"""How much more of each allocation a shard needs for its running and waiting tasks."""
+"""Computes how much more of each allocation a shard needs for its running and waiting tasks."""
 
 from quinceslip.quota.allocation import Allocation
 from quinceslip.quota.allocations import Allocations
@@ -8,15 +8,15 @@
 
 
 class Shortfalls:
-    """The shortfalls of the shards that one controller leads, as of now."""
+    """Computes the current shortfalls of the shards that one controller leads."""
 
     def __init__(self, tree: Tree, allocations: Allocations) -> None:
         self.tree = tree
         self.allocations = allocations
-        self._guaranteed = {level.index for level in tree.levels if level.guaranteed}
+        self._guaranteed_levels = {level.index for level in tree.levels if level.guaranteed}
 
     def of_caps(self, shard: int, shard_quota: ShardQuota) -> dict[Allocation, Amounts]:
-        """By allocation of a cap, what the shard lacks for its unmet demands."""
+        """By cap allocation: what the shard lacks for its unmet demands."""
         wanted: dict[int, Amounts] = {}
         for demand in sorted(shard_quota.unmet_demands.values(), key=lambda demand: demand.order):
             for level in reversed(self.tree.capped[demand.team]):
@@ -29,13 +29,13 @@
         return shortfalls
 
     def of_guarantees(self, shard: int, shard_quota: ShardQuota) -> dict[Allocation, Amounts]:
-        """By allocation of a guarantee, how much more of it the shard's running and waiting work could rest on.
+        """By guarantee allocation: how much more of it could cover the shard's running and waiting tasks.
 
-        Where nobody else has work there and nothing is short, no guarantee is needed and none is moved.
+        Unless other teams run tasks in the shard or a demand is unmet, no guarantee is needed and none is moved.
         """
         shortfalls = {}
-        for level in sorted(self._guaranteed & (shard_quota.usage.keys() | shard_quota.demand.keys())):
-            used_by_others = any(level not in self.tree.path(team) for team in shard_quota.teams)
+        for level in sorted(self._guaranteed_levels & (shard_quota.usage.keys() | shard_quota.demand.keys())):
+            used_by_others = any(level not in self.tree.path(team) for team in shard_quota.attempts_by_team)
             if not shard_quota.unmet_demands and not used_by_others:
                 continue
             allocation = self.allocations.for_guarantee(level)
@@ -47,5 +47,5 @@
 
 
 def usage_and_demand(shard_quota: ShardQuota, level: int) -> Amounts:
-    """What the running and waiting tasks beneath a level with a guarantee need."""
+    """What the running and waiting tasks beneath a level with a guarantee need together."""
     return add(shard_quota.net_usage(level), shard_quota.demand.get(level, ZERO))
--- a/quinceslip/quota/unmet_demand.py
+++ b/quinceslip/quota/unmet_demand.py
@@ -1,4 +1,4 @@
-"""What the waiting work of a team lacks of its quota, as a pass of placement notes it."""
+"""The demand of a team for more quota, as a placement pass records it."""
 
 from dataclasses import dataclass
 
@@ -9,10 +9,10 @@
 
 @dataclass(slots=True)
 class UnmetDemand:
-    """The demand of a team's waiting work that its quota alone keeps from starting."""
+    """The demand of a team's waiting tasks that only the quota keeps from starting."""
 
     team: str
-    #: the least that helps: one task, or all of a gang or service
+    #: the smallest useful amount: one task, or all of a gang or service
     unit: Amounts
     #: what all waiting tasks of the team could use
     need: Amounts
