--- a/quinceslip/coordination/autoscaling/unmet_demand.py
+++ b/quinceslip/coordination/autoscaling/unmet_demand.py
@@ -104,7 +104,7 @@
         # Tasks that pause after a failure need no machine: a job that crashes in a loop would rent many.
         waiting = partition.startable()
         if shard.quota is not None:
-            waiting = shard.quota.startable(spec, waiting, claimed_quota)
+            waiting = shard.quota.tasks_allowed_on_new_machines(spec, waiting, claimed_quota)
         waiting += kept[partition.job_id]
         if waiting <= 0:
             continue
--- a/quinceslip/coordination/shard_state/policies.py
+++ b/quinceslip/coordination/shard_state/policies.py
@@ -81,7 +81,9 @@
         """A whole pass found no worker for what still waits of the partition."""
         ...
 
-    def startable(self, spec: m.JobSpec, most: int, spoken_for: dict[int, tuple[int, int, int, int]]) -> int:
+    def tasks_allowed_on_new_machines(
+        self, spec: m.JobSpec, most: int, spoken_for: dict[int, tuple[int, int, int, int]]
+    ) -> int:
         """For how many of `most` tasks the quota leaves room; `spoken_for` adds up what one plan was granted."""
         ...
 
--- a/quinceslip/quota/admission.py
+++ b/quinceslip/quota/admission.py
@@ -79,7 +79,9 @@
         """Whether only the target of this round caused the last refusal: a later round may admit the tasks."""
         return self.last_refused_by_target
 
-    def startable(self, spec: m.JobSpec, max_count: int, granted_by_level: dict[int, Amounts]) -> int:
+    def tasks_allowed_on_new_machines(
+        self, spec: m.JobSpec, max_count: int, granted_by_level: dict[int, Amounts]
+    ) -> int:
         """How many of `max_count` tasks machines may be added for, by what the shard holds or can take from the pools.
 
         `granted_by_level` accumulates, by level, what earlier calls for the same plan granted.
--- a/quinceslip/quota/allocation.py
+++ b/quinceslip/quota/allocation.py
@@ -167,7 +167,7 @@
             {str(shard): list(part) for shard, part in sorted(parts.items()) if any(part)},
         )
 
-    def take(self, shard: int, amounts: Amounts, fencing: dict[str, int]) -> Move | None:
+    def take_from_pool(self, shard: int, amounts: Amounts, fencing: dict[str, int]) -> Move | None:
         """Move up to `amounts` from the pool to a shard; None if the pool has none of it or a move is under way.
 
         `fencing`, here and below, is the condition that this controller still leads the shard.
@@ -181,7 +181,7 @@
             return None
         return self._start_move({shard: add(self.held(shard), taken)}, fencing, {})
 
-    def give(
+    def give_unused(
         self, shard: int, target: int | None, amounts: Amounts, used: Sequence[int], fencing: dict[str, int]
     ) -> Move | None:
         """Move up to `amounts` of what a shard does not use to another one (`target` None: back to the pool)."""
--- a/quinceslip/quota/allocation_giving.py
+++ b/quinceslip/quota/allocation_giving.py
@@ -36,8 +36,8 @@
 
     def want_record_changed(self, shard: int) -> bool:
         """Note that a shard's want record in the cache has changed or was deleted; whether there is one."""
-        if str(shard) in self.quota.actor.cache.by_kind[WANT]:
-            self.wanted_since_us.setdefault(shard, self.quota.actor.now_us)
+        if str(shard) in self.quota.ctx.cache.by_kind[WANT]:
+            self.wanted_since_us.setdefault(shard, self.quota.ctx.now_us)
             return True
         self.wanted_since_us.pop(shard, None)
         return False
@@ -45,7 +45,7 @@
     def give_to_others(self, shard: int, shard_quota: ShardQuota) -> None:
         """Give other shards what this one holds and does not use, in the order of their demands."""
         want_records: dict[int, WantRecord] = {
-            int(name): record for name, record in self.quota.actor.cache.by_kind[WANT].items() if int(name) != shard
+            int(name): record for name, record in self.quota.ctx.cache.by_kind[WANT].items() if int(name) != shard
         }
         if not want_records:
             return
@@ -100,7 +100,7 @@
         # Gives more than was asked for if much is idle, so that a burst takes few writes.
         pairs = zip(lacking, spare, strict=True)
         amounts = [max(asked, idle // GIVE_AHEAD_DIVISOR) if asked else 0 for asked, idle in pairs]
-        move = allocation.give(self.shard, requester, amounts_of(amounts), used, self.fencing)
+        move = allocation.give_unused(self.shard, requester, amounts_of(amounts), used, self.fencing)
         if move is None:
             return lacking
         self.batch.add(allocation, move)
@@ -147,13 +147,13 @@
         holders.sort(key=lambda shard: (-max(parts[str(shard)]), shard))
         if self.shard not in holders:
             return False
-        now_us = self.quota.actor.now_us
+        now_us = self.quota.ctx.now_us
         turn = (now_us - self.wanted_since_us.get(requester, now_us)) // PREEMPTION_TURN_US
         return holders[turn % len(holders)] == self.shard
 
     def _preempt_for(self, wanted: Wanted, lacking: dict[int, Amounts]) -> None:
         """Preempt borrowed usage in this shard for a job of another one."""
-        job = self.quota.actor.cache.job(wanted.order.job_id)
+        job = self.quota.ctx.cache.job(wanted.order.job_id)
         if job is None or job.spec is None:
             return  # the job has ended, or is not in the cache yet
         levels = self.quota.tree.by_name
--- a/quinceslip/quota/allocations.py
+++ b/quinceslip/quota/allocations.py
@@ -29,7 +29,7 @@
         self._caps: dict[int, Allocation] = {}
         self._guarantees: dict[int, Allocation] = {}
         #: by record name: the level of each cap of which shards hold more than there is
-        self.exceeded: dict[str, int] = {}
+        self.exceeded_caps: dict[str, int] = {}
         #: the newest version of the tree that any controller has
         self.newest_version = tree.version
         #: this controller's tree is older, or has the same version with other amounts
@@ -43,7 +43,7 @@
         """The allocation of a level's guarantee."""
         return self._guarantees.get(level) or self._create(self._guarantees, level, AmountKind.GUARANTEE)
 
-    def of(self, amount: LevelAmount) -> Allocation:
+    def for_level_amount(self, amount: LevelAmount) -> Allocation:
         """The allocation of a level's cap or of its guarantee."""
         return self.for_cap(amount.level) if amount.kind is AmountKind.CAP else self.for_guarantee(amount.level)
 
@@ -73,9 +73,9 @@
         allocation.record_changed(record, self.cache.mod_revision(allocation.key))
         level_amount = self.level_amount(allocation.key)
         if level_amount is not None and level_amount.kind is AmountKind.CAP and min(allocation.pool()) < 0:
-            self.exceeded[name] = level_amount.level
+            self.exceeded_caps[name] = level_amount.level
         else:
-            self.exceeded.pop(name, None)
+            self.exceeded_caps.pop(name, None)
 
     def is_current(self, level: int) -> bool:
         """Whether this controller knows the limits in force for the level.
--- a/quinceslip/quota/max_min.py
+++ b/quinceslip/quota/max_min.py
@@ -16,7 +16,7 @@
     need: int
 
 
-def fill(amount: int, wants: Sequence[tuple[float, int]]) -> list[int]:
+def divide_by_weight(amount: int, wants: Sequence[tuple[float, int]]) -> list[int]:
     """Divide an amount by weight between `wants` of (weight, maximum share); the others share what one cannot take.
 
     Weighted max-min fair: no share over its weight can rise without lowering another one that is no larger. Shares are
@@ -63,7 +63,7 @@
     guaranteed = [min(guarantee, need) for _, guarantee, need in claims]
     if sum(guaranteed) >= amount:
         wants = [(max(guarantee, 1), base) for (_, guarantee, _), base in zip(claims, guaranteed, strict=True)]
-        return fill(amount, wants)
+        return divide_by_weight(amount, wants)
     beyond = [(weight, need - base) for (weight, _, need), base in zip(claims, guaranteed, strict=True)]
-    borrowed = fill(amount - sum(guaranteed), beyond)
+    borrowed = divide_by_weight(amount - sum(guaranteed), beyond)
     return [base + extra for base, extra in zip(guaranteed, borrowed, strict=True)]
--- a/quinceslip/quota/shortfall_publishing.py
+++ b/quinceslip/quota/shortfall_publishing.py
@@ -28,7 +28,7 @@
 
     def publish(self, shard: int, shard_quota: ShardQuota) -> None:
         """Write what the shard lacks beyond the pools to its want record; delete it when nothing is lacking."""
-        ctx = self.quota.actor
+        ctx = self.quota.ctx
         record = self._want_record(shard, shard_quota)
         known: WantRecord | None = ctx.cache.by_kind[WANT].get(str(shard))
         if record == known:
@@ -52,7 +52,7 @@
         if not demands and not guarantees:
             return None
         record = WantRecord(demands, guarantees)
-        max_bytes = self.quota.actor.limits.value_kb * 1000
+        max_bytes = self.quota.ctx.limits.value_kb * 1000
         # Bound: the demands; each iteration drops one.
         while record.demands and len(msgspec.json.encode(record)) > max_bytes:
             record.demands.pop()  # happens with deep trees and long names; the rest follows when these are met
