--- a/quinceslip/quota/fair_share_targets.py
+++ b/quinceslip/quota/fair_share_targets.py
@@ -19,13 +19,13 @@
 from quinceslip.quota.max_min import Claim, divide
 from quinceslip.quota.usage import UsageMeter
 
-#: the unit of shares: a share of this size is all that a parent has
+#: shares are integers in units of 1 / SHARE_SCALE of what a parent has
 SHARE_SCALE = 1 << 30
 
 
 @dataclass(slots=True)
 class FairShareTargets:
-    """Divides the capacity of the machines once between the levels with waiting tasks."""
+    """One division of the machines' capacity between the levels with waiting tasks."""
 
     usage: UsageMeter
     capacity: Amounts
