--- a/quinceslip/quota/bench.py
+++ b/quinceslip/quota/bench.py
@@ -1,6 +1,6 @@
-"""One shard without a network: real placement and quotas, with machines that obey at once.
+"""One in-process shard with the real placement and quota code, whose workers carry out commands immediately.
 
-For `quinceslip quota bench` (`pass_cost.py`) and for property tests.
+Used by `quinceslip quota bench` (`pass_cost.py`) and by property tests.
 """
 
 from dataclasses import dataclass, field
@@ -28,27 +28,27 @@
 
 @dataclass(slots=True)
 class PermanentLeadership:
-    """The leadership of a shard that never ends."""
+    """A stand-in for the election: its leadership of the shard never ends."""
 
     mod_revisions: dict[int, int] = field(default_factory=lambda: {0: 0})
 
     def may_launch(self, shard: int | None = None) -> bool:
-        """Always."""
+        """Return True: the leadership always holds."""
         return True
 
     def claim(self, shard: int, above: int = 0) -> None:
-        """Nothing is to be claimed."""
+        """Do nothing: the shard is already led."""
 
 
 class PassResult(NamedTuple):
-    """How many tasks one pass has started, and how many it stops."""
+    """The numbers of tasks that one scheduling pass started and stopped."""
 
     started: int
     stopped: int
 
 
 class Bed:
-    """One shard that holds all of every level's amounts; `pass_` is one scheduling pass."""
+    """One shard that holds the whole cap and guarantee of every level; `run_pass` runs one scheduling pass."""
 
     def __init__(self, tree: Tree | None, machines: int, cpus: float) -> None:
         settings = _settings([] if tree is None else list(tree.leaves))
@@ -92,7 +92,7 @@
     def submit(
         self, team: str, tasks: int, cpus: float = 1.0, priority_class: str = "normal", kind: str = "array"
     ) -> JobPartition:
-        """A job of a team that waits for the next pass."""
+        """Add a job whose tasks wait for the next pass."""
         self.jobs += 1
         spec = _job_spec(f"req-{self.jobs}", team, tasks, cpus, priority_class, kind)
         partition = JobPartition(spec.job_id, spec, submitted_us=self.jobs, assigned=set(range(tasks)))
@@ -101,7 +101,7 @@
         return partition
 
     def run_pass(self) -> PassResult:
-        """One pass; machines obey at once."""
+        """Run one scheduling pass; its commands take effect immediately."""
         self.state.needs_placement = True
         before = set(self.running())
         self.placement.place_waiting()
@@ -118,7 +118,7 @@
         return PassResult(started, stopped)
 
     def finish(self, attempt: Attempt) -> None:
-        """A task is done."""
+        """Record that an attempt completed successfully."""
         worker, partition = self.state.workers[attempt.worker], self.state.partitions[attempt.job_id]
         self.state.end_attempt(worker, attempt, m.CAUSE_DONE)
         partition.unrecorded_done.add(attempt.index)
@@ -126,7 +126,7 @@
         self.state.detach(worker, attempt.name)
 
     def running(self) -> list[Attempt]:
-        """The attempts on all machines."""
+        """Return the attempts on all workers."""
         return [attempt for worker in self.state.workers.values() for attempt in worker.attempts.values()]
 
 
--- a/quinceslip/quota/config.py
+++ b/quinceslip/quota/config.py
@@ -1,7 +1,7 @@
 """Reads the tree from the operators' INI file and checks it as a whole; errors name section, key and value.
 
     [quota]
-    version = 1             ; raised with every change: of two files the higher one rules
+    version = 1             ; raised with every change: the highest version is in force
 
     [quota guild]
     cpus_max = 200
@@ -11,8 +11,8 @@
     weight = 2
     teams = prepress-desk, plates
 
-A section named after a team of the platform's settings gives that team's own amounts. A team's limit and
-guarantee of the platform's settings hold besides (of two caps the lower one).
+A section named after a team of the platform's settings gives that team's own amounts. The team's limit and guarantee
+in the platform's settings also apply: the lower of the two caps, and the guarantee if the file states none.
 """
 
 import configparser
@@ -27,10 +27,10 @@
 def load_tree(
     parser: configparser.ConfigParser | None, teams: Iterable[Team], source: str = "", fair: bool = False
 ) -> Tree | None:
-    """The tree of the operators' file; None where neither it nor the platform's teams say anything.
+    """Return the tree of the operators' file; None if neither the file nor the platform's teams set any quota.
 
-    Without a file, every team stands on its own. `fair`: several teams that nothing is said of have a tree as well,
-    whose weights alone divide what is free.
+    Without a file, every team is a root level. With `fair`, several teams without caps or guarantees get a tree as
+    well, in which only their weights divide the free capacity.
     Raises SettingsError, naming section, key and value.
     """
     parser = parser or configparser.ConfigParser(interpolation=None)
@@ -40,7 +40,7 @@
     for section in sections:
         if section != SECTION:
             reader.read_level(section)
-    reader.join_teams()
+    reader.complete_teams()
     check_forest(reader)
     tree = Tree(reader.levels.values(), version)
     check_guarantees(reader, tree)
--- a/quinceslip/quota/level_checks.py
+++ b/quinceslip/quota/level_checks.py
@@ -1,16 +1,16 @@
-"""Checks the levels of the operators' file as a whole: they are a forest, and its guarantees can be kept."""
+"""Checks that the levels of the operators' file form a forest whose guarantees can be kept."""
 
 from quinceslip.protocol.settings import SettingsError
 from quinceslip.quota.amounts import KINDS, RESOURCES, SCALE, UNLIMITED, ZERO, Amounts, add
-from quinceslip.quota.level_reader import LevelReader, section_of
+from quinceslip.quota.level_reader import LevelReader, section_name
 from quinceslip.quota.tree import Level, Tree
 
-#: levels on a path: passes go down the tree by recursion
+#: maximum number of levels on a path; limited because scheduling passes descend the tree recursively
 MAX_TREE_DEPTH = 64
 
 
 def check_forest(reader: LevelReader) -> None:
-    """Raise SettingsError where parents are missing, are teams or go round in a circle, or a level has no teams."""
+    """Raise SettingsError if a parent is missing, is a team or is part of a cycle, or if a level has no teams."""
     for level in reader.levels.values():
         _check_parent(reader, level)
         _check_path(reader, level)
@@ -18,7 +18,7 @@
     for name, level in reader.levels.items():
         if not level.team and name not in parents:
             raise SettingsError(
-                f"{reader.source}: [{section_of(name)}]: {name} is neither a team of the platform's "
+                f"{reader.source}: [{section_name(name)}]: {name} is neither a team of the platform's "
                 f"settings nor a level with teams beneath it"
             )
 
@@ -26,7 +26,7 @@
 def _check_parent(reader: LevelReader, level: Level) -> None:
     if not level.parent:
         return
-    section = section_of(level.name)
+    section = section_name(level.name)
     if level.parent not in reader.levels:
         raise reader.error(section, "parent", "there is no such level")
     if reader.levels[level.parent].team:
@@ -34,10 +34,10 @@
 
 
 def _check_path(reader: LevelReader, level: Level) -> None:
-    section = section_of(level.name)
+    section = section_name(level.name)
     path = [level.name]
     parent = level.parent
-    # Bound: MAX_TREE_DEPTH; a circle is found before.
+    # Bound: MAX_TREE_DEPTH; a cycle is reported before that.
     while parent:
         if parent in path:
             raise reader.error(section, "parent", f"goes round in a circle: {', '.join([*path, parent])}")
@@ -50,37 +50,37 @@
 
 
 def check_guarantees(reader: LevelReader, tree: Tree) -> None:
-    """Raise SettingsError where a guarantee is over a cap, or over what the level above it guarantees."""
+    """Raise SettingsError if guarantees exceed the level's cap, or the guarantee of their parent level."""
     for level in tree.levels:
-        together = _guarantees_beneath(tree, level)
-        for kind in range(KINDS):
-            _check_kind(reader, tree, level, together, kind)
+        children_total = _total_child_guarantee(tree, level)
+        for resource in range(KINDS):
+            _check_resource(reader, tree, level, children_total, resource)
 
 
-def _guarantees_beneath(tree: Tree, level: Level) -> Amounts:
-    together = ZERO
+def _total_child_guarantee(tree: Tree, level: Level) -> Amounts:
+    total = ZERO
     for index in level.children:
         child = tree.levels[index]
         if child.guaranteed:
-            together = add(together, [amount if amount < UNLIMITED else 0 for amount in child.guarantee])
-    return together
+            total = add(total, [amount if amount < UNLIMITED else 0 for amount in child.guarantee])
+    return total
 
 
-def _check_kind(reader: LevelReader, tree: Tree, level: Level, together: Amounts, kind: int) -> None:
-    guarantee, cap = level.guarantee[kind], level.cap[kind]
-    stated = level.name in reader.stated
+def _check_resource(reader: LevelReader, tree: Tree, level: Level, children_total: Amounts, resource: int) -> None:
+    guarantee, cap = level.guarantee[resource], level.cap[resource]
+    explicit = level.name in reader.levels_with_guarantee
     if UNLIMITED > guarantee > cap:
-        raise _guarantee_error(reader, level, kind, "its guarantee is over its own cap")
+        raise _guarantee_error(reader, level, resource, "its guarantee is over its own cap")
     for index in level.children:
         child = tree.levels[index]
-        if stated and UNLIMITED > child.guarantee[kind] > guarantee:
-            raise _guarantee_error(reader, child, kind, f"its guarantee is over that of {level.name}")
-    if together[kind] > min(guarantee if stated else UNLIMITED, cap):
-        amount = together[kind] / SCALE[kind]
-        raise _guarantee_error(reader, level, kind, f"the guarantees of what is beneath it are {amount:g} together")
+        if explicit and UNLIMITED > child.guarantee[resource] > guarantee:
+            raise _guarantee_error(reader, child, resource, f"its guarantee is over that of {level.name}")
+    if children_total[resource] > min(guarantee if explicit else UNLIMITED, cap):
+        amount = children_total[resource] / SCALE[resource]
+        raise _guarantee_error(reader, level, resource, f"the guarantees of what is beneath it are {amount:g} together")
 
 
-def _guarantee_error(reader: LevelReader, level: Level, kind: int, text: str) -> SettingsError:
-    amount = level.guarantee[kind] if level.guarantee[kind] < UNLIMITED else level.cap[kind]
-    value = f"{RESOURCES[kind]} = {amount / SCALE[kind]:g}"
-    return SettingsError(f"{reader.source}: [{section_of(level.name)}] {value}: {text}")
+def _guarantee_error(reader: LevelReader, level: Level, resource: int, text: str) -> SettingsError:
+    amount = level.guarantee[resource] if level.guarantee[resource] < UNLIMITED else level.cap[resource]
+    value = f"{RESOURCES[resource]} = {amount / SCALE[resource]:g}"
+    return SettingsError(f"{reader.source}: [{section_name(level.name)}] {value}: {text}")
--- a/quinceslip/quota/level_reader.py
+++ b/quinceslip/quota/level_reader.py
@@ -10,45 +10,45 @@
 from quinceslip.quota.tree import Level
 
 SECTION = "quota"
-#: appended to the name of a resource: the key of its cap
+#: suffix that turns a resource's name into the key of its cap
 CAP_SUFFIX = "_max"
 KEYS = {"parent", "weight", "teams", *RESOURCES, *(f"{name}{CAP_SUFFIX}" for name in RESOURCES)}
-#: a level's name is part of a record's key
+#: limited because a level's name is part of a record's key
 MAX_NAME_BYTES = 150
 MIN_WEIGHT = 1e-6
 MAX_WEIGHT = 1e6
 MAX_VERSION = 1e15
-#: of a resource, as operators write it
+#: in the units of the operators' file
 MAX_AMOUNT = 1e9
-#: a guarantee that says nothing of memory or tasks is not bounded by them
+#: a guarantee that does not name memory or tasks leaves them unbounded
 _GUARANTEE_DEFAULT: Amounts = (0, 0, UNLIMITED, UNLIMITED)
 
 
-def section_of(level: str) -> str:
-    """The section of the operators' file that a level has."""
+def section_name(level: str) -> str:
+    """Return the name of a level's section in the operators' file."""
     return f"{SECTION} {level}"
 
 
-def level_of(section: str) -> str:
-    """The name of the level that a section is of."""
+def level_name(section: str) -> str:
+    """Return the name of the level that a section describes."""
     return section[len(SECTION) :].strip()
 
 
 class LevelReader:
-    """Reads one file; its methods raise SettingsError for the first thing wrong."""
+    """Reads one file; its methods raise SettingsError for the first error found."""
 
     def __init__(self, parser: configparser.ConfigParser, teams: Iterable[Team], source: str) -> None:
         self.parser = parser
         self.source = source
         self.teams = {team.name: team for team in teams}
         self.levels: dict[str, Level] = {}
-        #: by team: the section whose `teams` names it
-        self.named_in: dict[str, str] = {}
-        #: levels whose guarantee is written down
-        self.stated: set[str] = set()
+        #: by team, the section whose `teams` lists it
+        self.listing_section: dict[str, str] = {}
+        #: names of the levels with an explicit guarantee
+        self.levels_with_guarantee: set[str] = set()
 
     def error(self, section: str, key: str, text: str) -> SettingsError:
-        """An error of a key that is in the file."""
+        """Return an error about a key that is in the file."""
         return SettingsError(f"{self.source}: [{section}] {key} = {self.parser.get(section, key)}: {text}")
 
     def _number(self, section: str, key: str, min_value: float, max_value: float) -> float:
@@ -62,13 +62,13 @@
 
     def _amounts(self, section: str, suffix: str, default: Amounts) -> Amounts:
         values = list(default)
-        for kind, name in enumerate(RESOURCES):
+        for resource, name in enumerate(RESOURCES):
             if self.parser.has_option(section, name + suffix):
-                values[kind] = round(self._number(section, name + suffix, 0, MAX_AMOUNT) * SCALE[kind])
+                values[resource] = round(self._number(section, name + suffix, 0, MAX_AMOUNT) * SCALE[resource])
         return amounts_of(values)
 
     def read_version(self) -> int:
-        """The version of the tree, from the section that is of no level."""
+        """Return the version of the tree from the section `[quota]`."""
         if not self.parser.has_option(SECTION, "version"):
             raise SettingsError(f"{self.source}: [{SECTION}] version: missing; raise it with every change of the tree")
         for key in self.parser[SECTION]:
@@ -80,8 +80,8 @@
         return int(value)
 
     def read_level(self, section: str) -> None:
-        """The level that a section is of."""
-        name = level_of(section)
+        """Read a section and add the level that it describes."""
+        name = level_name(section)
         options = self.parser[section]
         if not name or len(quote(name, safe="")) > MAX_NAME_BYTES:
             raise SettingsError(f"{self.source}: [{section}]: a name of 1 to {MAX_NAME_BYTES} bytes is needed")
@@ -100,10 +100,10 @@
     def _read_guarantee(self, section: str) -> Amounts:
         if not any(name in self.parser[section] for name in RESOURCES):
             return ZERO
-        self.stated.add(level_of(section))
+        self.levels_with_guarantee.add(level_name(section))
         guarantee = self._amounts(section, "", _GUARANTEE_DEFAULT)
-        guarantees_any = any(0 < amount < UNLIMITED for amount in guarantee)
-        return guarantee if guarantees_any else ZERO
+        has_finite_amount = any(0 < amount < UNLIMITED for amount in guarantee)
+        return guarantee if has_finite_amount else ZERO
 
     def _read_teams(self, section: str, level: Level) -> None:
         options = self.parser[section]
@@ -111,34 +111,34 @@
         for team in filter(None, names):
             if team not in self.teams:
                 raise self.error(section, "teams", f"unknown team {team}")
-            if team in self.named_in:
-                raise self.error(section, "teams", f"{team} has two parents, {self.named_in[team]} and this")
-            self.named_in[team] = section
+            if team in self.listing_section:
+                raise self.error(section, "teams", f"{team} has two parents, {self.listing_section[team]} and this")
+            self.listing_section[team] = section
         if level.team and "teams" in options:
             raise self.error(section, "teams", f"{level.name} is a team, which has none beneath it")
 
-    def join_teams(self) -> None:
-        """Teams get their parents, and what the platform's settings give them."""
-        for team, section in self.named_in.items():
+    def complete_teams(self) -> None:
+        """Set the parents of the teams, and merge in the limits and guarantees of the platform's settings."""
+        for team, section in self.listing_section.items():
             level = self.levels.setdefault(team, Level(team, team=True))
             if level.parent:
-                raise self.error(section_of(team), "parent", f"{team} has two parents, this and [{section}]")
-            level.parent = level_of(section)
+                raise self.error(section_name(team), "parent", f"{team} has two parents, this and [{section}]")
+            level.parent = level_name(section)
         for name, team_settings in self.teams.items():
             level = self.levels.setdefault(name, Level(name, team=True))
             level.cap = least(level.cap, platform_cap(team_settings))
-            if name not in self.stated:
+            if name not in self.levels_with_guarantee:
                 level.guarantee = platform_guarantee(team_settings)
             if any(level.guarantee):
-                self.stated.add(name)
+                self.levels_with_guarantee.add(name)
 
 
 def platform_cap(team: Team) -> Amounts:
-    """The limits of the platform's settings; 0 means none (DEPLOY)."""
+    """Return a team's limits from the platform's settings, where 0 means unlimited (DEPLOY)."""
     return (round(team.cpus_max * 1000) or UNLIMITED, round(team.gpus_max * 1000) or UNLIMITED, UNLIMITED, UNLIMITED)
 
 
 def platform_guarantee(team: Team) -> Amounts:
-    """The guarantee of the platform's settings; 0 means none (DEPLOY)."""
+    """Return a team's guarantee from the platform's settings, where 0 means none (DEPLOY)."""
     cpus, gpus = round(team.cpus * 1000), round(team.gpus * 1000)
     return (cpus, gpus, UNLIMITED, UNLIMITED) if cpus or gpus else ZERO
--- a/quinceslip/quota/model.py
+++ b/quinceslip/quota/model.py
@@ -1,7 +1,7 @@
-"""Explores the protocol of allocations exhaustively, to a stated depth, with the service's own transitions.
+"""Exhaustive exploration of the allocation protocol to a given depth, with the service's own code.
 
-The property: the tasks that are on machines never exceed the allocation's total. What is real and what is modelled is
-said in `model_world.py`.
+The property checked: the number of running tasks never exceeds the allocation's total. `model_world.py` describes which
+parts are the real code and which are modelled.
 """
 
 from collections import deque
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from quinceslip.quota.allocation import ALL_GUARDS
-from quinceslip.quota.model_states import Frozen, freeze
+from quinceslip.quota.model_states import CanonicalState, canonicalize
 from quinceslip.quota.model_world import Step, StepKind, World
 
 #: every kind of step
@@ -22,16 +22,16 @@
 
     states: int
     depth: int
-    #: every state within the depth was looked at
-    whole: bool
-    #: the steps to the first breach; empty: none was found
+    #: every state within the depth was explored
+    complete: bool
+    #: the steps to the first breach; empty if none was found
     breach: list[str]
 
 
 class _Origin(NamedTuple):
-    """How a state was reached first."""
+    """How a state was first reached."""
 
-    before: Frozen
+    predecessor: CanonicalState
     step: Step
 
 
@@ -44,42 +44,42 @@
     most_states: int = 0,
     only: frozenset[str] = frozenset(),
 ) -> Result:
-    """Breadth first, so that a breach comes with its shortest history.
+    """Explore states breadth first, so that a breach is reported with its shortest history.
 
-    Begins with nothing granted and with everything granted to one shard, at once. `only` leaves other
-    kinds of steps out, which reaches deeper; `without` leaves a guard out.
+    Starts from two initial states: nothing granted, and everything granted to one shard. `only` restricts the kinds of
+    steps, which allows a greater depth; `without` disables a guard.
     """
     guards = ALL_GUARDS - {without}
-    firsts = [World(shards, controllers, total, guards), World(shards, controllers, total, guards).grant_all()]
-    origins: dict[Frozen, _Origin | None] = {freeze(first): None for first in firsts}
-    queue = deque([(first, freeze(first), 0) for first in firsts])
-    reached = 0
-    # Bound: the states within `depth`; each is queued once.
+    initial_worlds = [World(shards, controllers, total, guards), World(shards, controllers, total, guards).grant_all()]
+    origins: dict[CanonicalState, _Origin | None] = {canonicalize(initial): None for initial in initial_worlds}
+    queue = deque([(initial, canonicalize(initial), 0) for initial in initial_worlds])
+    reached_depth = 0
+    # Bound: the number of states within `depth`; each is queued once.
     while queue:
-        world, name, reached = queue.popleft()
-        if reached == depth:
+        world, state, reached_depth = queue.popleft()
+        if reached_depth == depth:
             continue
         for step in [step for step in world.steps() if not only or step.kind in only]:
-            after = world.copy()
-            after.act(step)
-            frozen = freeze(after)
-            if frozen in origins:
+            successor = world.copy()
+            successor.apply(step)
+            successor_state = canonicalize(successor)
+            if successor_state in origins:
                 continue
-            origins[frozen] = _Origin(name, step)
-            if sum(after.running) > total:
-                return Result(len(origins), reached + 1, False, _history(origins, frozen))
+            origins[successor_state] = _Origin(state, step)
+            if sum(successor.running) > total:
+                return Result(len(origins), reached_depth + 1, False, _history(origins, successor_state))
             if most_states and len(origins) >= most_states:
-                return Result(len(origins), reached, False, [])
-            queue.append((after, frozen, reached + 1))
-    return Result(len(origins), reached, True, [])
+                return Result(len(origins), reached_depth, False, [])
+            queue.append((successor, successor_state, reached_depth + 1))
+    return Result(len(origins), reached_depth, True, [])
 
 
-def _history(origins: dict[Frozen, _Origin | None], last: Frozen) -> list[str]:
-    """The steps that lead to a state, first to last."""
+def _history(origins: dict[CanonicalState, _Origin | None], state: CanonicalState) -> list[str]:
+    """Return the steps that lead to a state, first to last."""
     steps: list[str] = []
-    origin = origins[last]
-    # Bound: the depth of the state; every origin is one step nearer to the first state.
+    origin = origins[state]
+    # Bound: the depth of the state; every origin is one step closer to an initial state.
     while origin is not None:
         steps.append(str(origin.step))
-        origin = origins[origin.before]
+        origin = origins[origin.predecessor]
     return steps[::-1]
--- a/quinceslip/quota/model_states.py
+++ b/quinceslip/quota/model_states.py
@@ -1,24 +1,24 @@
-"""Tells states of the model of allocations apart: one value for all that differ only in how large revisions are."""
+"""Canonical form of model states: states that differ only in the magnitude of their revisions are equal."""
 
 from quinceslip.quota.allocation import Move
 from quinceslip.quota.model_world import ModelController, Transaction, World
 from quinceslip.quota.quota_records import GrantRecord
 
-#: a state in a form that can be compared and hashed
-Frozen = tuple[object, ...]
+#: a hashable representation of a state
+CanonicalState = tuple[object, ...]
 
 
-def freeze(world: World) -> Frozen:
-    """One value for all states that differ only in how large their revisions are."""
-    return _Freezer(world).freeze()
+def canonicalize(world: World) -> CanonicalState:
+    """Return one value for all states that differ only in the magnitude of their revisions."""
+    return _Canonicalizer(world).canonicalize()
 
 
-class _Freezer:
-    """Replaces the revisions of a world by their places in order."""
+class _Canonicalizer:
+    """Replaces the revisions of a world by their ranks."""
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.place = {revision: place for place, revision in enumerate(sorted(self._revisions()))}
+        self.rank = {revision: rank for rank, revision in enumerate(sorted(self._revisions()))}
 
     def _revisions(self) -> set[int]:
         world = self.world
@@ -32,21 +32,21 @@
             revisions |= set(transaction.move.conditions.values())
         return revisions
 
-    def freeze(self) -> Frozen:
-        """The world with places for revisions."""
-        world, place = self.world, self.place
+    def canonicalize(self) -> CanonicalState:
+        """Return the world with ranks in place of revisions."""
+        world, rank = self.world, self.rank
         return (
             _parts(world.record),
-            place[world.mod_revision],
-            place[world.revision],
-            tuple(place[revision] for revision in world.leader_revisions),
+            rank[world.mod_revision],
+            rank[world.revision],
+            tuple(rank[revision] for revision in world.leader_revisions),
             tuple(world.running),
-            tuple(place[term] for term in world.terms_seen),
+            tuple(rank[term] for term in world.terms_seen),
             tuple(self._transaction(transaction) for transaction in world.transactions),
             tuple(self._controller(controller) for controller in world.controllers),
         )
 
-    def _transaction(self, transaction: Transaction) -> Frozen:
+    def _transaction(self, transaction: Transaction) -> CanonicalState:
         controller = self.world.controllers[transaction.controller]
         return (
             transaction.controller,
@@ -56,30 +56,30 @@
             controller.allocation.move is transaction.move,
         )
 
-    def _controller(self, controller: ModelController) -> Frozen:
+    def _controller(self, controller: ModelController) -> CanonicalState:
         leaderships = (
-            (shard, self.place[leadership.mod_revision], leadership.used, leadership.reconciled)
+            (shard, self.rank[leadership.mod_revision], leadership.used, leadership.reconciled)
             for shard, leadership in controller.leaderships.items()
         )
         return (
             _parts(controller.allocation.record),
-            self.place[controller.allocation.mod_revision],
-            self.place[controller.revision],
+            self.rank[controller.allocation.mod_revision],
+            self.rank[controller.revision],
             self._move(controller.allocation.move),
             tuple(sorted(leaderships)),
         )
 
-    def _move(self, move: Move | None) -> Frozen:
+    def _move(self, move: Move | None) -> CanonicalState:
         if move is None:
             return ()
         return (
             _parts(move.record),
-            tuple(sorted((key, self.place[revision]) for key, revision in move.conditions.items())),
+            tuple(sorted((key, self.rank[revision]) for key, revision in move.conditions.items())),
             tuple(sorted((shard, amounts[0]) for shard, amounts in move.outgoing.items())),
             move.indeterminate,
             move.resolves_earlier,
         )
 
 
-def _parts(record: GrantRecord | None) -> Frozen:
+def _parts(record: GrantRecord | None) -> CanonicalState:
     return () if record is None else tuple((shard, part[0]) for shard, part in sorted(record.parts.items()))
--- a/quinceslip/quota/model_world.py
+++ b/quinceslip/quota/model_world.py
@@ -1,9 +1,9 @@
-"""One state of the model of allocations, and the steps that lead from it to others.
+"""One state of the allocation model, and the steps that lead from it to other states.
 
-One allocation, some shards, some controllers. What is real: the code of the allocation (`allocation.Allocation`,
-`may_start`), its conditions and its guards. What is modelled: a key-value store that compares revisions, transactions
-that arrive late or never and answers that are lost, caches that lag, leases that expire, failovers, controllers that
-crash and start again, and workers that obey no term lower than one they have seen.
+The model has one allocation and several shards and controllers. The code of the allocation (`allocation.Allocation`,
+`may_start`), its conditions and its guards are the real ones. The model replaces the rest: a key-value store that
+compares revisions, transactions that arrive late or never, lost answers, caches that lag, leases that expire,
+failovers, controllers that crash and restart, and workers that reject terms lower than the highest they have seen.
 """
 
 from collections.abc import Iterator
@@ -17,14 +17,14 @@
 
 #: the key of the allocation's record
 KEY = "allocation"
-#: what one task takes, and what one step takes or gives
+#: the amount that one task uses, and that one step takes or gives
 UNIT: Amounts = (1, 0, 0, 0)
-#: transactions on their way at the same time
+#: maximum number of transactions in progress
 MAX_TRANSACTIONS = 2
 
 
 class StepKind(StrEnum):
-    """Every kind of step; the values are those of the command line."""
+    """The kinds of steps; the values are the names used on the command line."""
 
     START = "start"
     END = "end"
@@ -41,45 +41,45 @@
     GIVE_UP = "give up"
 
 
-#: kinds of steps that concern no shard in particular
-WITHOUT_SHARD = frozenset({StepKind.WATCH, StepKind.CRASH, StepKind.ARRIVE, StepKind.ANSWER, StepKind.GIVE_UP})
+#: kinds of steps that do not belong to one shard
+STEPS_WITHOUT_SHARD = frozenset({StepKind.WATCH, StepKind.CRASH, StepKind.ARRIVE, StepKind.ANSWER, StepKind.GIVE_UP})
 _TRANSACTION_STEPS = frozenset({StepKind.ARRIVE, StepKind.ANSWER, StepKind.GIVE_UP})
 
 
 class Step(NamedTuple):
-    """One thing that may happen."""
+    """One possible transition."""
 
     kind: StepKind
-    #: the controller, or the transaction, by its place in the lists of the world
+    #: index of the controller or of the transaction in the world's list
     subject: int
     shard: int
 
     def __str__(self) -> str:
-        """As a history shows it."""
+        """Return the text shown in a history."""
         text = f"{self.kind} {self.subject}"
-        return text if self.kind in WITHOUT_SHARD else f"{text} shard {self.shard}"
+        return text if self.kind in STEPS_WITHOUT_SHARD else f"{text} shard {self.shard}"
 
 
 def leader_key(shard: int) -> str:
-    """The key of a shard's record."""
+    """Return the key of a shard's record."""
     return f"shard {shard}"
 
 
 @dataclass(slots=True)
 class Leadership:
-    """A controller's leadership of one shard, as it believes it."""
+    """A controller's own view of its leadership of one shard."""
 
     mod_revision: int
     used: int = 0
     reconciled: bool = False
 
     def copy(self) -> "Leadership":
-        """The same, apart from this one."""
+        """Return an independent copy."""
         return Leadership(self.mod_revision, self.used, self.reconciled)
 
 
 class TransactionState(Enum):
-    """What has become of a transaction at the store."""
+    """The state of a transaction at the store."""
 
     UNDERWAY = auto()
     APPLIED = auto()
@@ -88,42 +88,42 @@
 
 @dataclass(slots=True)
 class Transaction:
-    """A transaction and what has become of it."""
+    """A transaction and its state."""
 
     controller: int
     move: Move
     state: TransactionState = TransactionState.UNDERWAY
-    #: the controller has its answer, or has given up on it
+    #: the controller has received its answer, or has given up on it
     ended: bool = False
 
 
 @dataclass(slots=True)
 class ModelController:
-    """What one controller knows."""
+    """The state of one controller."""
 
     allocation: Allocation
-    #: of its cache
+    #: the revision of its cache
     revision: int = 0
     #: by shard
     leaderships: dict[int, Leadership] = field(default_factory=dict)
 
 
 class World:
-    """One state; `steps` lists what may happen next, `act` makes it happen."""
+    """One state of the model; `steps` lists the possible next steps, `apply` carries one out."""
 
     def __init__(self, shards: int, controllers: int, total: int, guards: frozenset[str]) -> None:
         self.shards = shards
         self.total = total
         self.guards = guards
-        #: of the store
+        #: the revision of the store
         self.revision = shards
         self.record: GrantRecord | None = None
         self.mod_revision = 0
-        #: by shard: the revision of its claim; 0: the lease has expired
+        #: by shard: the revision of the leader's claim; 0 after the lease has expired
         self.leader_revisions = [shard + 1 for shard in range(shards)]
-        #: by shard: tasks on its machines
+        #: by shard: number of tasks on its workers
         self.running = [0] * shards
-        #: by shard: the newest term that its workers have seen
+        #: by shard: the highest term that its workers have seen
         self.terms_seen = [shard + 1 for shard in range(shards)]
         self.transactions: list[Transaction] = []
         self.controllers = [ModelController(self._new_allocation(), shards) for _ in range(controllers)]
@@ -131,7 +131,7 @@
             self.controllers[shard].leaderships[shard] = Leadership(shard + 1, reconciled=True)
 
     def grant_all(self) -> "World":
-        """The same with everything granted to the first shard, as every controller knows."""
+        """Grant everything to the first shard, update every controller's cache, and return this world."""
         self.revision += 1
         self.mod_revision = self.revision
         self.record = GrantRecord(1, [self.total, -1, -1, -1], parts={"0": [self.total, 0, 0, 0]})
@@ -146,10 +146,10 @@
         controller.revision = self.revision
         controller.allocation.record_changed(self.record, self.mod_revision)
 
-    # What may happen.
+    # Possible steps.
 
     def steps(self) -> Iterator[Step]:
-        """Every step that may come next."""
+        """Yield every step that is possible in this state."""
         for number, controller in enumerate(self.controllers):
             for shard, leadership in controller.leaderships.items():
                 yield from self._steps_of_leader(number, shard, leadership)
@@ -193,12 +193,12 @@
             if shard not in controller.leaderships:
                 yield Step(StepKind.CLAIM, number, shard)
 
-    # What happens.
+    # Effects of steps.
 
-    def act(self, step: Step) -> None:
-        """Make a step happen."""
+    def apply(self, step: Step) -> None:
+        """Carry out a step."""
         if step.kind in _TRANSACTION_STEPS:
-            self._act_on_transaction(step.kind, self.transactions[step.subject])
+            self._apply_transaction_step(step.kind, self.transactions[step.subject])
         elif step.kind is StepKind.LEASE_EXPIRY:
             self.leader_revisions[step.shard] = 0
         elif step.kind is StepKind.END:
@@ -206,31 +206,31 @@
         elif step.kind is StepKind.CRASH:
             self._crash(step.subject)
         else:
-            self._act_as_controller(step)
+            self._apply_controller_step(step)
         self.transactions = [t for t in self.transactions if t.state is TransactionState.UNDERWAY or not t.ended]
 
     def _end_task(self, shard: int) -> None:
         self.running[shard] -= 1
         for controller in self.controllers:
             leadership = controller.leaderships.get(shard)
-            # Its leader hears of it; one that was deposed, or has not reconciled, need not.
+            # The current leader learns of it; a deposed leader, or one that has not reconciled, may not.
             if leadership is not None and leadership.reconciled and leadership.mod_revision == self.terms_seen[shard]:
                 leadership.used -= 1
 
     def _crash(self, number: int) -> None:
-        """The controller starts again with a listing, and leads none of the shards that it led."""
+        """Restart a controller: its cache is up to date, and it leads no shards."""
         for transaction in self.transactions:
             transaction.ended = transaction.ended or transaction.controller == number
         self.controllers[number] = ModelController(self._new_allocation())
         self._catch_up(self.controllers[number])
 
-    def _act_as_controller(self, step: Step) -> None:
+    def _apply_controller_step(self, step: Step) -> None:
         controller, shard = self.controllers[step.subject], step.shard
         if step.kind is StepKind.WATCH:
             self._catch_up(controller)
-            for led, leadership in list(controller.leaderships.items()):
-                if self.leader_revisions[led] != leadership.mod_revision:
-                    del controller.leaderships[led]
+            for led_shard, leadership in list(controller.leaderships.items()):
+                if self.leader_revisions[led_shard] != leadership.mod_revision:
+                    del controller.leaderships[led_shard]
         elif step.kind is StepKind.CLAIM:
             self.revision += 1
             self.leader_revisions[shard] = self.revision
@@ -257,9 +257,9 @@
             return allocation.give(shard, (shard + 1) % self.shards, UNIT, used, fencing)
         return allocation.rewrite(fencing)
 
-    def _act_on_transaction(self, kind: StepKind, transaction: Transaction) -> None:
+    def _apply_transaction_step(self, kind: StepKind, transaction: Transaction) -> None:
         if kind is StepKind.ARRIVE:
-            self._apply(transaction)
+            self._commit(transaction)
             return
         transaction.ended = True
         allocation = self.controllers[transaction.controller].allocation
@@ -268,12 +268,12 @@
             return
         applied = transaction.state is TransactionState.APPLIED
         if applied and allocation.mod_revision < self.mod_revision:
-            # The answer names the revision of the change: a newer record than what the cache has.
+            # The answer carries the revision of the change, which is newer than the cached record.
             allocation.record_changed(self.record, self.mod_revision)
         allocation.move_ended(transaction.move, MoveOutcome.APPLIED if applied else MoveOutcome.FAILED)
 
-    def _apply(self, transaction: Transaction) -> None:
-        """The store carries a transaction out if its conditions hold."""
+    def _commit(self, transaction: Transaction) -> None:
+        """Apply a transaction at the store if its conditions hold."""
         revisions = {KEY: self.mod_revision}
         revisions |= {leader_key(shard): revision for shard, revision in enumerate(self.leader_revisions)}
         conditions = transaction.move.conditions
@@ -285,7 +285,7 @@
         transaction.state = TransactionState.APPLIED
 
     def copy(self) -> "World":
-        """The same state, apart from this one; controllers and transactions still share their moves."""
+        """Return an independent copy in which controllers and transactions share moves as in the original."""
         other = World.__new__(World)
         other.shards, other.total, other.guards = self.shards, self.total, self.guards
         other.revision, other.record, other.mod_revision = self.revision, self.record, self.mod_revision
@@ -300,7 +300,7 @@
         return other
 
     def copy_controller(self, controller: ModelController, moves: dict[int, Move]) -> ModelController:
-        """A copy whose moves are those of `moves`, so that a move shared with a transaction stays shared."""
+        """Copy a controller, taking moves from `moves`, so that a move shared with a transaction stays shared."""
         allocation = self._new_allocation()
         allocation.record, allocation.mod_revision = controller.allocation.record, controller.allocation.mod_revision
         if controller.allocation.move is not None:
@@ -310,7 +310,7 @@
 
 
 def _copy_move(move: Move, copies: dict[int, Move]) -> Move:
-    """The one copy of a move; `copies` keeps it by the identity of the original."""
+    """Return the only copy of a move; `copies` maps the identity of the original to its copy."""
     if id(move) not in copies:
         copies[id(move)] = Move(move.record, move.conditions, move.outgoing, move.indeterminate, move.resolves_earlier)
     return copies[id(move)]
--- a/quinceslip/quota/page_client.py
+++ b/quinceslip/quota/page_client.py
@@ -1,4 +1,4 @@
-"""Fetches the tree as a controller sees it, page by page, over HTTP."""
+"""HTTP client that fetches a controller's view of the quota tree page by page."""
 
 import http.client
 from typing import Any
@@ -8,12 +8,12 @@
 
 from quinceslip.protocol.settings import SettingsError, split_address
 
-#: for each request
+#: per request
 TIMEOUT_S = 5.0
 
 
 def fetch(address: str) -> dict[str, Any]:
-    """All pages of a controller's answer as one; raises SettingsError for an address that gives none."""
+    """Fetch all pages from a controller and merge them into one; raises SettingsError if a request fails."""
     try:
         host, port = split_address(address)
     except ValueError as error:
@@ -30,7 +30,7 @@
 def _fetch_pages(connection: http.client.HTTPConnection, address: str) -> dict[str, Any]:
     levels: list[dict[str, Any]] = []
     after = ""
-    # Bound: the levels of the tree; each page has some that come after those before it.
+    # Bound: the number of levels; each page continues after the last level of the page before.
     while True:
         page = _fetch_page(connection, address, after)
         levels += page["levels"]
@@ -41,10 +41,10 @@
 
 def _fetch_page(connection: http.client.HTTPConnection, address: str, after: str) -> dict[str, Any]:
     connection.request("GET", f"/quota?after={quote(after)}")
-    answer = connection.getresponse()
-    body = answer.read()
-    if answer.status == http.HTTPStatus.NOT_FOUND:
-        raise SettingsError(f"--from {address}: this controller has no quotas switched on")
-    if answer.status != http.HTTPStatus.OK:
-        raise SettingsError(f"--from {address}: answered {answer.status}; try again later")
+    response = connection.getresponse()
+    body = response.read()
+    if response.status == http.HTTPStatus.NOT_FOUND:
+        raise SettingsError(f"--from {address}: quotas are not enabled on this controller")
+    if response.status != http.HTTPStatus.OK:
+        raise SettingsError(f"--from {address}: unexpected HTTP status {response.status}; try again later")
     return msgspec.json.decode(body, type=dict[str, Any])
--- a/quinceslip/quota/pass_cost.py
+++ b/quinceslip/quota/pass_cost.py
@@ -1,6 +1,6 @@
-"""What a pass of placement costs with a tree of quotas and without one, for `quinceslip quota bench`.
+"""Cost of a scheduling pass with and without a quota tree, for `quinceslip quota bench`.
 
-Times are wall-clock microseconds of this machine; compare them within one run only.
+Times are wall-clock microseconds on this machine and are comparable within one run only.
 """
 
 import time
@@ -18,21 +18,21 @@
 
 @dataclass(slots=True)
 class PassCost:
-    """The cost of two passes, one after the other."""
+    """The cost of two consecutive passes."""
 
     leaves: int
     machines: int
-    #: a pass that fills the fleet
+    #: duration of the pass that fills the fleet
     filling_us: int
-    #: a pass that finds the fleet full
+    #: duration of the pass that finds the fleet full
     full_us: int
-    #: by the two together
+    #: by both passes together
     workers_examined: int
     bytes_per_leaf: float
 
 
 def measure(leaves: int, machines: int, with_tree: bool) -> PassCost:
-    """A pass with a job of every leaf waiting: one that fills the fleet, one that finds it full."""
+    """Measure two passes with one waiting job per leaf: the first fills the fleet, the second finds it full."""
     levels = _levels(leaves, machines)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -47,7 +47,7 @@
 
 
 def _levels(leaves: int, machines: int) -> list[Level]:
-    """A root, groups, and teams beneath them, with caps that do not fill the fleet by themselves."""
+    """Return a root, groups and their teams; no single group or team may fill the fleet."""
     groups = max(1, leaves // LEAVES_PER_GROUP)
     fleet = machines * CPUS_PER_MACHINE * 1000
     root = Level("root", cap=_cpu_cap(fleet))
--- a/quinceslip/quota/plots.py
+++ b/quinceslip/quota/plots.py
@@ -1,6 +1,6 @@
-"""Usage of each level over time: samples of `quota show` as JSON lines, and one HTML page of them.
+"""Usage of each level over time: records samples of `quota show` as JSON lines and plots them on an HTML page.
 
-matplotlib draws (extra `plots`); controllers never import this.
+Needs matplotlib (extra `plots`); controllers never import this module.
 """
 
 import time
@@ -15,21 +15,21 @@
 from quinceslip.protocol.settings import SettingsError
 from quinceslip.quota.amounts import RESOURCES
 
-#: what several controllers report of their own shards adds up
+#: keys whose values cover a controller's own shards only and are summed over controllers
 SUMMED = ("used", "lent", "borrowed", "waiting")
 
 
 class Sample(NamedTuple):
-    """The levels at one time after the start of the recording."""
+    """The levels at one point in time, in seconds since the start of the recording."""
 
     at_s: float
     levels: list[dict[str, Any]]
 
 
-def record(
+def record_samples(
     fetch: Callable[[str], dict[str, Any]], addresses: Sequence[str], every_s: float, for_s: float, out: TextIO
 ) -> int:
-    """Write one line a sample, each summed over the controllers that answer; returns how many."""
+    """Write one line per sample, summed over the controllers that answer; return the number of samples."""
     written, started = 0, time.monotonic()
     # Bound: `for_s`.
     while (at_s := time.monotonic() - started) < for_s:
@@ -45,26 +45,26 @@
 def _fetch_all(fetch: Callable[[str], dict[str, Any]], addresses: Sequence[str]) -> list[dict[str, Any]]:
     pages = []
     for address in addresses:
-        # One that is down is left out: the others' shards are shown without it.
+        # A controller that is down is skipped; the sample then covers the shards of the others.
         with suppress(SettingsError):
             pages.append(fetch(address))
     return pages
 
 
 def merged(pages: Sequence[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Levels of several controllers, with what each reports of its own shards added up."""
+    """Merge the levels of several controllers, adding up the values that each reports for its own shards."""
     levels: dict[str, dict[str, Any]] = {}
     for page in pages:
         for level in page["levels"]:
-            known = levels.setdefault(level["level"], {**level, **{key: {} for key in SUMMED}})
+            total = levels.setdefault(level["level"], {**level, **{key: {} for key in SUMMED}})
             for key in SUMMED:
                 for resource, value in level[key].items():
-                    known[key][resource] = known[key].get(resource, 0.0) + value
+                    total[key][resource] = total[key].get(resource, 0.0) + value
     return list(levels.values())
 
 
-def read(path: Path) -> list[Sample]:
-    """Samples in the order in which they were taken; raises SettingsError for a line that is none."""
+def read_samples(path: Path) -> list[Sample]:
+    """Read samples in the order of recording; raises SettingsError for a line that is not a sample."""
     try:
         lines = path.read_text(encoding="utf-8").splitlines()
     except (OSError, UnicodeDecodeError) as error:
@@ -83,14 +83,14 @@
         raise SettingsError(f"{path}: line {number}: no sample of quotas: {error}") from error
 
 
-def page(samples: Sequence[Sample], resource: str) -> str:
-    """One HTML page: for every level its usage against its guarantee and cap, and what waits."""
+def render_page(samples: Sequence[Sample], resource: str) -> str:
+    """Return an HTML page that shows each level's usage and waiting demand against its guarantee and cap."""
     last_levels = samples[-1].levels
     times_s = [sample.at_s for sample in samples]
     by_name = [{level["level"]: level for level in sample.levels} for sample in samples]
     figure, axes = plotting.rows(len(last_levels), 9)
     for axis, last in zip(axes, last_levels, strict=True):
-        levels = [found.get(last["level"], {}) for found in by_name]
+        levels = [entries.get(last["level"], {}) for entries in by_name]
         _draw_level(axis, times_s, levels, by_name[-1][last["level"]], resource)
     axes[0].legend(loc="upper right", fontsize=7)
     axes[-1].set_xlabel("seconds")
@@ -100,12 +100,12 @@
 def _draw_level(
     axis: Any, times_s: list[float], levels: list[dict[str, Any]], last: dict[str, Any], resource: str
 ) -> None:
-    """Draw one level: `levels` has it at each time, or nothing."""
+    """Draw one level; `levels` has its entry at each time, empty where it is missing, and `last` the latest one."""
     used = [level.get("used", {}).get(resource, 0.0) for level in levels]
     waiting = [level.get("waiting", {}).get(resource, 0.0) for level in levels]
-    wanted = [amount + more for amount, more in zip(used, waiting, strict=True)]
+    demand = [amount + more for amount, more in zip(used, waiting, strict=True)]
     axis.fill_between(times_s, used, step="post", color="#4878a8", alpha=0.6, label="used")
-    axis.step(times_s, wanted, where="post", color="#c06030", linewidth=0.9, label="used and held up by quotas")
+    axis.step(times_s, demand, where="post", color="#c06030", linewidth=0.9, label="used and held up by quotas")
     for key, style in (("guaranteed", ":"), ("cap", "--")):
         if resource in last[key]:
             axis.axhline(last[key][resource], linestyle=style, color="black", linewidth=0.8, label=key)
@@ -114,9 +114,9 @@
 
 
 def write_page(samples_path: Path, target: Path, resource: str) -> str:
-    """Draw recorded samples; one line that says what was written. Raises SettingsError for an unknown resource."""
+    """Plot recorded samples and return a one-line summary; raises SettingsError for an unknown resource."""
     if resource not in RESOURCES:
         raise SettingsError(f"--resource {resource}: must be of {', '.join(RESOURCES)}")
-    samples = read(samples_path)
-    target.write_text(page(samples, resource), encoding="utf-8")
+    samples = read_samples(samples_path)
+    target.write_text(render_page(samples, resource), encoding="utf-8")
     return f"{target}: {len(samples)} samples of {len(samples[-1].levels)} levels"
--- a/quinceslip/quota/quota_records.py
+++ b/quinceslip/quota/quota_records.py
@@ -1,4 +1,4 @@
-"""The records of quotas in the key-value store, and their keys."""
+"""Quota records in the key-value store, and their keys."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -8,26 +8,26 @@
 
 from quinceslip.storage import records
 
-#: kinds of records: what shards hold of one amount, what one shard lacks, and the tree in force
+#: kinds of records: the shards' grants from one allocation, one shard's unmet demand, and the tree in force
 GRANT, WANT, TREE = "grant", "want", "tree"
-#: the key of the one record of its kind
+#: the key of the only tree record
 TREE_KEY = f"{records.PREFIX}{TREE}"
 
 
 class AmountKind(StrEnum):
-    """What an allocation is of, as its key says: the cap of a level, or its guarantee."""
+    """Whether an allocation divides a level's cap or its guarantee; the value is part of the record's key."""
 
     CAP = "cap"
     GUARANTEE = "own"
 
 
 class GrantRecord(msgspec.Struct, omit_defaults=True):
-    """What each shard holds of one allocation, in units of `amounts.Amounts`; uncapped resources stay 0."""
+    """The grants of one allocation to each shard, in units of `amounts.Amounts`; unlimited resources stay 0."""
 
-    #: the version of the tree whose amounts this is
+    #: the version of the tree that `total` comes from
     version: int
     total: list[int]
-    #: the level above when it was written: a level that moved is another level
+    #: the parent level at the time of writing; a level with another parent counts as a different level
     parent: str = ""
     #: by shard
     parts: dict[str, list[int]] = {}
@@ -41,9 +41,9 @@
 
 
 class DemandOrder(NamedTuple):
-    """Which of two unmet demands comes first: the smaller one, a total order over all shards."""
+    """Total order of unmet demands over all shards; the smallest comes first."""
 
-    #: 0 where machines have room for it, else 1
+    #: 0 if workers have room for it, else 1
     without_machines: int
     priority: int
     submitted_us: int
@@ -51,35 +51,35 @@
 
 
 class Wanted(msgspec.Struct):
-    """One unmet demand that a shard cannot meet from the pools."""
+    """An unmet demand that the shard cannot cover from the pools."""
 
     team: str
     unit: list[int]
-    #: by key of an allocation, how much the shard lacks
+    #: missing amounts by allocation key
     shortfall: dict[str, list[int]] = msgspec.field(name="lacks")
     order: DemandOrder
-    #: names of levels within whose guarantee it would be
+    #: names of the levels whose guarantees cover the demand
     covering_guarantees: list[str] = msgspec.field(name="rests_on")
 
 
 class WantRecord(msgspec.Struct, omit_defaults=True):
-    """What one shard asks the others for."""
+    """The amounts that one shard requests from the others."""
 
     demands: list[Wanted] = msgspec.field(name="claims", default_factory=list)
-    #: by key of an allocation, how much of guarantees the running and waiting tasks of the shard lack
+    #: guaranteed amounts that the shard's running and waiting tasks are missing, by allocation key
     guarantees: dict[str, list[int]] = msgspec.field(name="own", default_factory=dict)
 
 
 def grant_name(level: str, kind: str) -> str:
-    """The name of the record of a level's cap or guarantee, beneath the kind `grant`."""
+    """Return the name of the record of a level's cap or guarantee within the kind `grant`."""
     return f"{kind}/{quote(level, safe='')}"
 
 
 def grant_key(name: str) -> str:
-    """The key of the record with that name."""
+    """Return the key of the grant record with this name."""
     return f"{records.PREFIX}{GRANT}/{name}"
 
 
 def want_key(shard: int) -> str:
-    """The key of the record of what a shard asks the others for."""
+    """Return the key of the record with a shard's requests to the others."""
     return f"{records.PREFIX}{WANT}/{shard}"
--- a/quinceslip/quota/status_page.py
+++ b/quinceslip/quota/status_page.py
@@ -1,26 +1,26 @@
-"""The tree as one controller sees it: a page of levels as JSON, and a table for a terminal."""
+"""One controller's view of the tree: a page of levels for JSON output, and a table for a terminal."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any
 
 from quinceslip.quota.allocations import Allocations
-from quinceslip.quota.amounts import RESOURCES, ZERO, Amounts, accumulate, add, positive, shown, subtract
+from quinceslip.quota.amounts import RESOURCES, ZERO, Amounts, accumulate, add, in_operator_units, positive, subtract
 from quinceslip.quota.shard_quota import ShardQuota
 from quinceslip.quota.tree import Level, Tree
 
-#: levels in one answer, so that its line stays under 64 KiB (PROTOCOL)
+#: limited so that the line of one response stays under 64 KiB (PROTOCOL)
 MAX_LEVELS_PER_PAGE = 100
-#: what the table shows of each level
+#: columns of the table after the level's name
 COLUMNS = ("guaranteed", "cap", "used", "lent", "borrowed", "waiting")
 
 
 def page(
     tree: Tree, allocations: Allocations, shard_quotas: Mapping[int, ShardQuota], after: str, trouble: str
 ) -> dict[str, Any]:
-    """Levels in the tree's order, beginning after the one named; `more` if there are others.
+    """Return one page of levels in tree order, starting after the level `after`; `more` is set if others follow.
 
-    `used`, `lent`, `borrowed` and `waiting` are of this controller's shards, `held` is what all shards hold.
-    `lent` is the part of a level's own guarantee that it does not use.
+    `used`, `lent`, `borrowed` and `waiting` cover this controller's shards, `held` covers all shards.
+    `lent` is the unused part of a level's own guarantee.
     """
     start = tree.by_name[after].index + 1 if after in tree.by_name else 0
     levels = tree.levels[start : start + MAX_LEVELS_PER_PAGE]
@@ -58,36 +58,36 @@
         "depth": len(level.path) - 1,
         "team": level.team,
         "weight": level.weight,
-        "guaranteed": shown(level.guarantee),
-        "cap": shown(level.cap),
-        "used": shown(used),
-        "lent": shown(positive(subtract(guaranteed, used))),
-        "borrowed": shown(borrowed),
-        "waiting": shown(waiting),
+        "guaranteed": in_operator_units(level.guarantee),
+        "cap": in_operator_units(level.cap),
+        "used": in_operator_units(used),
+        "lent": in_operator_units(positive(subtract(guaranteed, used))),
+        "borrowed": in_operator_units(borrowed),
+        "waiting": in_operator_units(waiting),
     }
     if level.capped:
         allocation = allocations.for_cap(level.index)
         parts = allocation.record.parts if allocation.record is not None else {}
-        entry["held"] = {shard: shown(part) for shard, part in parts.items()}
+        entry["held"] = {shard: in_operator_units(part) for shard, part in parts.items()}
         entry["over"] = min(allocation.pool()) < 0
     return entry
 
 
-def table(levels: Iterable[dict[str, Any]]) -> list[str]:
-    """One line a level; amounts as cpus/gpus/memory_gb/tasks, without what is nought or unlimited."""
+def format_table(levels: Iterable[dict[str, Any]]) -> list[str]:
+    """Return a header and one line per level; amounts that are zero or unlimited are omitted."""
     rows = [["level", *COLUMNS]]
     for level in levels:
         name = "  " * level["depth"] + level["level"] + (" (over)" if level.get("over") else "")
-        rows.append([name, *(_short(level[column]) for column in COLUMNS)])
+        rows.append([name, *(_format_amounts(level[column]) for column in COLUMNS)])
     widths = [max(map(len, cells)) for cells in zip(*rows, strict=True)]
-    return [_align(row, widths) for row in rows]
+    return [_format_row(row, widths) for row in rows]
 
 
-def _align(row: list[str], widths: list[int]) -> str:
+def _format_row(row: list[str], widths: list[int]) -> str:
     cells = (cell.ljust(width) for cell, width in zip(row, widths, strict=True))
     return "  ".join(cells).rstrip()
 
 
-def _short(amounts: Mapping[str, float]) -> str:
+def _format_amounts(amounts: Mapping[str, float]) -> str:
     units = dict(zip(RESOURCES, ("cpu", "gpu", "GB", "tasks"), strict=True))
     return " ".join(f"{value:g} {units[name]}" for name, value in amounts.items() if value) or "-"
--- a/quinceslip/quota/tree.py
+++ b/quinceslip/quota/tree.py
@@ -1,6 +1,6 @@
-"""The tree of quota levels: tenants, their groups and their teams, with caps, guarantees and weights.
+"""The tree of quota levels: tenants, groups and teams, with their caps, guarantees and weights.
 
-No I/O, no clock. The operators' file is read by `config.py`.
+No I/O, no clock. `config.py` reads the operators' file.
 """
 
 import hashlib
@@ -27,26 +27,26 @@
 
 @dataclass(slots=True, eq=False)
 class Level:
-    """One place in the tree; a leaf is a team of the platform's settings."""
+    """One node of the tree; a leaf is a team of the platform's settings."""
 
     name: str
     parent: str = ""
     weight: float = 1.0
     cap: Amounts = UNLIMITED_AMOUNTS
-    #: what this level need not wait for others to get; all zero: nothing
+    #: amounts that this level can obtain without waiting for others; all zero if it has no guarantee
     guarantee: Amounts = ZERO
     team: bool = False
     index: int = -1
-    #: from this level to the root, as indices
+    #: indices of the levels from this one to the root
     path: tuple[int, ...] = ()
     children: list[int] = field(default_factory=list)
-    #: whether any resource is capped, or guaranteed; the tree sets both
+    #: whether any resource is capped or guaranteed; both are set by `Tree`
     capped: bool = False
     guaranteed: bool = False
 
 
 class Tree:
-    """Checked levels, parents before children. The caller has made sure that it is a forest."""
+    """The levels, parents before children. The caller has checked that they form a forest."""
 
     def __init__(self, levels: Iterable[Level], version: int = 0) -> None:
         self.version = version
@@ -56,22 +56,22 @@
         self._derive_amounts()
         #: the levels that are teams, by name
         self.leaves: dict[str, Level] = {level.name: level for level in self.levels if level.team}
-        #: by team, the levels of its path that have a cap, and those that have a guarantee
+        #: by team, the levels on its path that have a cap, and those that have a guarantee
         self.capped: dict[str, tuple[int, ...]] = {}
         self.guaranteed: dict[str, tuple[int, ...]] = {}
         for leaf in self.leaves.values():
             self.capped[leaf.name] = tuple(index for index in leaf.path if self.levels[index].capped)
             self.guaranteed[leaf.name] = tuple(index for index in leaf.path if self.levels[index].guaranteed)
-        #: the same for trees with the same levels
+        #: equal for trees with the same levels
         self.digest = self._digest()
 
     def _add_all(self, levels: Iterable[Level]) -> None:
-        """Number the levels breadth first, and tell each its path and its children."""
+        """Number the levels breadth first, and set their paths and children."""
         by_parent: dict[str, list[Level]] = {}
         for level in {level.name: level for level in levels}.values():
             by_parent.setdefault(level.parent, []).append(level)
         ready = by_parent.get("", [])
-        # Bound: the levels; each is beneath one other and comes up once.
+        # Bound: the number of levels; each has one parent and is queued once.
         while ready:
             level = ready.pop(0)
             self._add(level)
@@ -89,7 +89,7 @@
             parent.children.append(level.index)
 
     def _derive_amounts(self) -> None:
-        """A level that states no guarantee has what its children have together."""
+        """Set each level's flags; a level without its own guarantee gets the sum of its children's."""
         for level in reversed(self.levels):
             if not any(level.guarantee) and level.children:
                 level.guarantee = self._guarantee_of_children(level)
@@ -105,39 +105,39 @@
         return least(total, UNLIMITED_AMOUNTS)
 
     def _digest(self) -> str:
-        lines = (f"{v.name} {v.parent} {v.weight} {v.cap} {v.guarantee}" for v in self.levels)
+        lines = (f"{level.name} {level.parent} {level.weight} {level.cap} {level.guarantee}" for level in self.levels)
         return hashlib.sha256("\n".join(sorted(lines)).encode()).hexdigest()[:_DIGEST_CHARACTERS]
 
     def path(self, team: str) -> tuple[int, ...]:
-        """The team's own level and those above it, leaf first; empty for a team that is not in the tree."""
+        """Return the indices from the team's level to the root; empty for a team that is not in the tree."""
         leaf = self.leaves.get(team)
         return leaf.path if leaf is not None else ()
 
-    def parting(self, one: str, other: str) -> tuple[int, int] | None:
-        """Where the paths of two teams part: the level on either side, siblings of each other.
+    def parting(self, team: str, other_team: str) -> tuple[int, int] | None:
+        """Return the sibling levels at which the paths of two teams diverge, from the root; one for each team.
 
-        None where a team is not in the tree, or both are the same.
+        None if a team is not in the tree, or if both are the same.
         """
-        path, other_path = self.path(one), self.path(other)
-        if not path or not other_path or one == other:
+        path, other_path = self.path(team), self.path(other_team)
+        if not path or not other_path or team == other_team:
             return None
-        place = 1
-        # Bound: the shorter of the two paths.
-        while place <= min(len(path), len(other_path)) and path[-place] == other_path[-place]:
-            place += 1
-        return path[-place], other_path[-place]
+        distance = 1
+        # Bound: the length of the shorter path.
+        while distance <= min(len(path), len(other_path)) and path[-distance] == other_path[-distance]:
+            distance += 1
+        return path[-distance], other_path[-distance]
 
     def never_fits(self, spec: m.JobSpec) -> str | None:
-        """The level under which a job can never run, and the amount, for its user; None if it may run.
+        """Return a message naming the cap that a job can never fit under; None if it fits all caps.
 
-        An array needs room for one task, a service or gang for all of them (PROTOCOL, 422).
+        An array must fit with one task, a service or gang with all of its tasks (PROTOCOL, 422).
         """
         count = spec.tasks if spec.service or spec.gang else 1
         need = times(task_amounts(spec), count)
         for index in self.path(spec.team):
             level = self.levels[index]
-            for kind in range(KINDS):
-                if need[kind] > level.cap[kind]:
-                    cap, asked = level.cap[kind] / SCALE[kind], need[kind] / SCALE[kind]
-                    return f"over the limit of {level.name}: {RESOURCES[kind]} {asked:g}, at most {cap:g}"
+            for resource in range(KINDS):
+                if need[resource] > level.cap[resource]:
+                    cap, requested = level.cap[resource] / SCALE[resource], need[resource] / SCALE[resource]
+                    return f"over the limit of {level.name}: {RESOURCES[resource]} {requested:g}, at most {cap:g}"
         return None
