--- a/quinceslip/quota/commands.py
+++ b/quinceslip/quota/commands.py
@@ -50,7 +50,7 @@
     return [Team(name) for name in sorted((level_names | listed_teams) - parents - levels_with_teams - {""})]
 
 
-def lines(page: dict[str, Any], as_json: bool) -> Iterable[str]:
+def format_page(page: dict[str, Any], as_json: bool) -> Iterable[str]:
     """Return the lines that `quota show` prints for a controller's response."""
     if as_json:
         yield msgspec.json.encode(page).decode()
@@ -62,7 +62,7 @@
     yield from format_table(page["levels"])
 
 
-def record_to(path: Path, addresses: list[str], every_s: float, for_s: float) -> str:
+def record_to_file(path: Path, addresses: list[str], every_s: float, for_s: float) -> str:
     """Record samples from the given controllers for `for_s` seconds and return a one-line summary."""
     interval_allowed = MIN_SAMPLE_INTERVAL_S <= every_s <= MAX_SAMPLE_INTERVAL_S
     if not interval_allowed or not 0 < for_s <= MAX_RECORDING_DAYS * _DAY_S:
--- a/quinceslip/quota/bench.py
+++ b/quinceslip/quota/harness.py
@@ -47,7 +47,7 @@
     stopped: int
 
 
-class Bed:
+class ShardHarness:
     """One shard that holds the whole cap and guarantee of every level; `run_pass` runs one scheduling pass."""
 
     def __init__(self, tree: Tree | None, machines: int, cpus: float) -> None:
--- a/quinceslip/quota/level_checks.py
+++ b/quinceslip/quota/level_checks.py
@@ -1,7 +1,7 @@
 """Checks that the levels of the operators' file form a forest whose guarantees can be kept."""
 
 from quinceslip.protocol.settings import SettingsError
-from quinceslip.quota.amounts import KINDS, RESOURCES, SCALE, UNLIMITED, ZERO, Amounts, add
+from quinceslip.quota.amounts import NUM_RESOURCES, RESOURCES, SCALE, UNLIMITED, ZERO, Amounts, add
 from quinceslip.quota.level_reader import LevelReader, section_name
 from quinceslip.quota.tree import Level, Tree
 
@@ -53,7 +53,7 @@
     """Raise SettingsError if guarantees exceed the level's cap, or the guarantee of their parent level."""
     for level in tree.levels:
         children_total = _total_child_guarantee(tree, level)
-        for resource in range(KINDS):
+        for resource in range(NUM_RESOURCES):
             _check_resource(reader, tree, level, children_total, resource)
 
 
--- a/quinceslip/quota/quota_records.py
+++ b/quinceslip/quota/quota_records.py
@@ -44,13 +44,13 @@
     """Total order of unmet demands over all shards; the smallest comes first."""
 
     #: 0 if workers have room for it, else 1
-    without_machines: int
+    lacks_machines: int
     priority: int
     submitted_us: int
     job_id: str
 
 
-class Wanted(msgspec.Struct):
+class PublishedDemand(msgspec.Struct):
     """An unmet demand that the shard cannot cover from the pools."""
 
     team: str
@@ -65,7 +65,7 @@
 class WantRecord(msgspec.Struct, omit_defaults=True):
     """The amounts that one shard requests from the others."""
 
-    demands: list[Wanted] = msgspec.field(name="claims", default_factory=list)
+    demands: list[PublishedDemand] = msgspec.field(name="claims", default_factory=list)
     #: guaranteed amounts that the shard's running and waiting tasks are missing, by allocation key
     guarantees: dict[str, list[int]] = msgspec.field(name="own", default_factory=dict)
 
--- a/quinceslip/quota/status_page.py
+++ b/quinceslip/quota/status_page.py
@@ -4,7 +4,16 @@
 from typing import Any
 
 from quinceslip.quota.allocations import Allocations
-from quinceslip.quota.amounts import RESOURCES, ZERO, Amounts, accumulate, add, in_operator_units, positive, subtract
+from quinceslip.quota.amounts import (
+    RESOURCES,
+    ZERO,
+    Amounts,
+    accumulate,
+    add,
+    in_operator_units,
+    positive_part,
+    subtract,
+)
 from quinceslip.quota.shard_quota import ShardQuota
 from quinceslip.quota.tree import Level, Tree
 
@@ -14,8 +23,8 @@
 COLUMNS = ("guaranteed", "cap", "used", "lent", "borrowed", "waiting")
 
 
-def page(
-    tree: Tree, allocations: Allocations, shard_quotas: Mapping[int, ShardQuota], after: str, trouble: str
+def build_page(
+    tree: Tree, allocations: Allocations, shard_quotas: Mapping[int, ShardQuota], after: str, tree_conflict: str
 ) -> dict[str, Any]:
     """Return one page of levels in tree order, starting after the level `after`; `more` is set if others follow.
 
@@ -28,7 +37,7 @@
     return {
         "version": tree.version,
         "in_force": allocations.newest_version,
-        "trouble": trouble,
+        "trouble": tree_conflict,
         "shards": sorted(shard_quotas),
         "levels": [_level_entry(level, allocations, shard_quotas, waiting.get(level.index, ZERO)) for level in levels],
         "more": start + len(levels) < len(tree.levels),
@@ -51,7 +60,7 @@
         used = add(used, shard_quota.usage.get(level.index, ZERO))
         if level.guaranteed:
             guaranteed = add(guaranteed, allocations.for_guarantee(level.index).held(shard))
-    borrowed = positive(subtract(used, guaranteed)) if any(used) else ZERO
+    borrowed = positive_part(subtract(used, guaranteed)) if any(used) else ZERO
     entry: dict[str, Any] = {
         "level": level.name,
         "parent": level.parent,
@@ -61,7 +70,7 @@
         "guaranteed": in_operator_units(level.guarantee),
         "cap": in_operator_units(level.cap),
         "used": in_operator_units(used),
-        "lent": in_operator_units(positive(subtract(guaranteed, used))),
+        "lent": in_operator_units(positive_part(subtract(guaranteed, used))),
         "borrowed": in_operator_units(borrowed),
         "waiting": in_operator_units(waiting),
     }
--- a/quinceslip/quota/tree.py
+++ b/quinceslip/quota/tree.py
@@ -9,7 +9,7 @@
 
 from quinceslip.protocol import messages as m
 from quinceslip.quota.amounts import (
-    KINDS,
+    NUM_RESOURCES,
     RESOURCES,
     SCALE,
     UNLIMITED,
@@ -17,7 +17,7 @@
     ZERO,
     Amounts,
     add,
-    least,
+    elementwise_min,
     task_amounts,
     times,
 )
@@ -57,11 +57,11 @@
         #: the levels that are teams, by name
         self.leaves: dict[str, Level] = {level.name: level for level in self.levels if level.team}
         #: by team, the levels on its path that have a cap, and those that have a guarantee
-        self.capped: dict[str, tuple[int, ...]] = {}
-        self.guaranteed: dict[str, tuple[int, ...]] = {}
+        self.capped_levels: dict[str, tuple[int, ...]] = {}
+        self.guaranteed_levels: dict[str, tuple[int, ...]] = {}
         for leaf in self.leaves.values():
-            self.capped[leaf.name] = tuple(index for index in leaf.path if self.levels[index].capped)
-            self.guaranteed[leaf.name] = tuple(index for index in leaf.path if self.levels[index].guaranteed)
+            self.capped_levels[leaf.name] = tuple(index for index in leaf.path if self.levels[index].capped)
+            self.guaranteed_levels[leaf.name] = tuple(index for index in leaf.path if self.levels[index].guaranteed)
         #: equal for trees with the same levels
         self.digest = self._digest()
 
@@ -102,7 +102,7 @@
             child = self.levels[index]
             if child.guaranteed:
                 total = add(total, child.guarantee)
-        return least(total, UNLIMITED_AMOUNTS)
+        return elementwise_min(total, UNLIMITED_AMOUNTS)
 
     def _digest(self) -> str:
         lines = (f"{level.name} {level.parent} {level.weight} {level.cap} {level.guarantee}" for level in self.levels)
@@ -113,7 +113,7 @@
         leaf = self.leaves.get(team)
         return leaf.path if leaf is not None else ()
 
-    def parting(self, team: str, other_team: str) -> tuple[int, int] | None:
+    def diverging_levels(self, team: str, other_team: str) -> tuple[int, int] | None:
         """Return the sibling levels at which the paths of two teams diverge, from the root; one for each team.
 
         None if a team is not in the tree, or if both are the same.
@@ -127,7 +127,7 @@
             distance += 1
         return path[-distance], other_path[-distance]
 
-    def never_fits(self, spec: m.JobSpec) -> str | None:
+    def cap_rejection_reason(self, spec: m.JobSpec) -> str | None:
         """Return a message naming the cap that a job can never fit under; None if it fits all caps.
 
         An array must fit with one task, a service or gang with all of its tasks (PROTOCOL, 422).
@@ -136,7 +136,7 @@
         need = times(task_amounts(spec), count)
         for index in self.path(spec.team):
             level = self.levels[index]
-            for resource in range(KINDS):
+            for resource in range(NUM_RESOURCES):
                 if need[resource] > level.cap[resource]:
                     cap, requested = level.cap[resource] / SCALE[resource], need[resource] / SCALE[resource]
                     return f"over the limit of {level.name}: {RESOURCES[resource]} {requested:g}, at most {cap:g}"
--- a/quinceslip/quota/tree_updates.py
+++ b/quinceslip/quota/tree_updates.py
@@ -4,7 +4,7 @@
 
 from quinceslip.coordination.actor.effects import Urgency
 from quinceslip.quota.allocations import LevelAmount
-from quinceslip.quota.amounts import ZERO, in_operator_units, positive, times
+from quinceslip.quota.amounts import ZERO, in_operator_units, positive_part, times
 from quinceslip.quota.quota_context import QuotaContext
 from quinceslip.quota.quota_records import GRANT, TREE, TREE_KEY, AmountKind, TreeRecord, grant_name
 from quinceslip.quota.shard_quota import ShardQuota
@@ -22,7 +22,7 @@
         self.quota = quota
         self.tree = quota.tree
         #: conflict with the tree in force, shown to operators in the log and on the status page
-        self.trouble = ""
+        self.tree_conflict = ""
         #: names of allocations whose excess over the cap has been logged
         self._logged_exceeded: set[str] = set()
         #: number of levels already checked for records of an older tree
@@ -42,21 +42,21 @@
         allocations = self.quota.allocations
         allocations.newest_version = newest_version
         allocations.tree_outdated = newest_version > self.tree.version or same_version_differs
-        self._set_trouble(self._trouble_text(same_version_differs) if allocations.tree_outdated else "")
+        self._set_tree_conflict(self._conflict_text(same_version_differs) if allocations.tree_outdated else "")
         self._levels_checked = 0
         self.quota.writer.request_placement()
 
-    def _trouble_text(self, same_version_differs: bool) -> str:
+    def _conflict_text(self, same_version_differs: bool) -> str:
         return (
             f"the tree in force has version {self.quota.allocations.newest_version}, that of the operators' file is "
             f"{self.tree.version}{' with other amounts: raise its version' if same_version_differs else ''}; here "
             f"nothing new starts under levels that it has not confirmed"
         )
 
-    def _set_trouble(self, trouble: str) -> None:
-        if trouble != self.trouble:
-            log.error("%s", trouble or "the tree of the operators' file is the one in force")
-            self.trouble = trouble
+    def _set_tree_conflict(self, tree_conflict: str) -> None:
+        if tree_conflict != self.tree_conflict:
+            log.error("%s", tree_conflict or "the tree of the operators' file is the one in force")
+            self.tree_conflict = tree_conflict
 
     def write_tree_record(self) -> None:
         """Put this controller's tree into force if it is the newest."""
@@ -113,7 +113,7 @@
 
     # Lowered caps.
 
-    def return_exceeding(self, shard: int, shard_quota: ShardQuota) -> None:
+    def return_excess(self, shard: int, shard_quota: ShardQuota) -> None:
         """Return unused amounts of allocations that exceed a lowered cap to the pool, and log each such level.
 
         The excess that is in use drains as tasks end.
@@ -123,7 +123,7 @@
         self._logged_exceeded &= allocations.exceeded.keys()
         for name, level in sorted(allocations.exceeded.items()):
             allocation = allocations.by_name[name]
-            excess = positive(times(allocation.pool(), -1))
+            excess = positive_part(times(allocation.pool(), -1))
             if name not in self._logged_exceeded:
                 self._logged_exceeded.add(name)
                 log.info(
