--- a/quinceslip/quota/admission.py
+++ b/quinceslip/quota/admission.py
@@ -12,7 +12,7 @@
     Amounts,
     accumulate,
     add,
-    positive,
+    positive_part,
     subtract,
     task_amounts,
     times,
@@ -44,7 +44,7 @@
         return self._caps_allow(spec, need) and self._targets_allow(path, need)
 
     def _caps_allow(self, spec: m.JobSpec, need: Amounts) -> bool:
-        capped = self.tree.capped[spec.team]
+        capped = self.tree.capped_levels[spec.team]
         for level in capped:
             refused = self.refused_amounts.get(level)
             if refused is not None and within(refused, need):
@@ -88,7 +88,7 @@
         """
         need = task_amounts(spec)
         count = max_count
-        for level in self.tree.capped.get(spec.team, ()):
+        for level in self.tree.capped_levels.get(spec.team, ()):
             room = self._room_for_new_machines(level, spec.job_id)
             room = subtract(room, granted_by_level.get(level, ZERO))
             for available, per_task in zip(room, need, strict=True):
@@ -99,7 +99,7 @@
 
     def _room_for_new_machines(self, level: int, job_id: str) -> Amounts:
         allocation = self.allocations.for_cap(level)
-        obtainable = add(allocation.limit(self.state.index), positive(allocation.pool()))
+        obtainable = add(allocation.limit(self.state.index), positive_part(allocation.pool()))
         return add(subtract(obtainable, self.net_usage(level)), self.preemptable_room.get(job_id, ZERO))
 
     def quota_exists_elsewhere(self, team: str) -> bool:
@@ -108,7 +108,7 @@
         Guard: this includes a level whose room is only reserved for other jobs. Otherwise this shard would make room
         for part of a job although the rest exists nowhere, and the job and those others would block each other.
         """
-        for level in self.tree.capped.get(team, ()):
+        for level in self.tree.capped_levels.get(team, ()):
             if level in self.refused_amounts or level == self.level_refused_by_reservation:
                 allocation = self.allocations.for_cap(level)
                 elsewhere = subtract(allocation.total_in_force(), allocation.held(self.state.index))
--- a/quinceslip/quota/allocation_giving.py
+++ b/quinceslip/quota/allocation_giving.py
@@ -10,10 +10,10 @@
 from quinceslip.quota.allocation import Allocation
 from quinceslip.quota.allocation_writer import MoveBatch
 from quinceslip.quota.allocations import LevelAmount
-from quinceslip.quota.amounts import ZERO, Amounts, add, amounts_of, least, positive, subtract
+from quinceslip.quota.amounts import ZERO, Amounts, add, amounts_of, elementwise_min, positive_part, subtract
 from quinceslip.quota.preemption import RoomRequest
 from quinceslip.quota.quota_context import QuotaContext
-from quinceslip.quota.quota_records import WANT, AmountKind, Wanted, WantRecord
+from quinceslip.quota.quota_records import WANT, AmountKind, PublishedDemand, WantRecord
 from quinceslip.quota.shard_quota import ShardQuota
 from quinceslip.quota.shortfalls import usage_and_demand
 from quinceslip.quota.unmet_demand import UnmetDemand
@@ -77,7 +77,7 @@
                 if level_amount is not None and not self.batch.is_full:
                     self._give_amount(requester, level_amount, amounts_of(lacking), None)
 
-    def _give_for_demand(self, wanted: Wanted, requester: int) -> None:
+    def _give_for_demand(self, wanted: PublishedDemand, requester: int) -> None:
         still_lacking: dict[int, Amounts] = {}
         for key, amounts in wanted.shortfall.items():
             level_amount = self.quota.allocations.level_amount(key)
@@ -85,14 +85,14 @@
                 continue
             lacking = self._give_amount(requester, level_amount, amounts_of(amounts), wanted)
             if level_amount.kind == AmountKind.CAP and any(lacking):
-                still_lacking[level_amount.level] = least(lacking, wanted.unit)
-        if not still_lacking or wanted.order.without_machines:
+                still_lacking[level_amount.level] = elementwise_min(lacking, wanted.unit)
+        if not still_lacking or wanted.order.lacks_machines:
             return
         if self._is_our_turn(requester, next(iter(still_lacking))):
             self._preempt_for(wanted, still_lacking)
 
     def _give_amount(
-        self, requester: int, level_amount: LevelAmount, lacking: Amounts, wanted: Wanted | None
+        self, requester: int, level_amount: LevelAmount, lacking: Amounts, wanted: PublishedDemand | None
     ) -> Amounts:
         """Give what is idle of one allocation; returns what the requester still lacks of it."""
         allocation, used = self._usage_to_keep(level_amount, wanted)
@@ -106,9 +106,9 @@
         self.batch.add(allocation, move)
         given = move.outgoing[self.shard]
         self.shard_quota.use_reservation(wanted.order.job_id if wanted is not None else "", given)
-        return positive(subtract(lacking, given))
+        return positive_part(subtract(lacking, given))
 
-    def _usage_to_keep(self, level_amount: LevelAmount, wanted: Wanted | None) -> tuple[Allocation, Amounts]:
+    def _usage_to_keep(self, level_amount: LevelAmount, wanted: PublishedDemand | None) -> tuple[Allocation, Amounts]:
         """The allocation of `level_amount`, and how much of it this shard keeps for its own tasks."""
         level = level_amount.level
         if level_amount.kind == AmountKind.GUARANTEE:
@@ -122,12 +122,12 @@
                     used = add(used, demand.need)
         return self.quota.allocations.for_cap(level), used
 
-    def _precedes(self, demand: UnmetDemand, wanted: Wanted) -> bool:
+    def _precedes(self, demand: UnmetDemand, wanted: PublishedDemand) -> bool:
         """Whether a demand of this shard precedes another shard's; both shards come to the same answer.
 
         The one that a guarantee covers comes first where the other's does not, then their order decides.
         """
-        diverging_levels = self.quota.tree.parting(demand.team, wanted.team)
+        diverging_levels = self.quota.tree.diverging_levels(demand.team, wanted.team)
         if diverging_levels is not None:
             our_level, their_level = diverging_levels
             ours = our_level in self.shard_quota.guarantees_covering(demand.spec, demand.count)
@@ -151,7 +151,7 @@
         turn = (now_us - self.wanted_since_us.get(requester, now_us)) // PREEMPTION_TURN_US
         return holders[turn % len(holders)] == self.shard
 
-    def _preempt_for(self, wanted: Wanted, lacking: dict[int, Amounts]) -> None:
+    def _preempt_for(self, wanted: PublishedDemand, lacking: dict[int, Amounts]) -> None:
         """Preempt borrowed usage in this shard for a job of another one."""
         job = self.quota.ctx.cache.job(wanted.order.job_id)
         if job is None or job.spec is None:
@@ -160,7 +160,7 @@
         covering = {levels[name].index for name in wanted.covering_guarantees if name in levels}
         shortfall: dict[int, Amounts] = {}
         for level, amounts in lacking.items():
-            beyond_stopping = positive(subtract(amounts, self.shard_quota.stopping_usage.get(level, ZERO)))
+            beyond_stopping = positive_part(subtract(amounts, self.shard_quota.stopping_usage.get(level, ZERO)))
             if any(beyond_stopping):
                 shortfall[level] = beyond_stopping
         if shortfall:
--- a/quinceslip/quota/fair_share_targets.py
+++ b/quinceslip/quota/fair_share_targets.py
@@ -4,15 +4,15 @@
 from dataclasses import dataclass
 
 from quinceslip.quota.amounts import (
-    KINDS,
+    NUM_RESOURCES,
     UNLIMITED,
     ZERO,
     Amounts,
     accumulate,
     add,
     amounts_of,
-    least,
-    positive,
+    elementwise_min,
+    positive_part,
     subtract,
     within,
 )
@@ -72,7 +72,7 @@
 
         Bound: the depth of the tree, which is limited (`level_checks.MAX_TREE_DEPTH`).
         """
-        room = positive(subtract(capacity, used_by_others))
+        room = positive_part(subtract(capacity, used_by_others))
         claims = [self._claim(level, need[level], room) for level in siblings]
         for level, share, claim in zip(siblings, divide(SHARE_SCALE, claims), claims, strict=True):
             targets[level] = _scale(need[level], share, claim.need) if share < claim.need else need[level]
@@ -81,7 +81,9 @@
                 used_by_other_children = self.usage.usage.get(level, ZERO)
                 for child in children:
                     used_by_other_children = subtract(used_by_other_children, self.usage.usage.get(child, ZERO))
-                limit = least(_unbounded_like_capacity(targets[level], capacity), self.usage.shard_limit(level))
+                limit = elementwise_min(
+                    _unbounded_like_capacity(targets[level], capacity), self.usage.shard_limit(level)
+                )
                 self._divide(children, limit, used_by_other_children, need, targets)
 
     def _claim(self, level: int, need: Amounts, room: Amounts) -> Claim:
@@ -93,7 +95,7 @@
     """The largest share over all limited resources that `amounts` takes of `whole`, in units of 1 / SHARE_SCALE."""
     shares = [
         amounts[kind] * SHARE_SCALE // max(whole[kind], 1)
-        for kind in range(KINDS)
+        for kind in range(NUM_RESOURCES)
         if whole[kind] < UNLIMITED and amounts[kind] < UNLIMITED
     ]
     return max(shares, default=0)
--- a/quinceslip/quota/preemption.py
+++ b/quinceslip/quota/preemption.py
@@ -9,7 +9,7 @@
 
 from quinceslip.coordination.shard_state.worker import EPSILON, Attempt, Worker, fits
 from quinceslip.protocol import messages as m
-from quinceslip.quota.amounts import ZERO, Amounts, accumulate, positive, subtract, within
+from quinceslip.quota.amounts import ZERO, Amounts, accumulate, positive_part, subtract, within
 from quinceslip.quota.usage import UsageMeter
 
 #: the lowest priority class (of urgent and production) that may preempt lower ones without a guarantee
@@ -36,7 +36,7 @@
         no guarantee that covers the job, does not preempt usage that a guarantee covers: the victim's team would
         reclaim the room at once, and the two would preempt each other for ever.
         """
-        diverging_levels = self.usage.tree.parting(self.spec.team, victim.spec.team)
+        diverging_levels = self.usage.tree.diverging_levels(self.spec.team, victim.spec.team)
         higher_priority = self.spec.priority <= MAX_PREEMPTING_PRIORITY and victim.spec.priority > self.spec.priority
         if diverging_levels is None:
             return higher_priority
@@ -172,7 +172,7 @@
             lacking = self.shortfall.get(level)
             if lacking is None:
                 continue
-            lacking = positive(subtract(lacking, victim.counted_usage or ZERO))
+            lacking = positive_part(subtract(lacking, victim.counted_usage or ZERO))
             if any(lacking):
                 self.shortfall[level] = lacking
             else:
--- a/quinceslip/quota/usage.py
+++ b/quinceslip/quota/usage.py
@@ -18,7 +18,7 @@
     Amounts,
     accumulate,
     add,
-    positive,
+    positive_part,
     subtract,
     task_amounts,
 )
@@ -174,4 +174,4 @@
         """Reduce the room reserved for a job by what it has been given."""
         reservation = self.reservations.get(job_id)
         if reservation is not None:
-            reservation.room = positive(subtract(reservation.room, amounts))
+            reservation.room = positive_part(subtract(reservation.room, amounts))
