--- a/quinceslip/transport/__init__.py
+++ b/quinceslip/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, HTTP, peer links, threads and the clock."""
+"""I/O of a controller: sockets, HTTP server and clients, links to peers, threads and clocks."""
--- a/quinceslip/transport/actor.py
+++ b/quinceslip/transport/actor.py
@@ -1,4 +1,4 @@
-"""The thread that runs an actor: its inbox, a regular tick, and the effects carried out."""
+"""The thread that runs an actor: reads its inbox, sends it ticks and carries out its effects."""
 
 import logging
 import queue
@@ -11,14 +11,14 @@
 
 log = logging.getLogger(__name__)
 
-#: so many messages are taken before the actor acts on what they changed
+#: messages handled before a `BatchEnd` lets the actor act on what they changed
 MAX_BATCH_MESSAGES = 32
 
 
 class ActorThread:
-    """Hands messages to `handle` one at a time, and the effects it returns to `carry_out`.
+    """Passes messages to `handle` one at a time, and the effects that it returns to `carry_out`.
 
-    A `Tick` comes every `tick_period_us`, a `BatchEnd` after the messages that were there.
+    Adds a `Tick` every `tick_period_us`, and a `BatchEnd` when the inbox is empty or `MAX_BATCH_MESSAGES` were handled.
     """
 
     def __init__(
@@ -32,40 +32,40 @@
         self.carry_out = carry_out
         self.tick_period_us = tick_period_us
         self.max_inbox = max_inbox
-        # Answers are a few for each call, and calls are bounded; only requests can come without end.
+        # Only requests are limited (see `post`): the actor's own calls are bounded, and each yields only a few answers.
         self.inbox: queue.SimpleQueue[Any] = queue.SimpleQueue()
-        self.turns = 0  # messages taken; while idle, one for each tick
-        self.current_message = ""  # type of the message that is handled, or was last
+        self.turns = 0  # messages handled; while idle, one for each tick
+        self.current_message = ""  # type of the message being handled, else of the last one
         self.thread = threading.Thread(target=self._run, name="actor", daemon=True)
         self._next_tick_us = 0
-        self._batch_messages = 0  # taken since the last `BatchEnd`
+        self._batch_messages = 0  # handled since the last `BatchEnd`
 
     def start(self) -> None:
-        """Begin to take messages."""
+        """Start the thread."""
         self.thread.start()
 
     def post(self, message: Any) -> bool:
-        """A request from outside: refused, with False, when the inbox is full."""
+        """Enqueue a request from outside; returns False, without enqueueing it, when the inbox is full."""
         if self.inbox.qsize() >= self.max_inbox:
             return False
         self.inbox.put(message)
         return True
 
     def post_always(self, message: Any) -> bool:
-        """An answer to one of the actor's own calls: it waits for these, so they are never refused."""
+        """Enqueue an answer to one of the actor's own calls. The actor waits for it, so it is never refused."""
         self.inbox.put(message)
         return True
 
     def _run(self) -> None:
         self._next_tick_us = steady_us()
-        # Bound: none, it is the actor's life; whether it turns is watched (`transport/watchdog`).
+        # Bound: none, it runs as long as the actor; the watchdog checks its progress (`transport/watchdog.py`).
         while True:
             message = self._next_message()
             if message is not None:
-                self._take(message)
+                self._process(message)
 
     def _next_message(self) -> Any:
-        """The next message: a tick that is due, the end of a batch, or one from the inbox; None where none came."""
+        """Return a tick that is due, the end of a batch, or the next message of the inbox; None if none arrived."""
         now_us = steady_us()
         if now_us >= self._next_tick_us:
             self._next_tick_us = now_us + self.tick_period_us
@@ -77,20 +77,20 @@
         except queue.Empty:
             return BatchEnd() if self._batch_messages else None
 
-    def _take(self, message: Any) -> None:
-        """Handle one message and carry out its effects; what fails is logged, and the actor goes on."""
+    def _process(self, message: Any) -> None:
+        """Handle one message and carry out its effects; exceptions are logged, and the actor continues."""
         self._batch_messages = 0 if isinstance(message, BatchEnd) else self._batch_messages + 1
         self.turns += 1
         self.current_message = type(message).__name__
         try:
             effects = self.handle(message, steady_us())
         except Exception:
-            # One bad message must not end the service; what it was is in the log.
-            log.exception("while handling %s", type(message).__name__)
+            # A message that can't be handled must not end the service.
+            log.exception("error while handling %s", type(message).__name__)
             return
         for effect in effects:
             try:
                 self.carry_out(effect)
             except Exception:
-                # An actor's thread that has ended is a controller that does nothing and looks alive.
-                log.exception("while carrying out %s", type(effect).__name__)
+                # If the actor's thread ended, the controller would look alive but do nothing.
+                log.exception("error while carrying out %s", type(effect).__name__)
--- a/quinceslip/transport/clock.py
+++ b/quinceslip/transport/clock.py
@@ -1,10 +1,10 @@
-"""The clocks, in whole microseconds."""
+"""Clocks in whole microseconds."""
 
 import time
 
 
 def steady_us() -> int:
-    """A clock that never goes back, of this process alone."""
+    """Monotonic time; comparable only within this process."""
     return time.monotonic_ns() // 1000
 
 
--- a/quinceslip/transport/headers.py
+++ b/quinceslip/transport/headers.py
@@ -1,25 +1,25 @@
-"""Header lines of HTTP messages, read into a plain dictionary.
+"""Parses the header lines of HTTP messages into a plain dictionary.
 
-`http.server` and `http.client` hand each header block to `email.parser`, which costs more than all else that
-is done for a heartbeat. Nothing here needs more of it than names and values.
+`http.server` and `http.client` parse headers with `email.parser`, which costs more than the rest of the work for a
+heartbeat. Only names and values are needed here.
 """
 
 from typing import Protocol
 
-#: a longer header line, and a block of more lines, is refused with 431
+#: a longer header line, or more header lines, are rejected with status 431
 MAX_LINE_BYTES = 64 * 1024
 MAX_LINES = 100
 
 
-class Source(Protocol):
-    """What header lines are read from."""
+class LineReader(Protocol):
+    """A stream to read header lines from."""
 
     def readline(self, size: int = ..., /) -> bytes:
-        """One line with its end, or its first `size` bytes; empty at the end of the stream."""
+        """Return one line with its line end, or its first `size` bytes; empty at end of stream."""
 
 
 class HeaderError(ValueError):
-    """A block that is malformed (`status` 400) or larger than is read (431)."""
+    """The headers are malformed (`status` 400) or too large (431)."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -27,15 +27,15 @@
 
 
 class Headers(dict[str, str]):
-    """Values by lower-case name; `get` takes any case. Of repeated lines the values are joined by commas."""
+    """Values by lower-case name; `get` ignores case. The values of repeated headers are joined with commas."""
 
     def get(self, name: str, default: str | None = None) -> str | None:  # type: ignore[override]
-        """The value of a header line, whatever the case of its name."""
+        """Return the value of a header; the case of `name` doesn't matter."""
         return super().get(name.lower(), default)
 
 
-def read_headers(source: Source) -> Headers:
-    """Read up to and including the empty line; raises `HeaderError`."""
+def read_headers(source: LineReader) -> Headers:
+    """Read headers up to and including the empty line; raises `HeaderError`."""
     headers = Headers()
     for _ in range(MAX_LINES + 1):
         line = source.readline(MAX_LINE_BYTES + 1)
@@ -48,9 +48,9 @@
 
 
 def _add_line(headers: Headers, line: bytes) -> None:
-    """Add one line; raises `HeaderError`.
+    """Parse one header line; raises `HeaderError`.
 
-    Repeated lengths are refused, however alike: two readers that choose differently would see two messages.
+    A repeated length is rejected even if both are equal: parsers that choose differently would see different messages.
     """
     name, colon, value = line.decode("latin-1").partition(":")
     if not colon or not name or name != name.strip():
--- a/quinceslip/transport/wakeup.py
+++ b/quinceslip/transport/wakeup.py
@@ -1,10 +1,10 @@
-"""Wakes the thread that waits in a selector."""
+"""Wakes a thread that waits in a selector."""
 
 import socket
 
 
 class Wakeup:
-    """A socket that becomes readable when `wake` is called, from any thread; many calls may count as one."""
+    """A socket that becomes readable when any thread calls `wake`; several calls may be merged into one event."""
 
     def __init__(self) -> None:
         self._receiver, self._sender = socket.socketpair()
@@ -13,21 +13,21 @@
         self._signalled = False
 
     def fileno(self) -> int:
-        """For the selector."""
+        """Return the file descriptor for the selector."""
         return self._receiver.fileno()
 
     def wake(self) -> None:
-        """Let the selector's wait end."""
+        """Make the selector return."""
         if self._signalled:
             return
         self._signalled = True
         try:
             self._sender.send(b"\0")
         except OSError:
-            pass  # so many signals are on their way that one more changes nothing, or the loop has ended
+            pass  # the buffer is full, so the selector wakes anyway; or the loop has ended
 
     def clear(self) -> None:
-        """Take the signals back. What was handed over before a `wake` is to be looked at after this."""
+        """Reset the event. Data handed over before a `wake` must be checked after this call."""
         try:
             self._receiver.recv(4096)
         except BlockingIOError:
@@ -35,6 +35,6 @@
         self._signalled = False
 
     def close(self) -> None:
-        """Free the sockets; a `wake` afterwards does nothing."""
+        """Close the sockets; a later `wake` does nothing."""
         self._receiver.close()
         self._sender.close()
