--- a/quinceslip/transport/clients.py
+++ b/quinceslip/transport/clients.py
@@ -1,4 +1,4 @@
-"""HTTP clients: a few threads for each kind of target, reused connections, a time limit on every call."""
+"""HTTP clients: a thread pool for each kind of target, reused connections, a time limit on every call."""
 
 import http.client
 import itertools
@@ -20,25 +20,25 @@
 log = logging.getLogger(__name__)
 
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
-#: a call is given so long at least, once it is sent at all
+#: minimum time limit of a call that is sent at all
 MIN_TIMEOUT_S = 0.05
-#: an unused connection is kept for so long: before its server closes it as idle
+#: unused connections are kept for this long; less than the server's own idle timeout
 MAX_IDLE_US = 8_000_000
-#: the status of a call that is over the rate limit, and was not executed
+#: status of a call that exceeded the rate limit and was not executed
 TOO_MANY_REQUESTS = 429
-#: such a call is repeated after the pause, if so much of its time is left
-REPEAT_PAUSE_S = 0.1
-MIN_TIME_TO_REPEAT_US = 300_000
-#: calls that wait in one pool, about 0.3 kB each. A worker has no more than one command and one probe under way, each
-#: in a pool of its own, so this is four times what a fleet of 4,000 machines needs.
+#: a rate-limited call is retried after this delay, if at least `MIN_TIME_TO_RETRY_US` remain until its deadline
+RETRY_DELAY_S = 0.1
+MIN_TIME_TO_RETRY_US = 300_000
+#: calls queued in one pool, about 0.3 kB each. A worker has at most one command and one probe in flight, each in its
+#: own pool, so this is four times what a fleet of 4,000 machines needs
 MAX_QUEUED_CALLS = 16_384
 
 
 class Response(http.client.HTTPResponse):
-    """`http.client`'s, with a reader of its own for the header lines (`transport/headers.py`)."""
+    """`http.client`'s response, with the header parser of `transport/headers.py`."""
 
     def begin(self) -> None:
-        """Read the head; raises `OSError` or `HTTPException`. `read` needs no more than what is set here."""
+        """Read the head and set the attributes that `read` needs; raises `OSError` or `HTTPException`."""
         version, headers = self._read_head()
         self.chunked = (headers.get("transfer-encoding") or "").lower() == "chunked"
         self.chunk_left = None
@@ -54,8 +54,8 @@
         )
 
     def _read_head(self) -> tuple[str, Headers]:
-        """The version and the header lines of the first answer that is more than "100 Continue"."""
-        # Bound: the time limit of the socket, since each turn reads an answer.
+        """Return the version and the headers of the first response that isn't "100 Continue"."""
+        # Bound: the time limit of the socket, since each iteration reads a response.
         while True:
             version, self.status, self.reason = self._read_status()  # type: ignore[attr-defined]
             try:
@@ -74,8 +74,8 @@
         self.sock = socket.create_connection((self.host, self.port), self.timeout)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    def ask(self, method: str, path: str, data: bytes | None) -> Response:
-        """Send one request in one packet, and read the answer's head. Paths and methods are our own words."""
+    def send_request(self, method: str, path: str, data: bytes | None) -> Response:
+        """Send a request in one packet and read the head of the response. Needs no escaping: all paths are our own."""
         head = f"{method} {path} HTTP/1.1\r\nHost: {self.host}:{self.port}\r\n"
         if data is not None:
             head += f"Content-Type: application/json\r\nContent-Length: {len(data)}\r\n"
@@ -88,7 +88,10 @@
 
 
 def exchange(connection: Connection, method: str, path: str, body: Any, timeout_s: float) -> tuple[int, bytes]:
-    """One request: status and body of the answer; NOT_SENT where it surely never left, UNKNOWN where none came."""
+    """Send a request and return the status and body of the response.
+
+    The status is NOT_SENT if the request certainly was not sent, UNKNOWN if it may have been but no response arrived.
+    """
     connection.timeout = timeout_s
     try:
         if connection.sock is None:
@@ -96,46 +99,49 @@
         else:
             connection.sock.settimeout(timeout_s)
     except OSError as error:
-        log.debug("%s:%s: %s", connection.host, connection.port, error)
+        log.debug("connection to %s:%s failed: %s", connection.host, connection.port, error)
         connection.close()
         return NOT_SENT, b""
     data = None if body is None else msgspec.json.encode(body)
     try:
-        response = connection.ask(method, path, data)
+        response = connection.send_request(method, path, data)
         answer = response.read(MAX_ANSWER_BYTES)
         if response.will_close:
             connection.close()
         return response.status, answer
     except (OSError, http.client.HTTPException, ValueError) as error:
-        log.debug("%s:%s %s: %s", connection.host, connection.port, path, error)
+        log.debug("request to %s:%s%s failed: %s", connection.host, connection.port, path, error)
         connection.close()
         return UNKNOWN, b""
 
 
 class Budget:
-    """Token buckets over requests and writes, so that this controller keeps to its share of a rate limit.
+    """Token buckets for requests and writes that keep this controller within its share of a rate limit.
 
-    The share is learnt: a refusal says that the others need theirs, and then it shrinks down to an
-    equal part; while nothing is refused it grows, so that the part of a controller that is down is used.
+    The share adapts: a rejection shows that the other controllers need theirs, so it shrinks, down to an equal
+    part; without rejections it grows, so that the share of a controller that is down gets used.
     """
 
-    GROWTH_PER_S = 0.05
-    CUT = 0.8
-    #: refusals of one moment count once
+    SHARE_GROWTH_PER_S = 0.05
+    SHARE_CUT_FACTOR = 0.8
+    #: rejections within this interval cut the share only once
     MIN_CUT_INTERVAL_US = 300_000
 
-    def __init__(self, rate: float, write_rate: float, size: int) -> None:
-        """Rates are per second, for all of the `size` controllers."""
+    def __init__(self, rate: float, write_rate: float, controller_count: int) -> None:
+        """Rates are per second and shared by all controllers."""
         self.rates = (rate, write_rate)
-        self.min_share = 1.0 / size
-        self.share = min(1.0, 2.0 / size)
+        self.min_share = 1.0 / controller_count
+        self.share = min(1.0, 2.0 / controller_count)
         self.tokens = [rate * self.share, write_rate * self.share]
-        self.last_us = steady_us()
-        self.cut_us = 0  # when the share was cut last
+        self.last_refill_us = steady_us()
+        self.cut_us = 0  # time of the last cut of the share
         self.lock = threading.Lock()
 
     def take(self, writes: int) -> float:
-        """Seconds to wait before asking again; 0 when a request with so many writes may go now."""
+        """Take the tokens of a request with `writes` writes and return 0.
+
+        If there are too few, take none and return the seconds to wait before the next try.
+        """
         with self.lock:
             self._refill()
             costs = (1.0, min(float(writes), self.rates[1] * self.share))
@@ -148,47 +154,47 @@
             return wait_s
 
     def refused(self) -> None:
-        """The service answered 429."""
+        """Record that the service answered 429, and cut the share."""
         with self.lock:
             now_us = steady_us()
             if now_us > self.cut_us + self.MIN_CUT_INTERVAL_US:
                 self.cut_us = now_us
-                self.share = max(self.min_share, self.share * self.CUT)
+                self.share = max(self.min_share, self.share * self.SHARE_CUT_FACTOR)
 
     def _refill(self) -> None:
-        """Let the share and the tokens grow for the time that has passed; no more than a second's are kept."""
+        """Grow the share and add tokens for the time that has passed; at most the tokens of one second are kept."""
         now_us = steady_us()
-        passed_s = (now_us - self.last_us) / 1e6
-        self.last_us = now_us
-        self.share = min(1.0, self.share + passed_s * self.GROWTH_PER_S)
+        elapsed_s = (now_us - self.last_refill_us) / 1e6
+        self.last_refill_us = now_us
+        self.share = min(1.0, self.share + elapsed_s * self.SHARE_GROWTH_PER_S)
         self.tokens = [
-            min(rate * self.share, tokens + passed_s * rate * self.share)
+            min(rate * self.share, tokens + elapsed_s * rate * self.share)
             for tokens, rate in zip(self.tokens, self.rates, strict=True)
         ]
 
 
 class QueuedCall(NamedTuple):
-    """A call that waits for a thread, in the order in which calls are taken."""
+    """A call that waits for a thread; the tuple order is the order in which calls are sent."""
 
     urgency: int
-    number: int  # of two that are as urgent, the first one is taken first
+    sequence_number: int  # calls of equal urgency are sent in order of submission
     deadline_us: int  # steady clock
     call: Call
 
 
 class IdleConnections:
-    """Connections that wait for the next call to their address, at most `max_idle`; for any thread."""
+    """Pool of at most `max_idle` idle connections, by address; thread-safe."""
 
     def __init__(self, max_idle: int) -> None:
         self._max_idle = max_idle
         self._lock = threading.Lock()
         self._idle: dict[str, list[tuple[int, Connection]]] = {}  # by address, with the time of the last use
 
-    def take(self, address: str) -> Connection:
-        """One that was used a short while ago, or a new one that is not connected yet."""
+    def acquire(self, address: str) -> Connection:
+        """Return a recently used connection, or a new one that is not connected yet."""
         with self._lock:
             idle = self._idle.get(address, [])
-            # Bound: each turn takes one away.
+            # Bound: each iteration removes one.
             while idle:
                 used_us, connection = idle.pop()
                 if steady_us() - used_us < MAX_IDLE_US:
@@ -197,8 +203,8 @@
         host, port = split_address(address)
         return Connection(host, port)
 
-    def put(self, address: str, connection: Connection) -> None:
-        """Keep a connection, in place of the one that was used longest ago where there are too many."""
+    def release(self, address: str, connection: Connection) -> None:
+        """Keep a connection for reuse; closes the least recently used one if there are too many."""
         if not self._max_idle:
             connection.close()
             return
@@ -206,8 +212,8 @@
             if sum(map(len, self._idle.values())) >= self._max_idle:
                 self._close_oldest()
             self._idle.setdefault(address, []).append((steady_us(), connection))
-            for unused in [known for known, idle in self._idle.items() if not idle]:
-                del self._idle[unused]
+            for unused_address in [key for key, idle in self._idle.items() if not idle]:
+                del self._idle[unused_address]
 
     def _close_oldest(self) -> None:
         oldest = min((address for address, idle in self._idle.items() if idle), key=lambda a: self._idle[a][0][0])
@@ -216,9 +222,9 @@
 
 
 class Pool:
-    """Threads that carry out calls, the most urgent first, and post their answers."""
+    """Thread pool that sends calls, the most urgent first, and posts their results."""
 
-    #: while the most urgent call waits for the budget, the choice is made anew so often
+    #: longest sleep while the most urgent call waits for the budget; after it the most urgent call is chosen again
     MAX_WAIT_S = 0.05
 
     def __init__(
@@ -228,42 +234,42 @@
         self._budget = budget
         self._idle = IdleConnections(max_idle)
         self._calls: queue.PriorityQueue[QueuedCall] = queue.PriorityQueue()
-        self._numbers = itertools.count()
-        self._choosing = threading.Lock()
+        self._sequence_numbers = itertools.count()
+        self._selection_lock = threading.Lock()
         for number in range(threads):
             threading.Thread(target=self._run, name=f"{name}-{number}", daemon=True).start()
 
     def submit(self, call: Call, address: str) -> None:
-        """Have a call carried out at an address; the answer is posted as a `CallResult`."""
+        """Queue a call to an address; its result is posted as a `CallResult`."""
         call.target = address
-        # The queue itself has no bound: threads put back what must wait, and would lock up at one.
+        # The queue itself is unbounded: threads put waiting calls back, and would deadlock on a full queue.
         if self._calls.qsize() >= MAX_QUEUED_CALLS:
             self._post(CallResult(call.id, NOT_SENT))
         else:
             deadline_us = steady_us() + call.timeout_us
-            self._calls.put(QueuedCall(call.urgency, next(self._numbers), deadline_us, call))
+            self._calls.put(QueuedCall(call.urgency, next(self._sequence_numbers), deadline_us, call))
 
     def _run(self) -> None:
-        # Bound: none, it is the life of the thread.
+        # Bound: none, it runs as long as the thread.
         while True:
             queued = self._next()
             try:
                 result = self._carry_out(queued)
             except Exception:
-                log.exception("call to %s", queued.call.target)
+                log.exception("error while calling %s", queued.call.target)
                 result = CallResult(queued.call.id, UNKNOWN)
             if result is not None:
                 self._post(result)
 
     def _next(self) -> QueuedCall:
-        """The most urgent call, once the budget has room for it.
+        """Return the most urgent call as soon as the budget allows it.
 
-        While it waits, one that is more urgent may come, so the choice is made anew each time.
+        A more urgent call may arrive during the wait, so the choice is made again after each sleep.
         """
         if self._budget is None:
             return self._calls.get()
-        with self._choosing:
-            # Bound: the time limit of the call, after which it is taken whatever the budget.
+        with self._selection_lock:
+            # Bound: the deadline of the call, after which it is returned regardless of the budget.
             while True:
                 queued = self._calls.get()
                 expired = steady_us() >= queued.deadline_us
@@ -274,25 +280,25 @@
                 time.sleep(min(wait_s, self.MAX_WAIT_S))
 
     def _carry_out(self, queued: QueuedCall) -> CallResult | None:
-        """Send a call and return its result; None where it is to be sent again."""
+        """Send a call and return its result; None if it was queued for a retry."""
         call = queued.call
-        left_s = (queued.deadline_us - steady_us()) / 1e6
-        if left_s <= 0:
+        remaining_s = (queued.deadline_us - steady_us()) / 1e6
+        if remaining_s <= 0:
             return CallResult(call.id, NOT_SENT)
-        connection = self._idle.take(call.target)
-        status, body = exchange(connection, call.method, call.path, call.body, max(left_s, MIN_TIMEOUT_S))
+        connection = self._idle.acquire(call.target)
+        status, body = exchange(connection, call.method, call.path, call.body, max(remaining_s, MIN_TIMEOUT_S))
         if connection.sock is not None:
-            self._idle.put(call.target, connection)
-        if status == TOO_MANY_REQUESTS and self._repeat(queued):
+            self._idle.release(call.target, connection)
+        if status == TOO_MANY_REQUESTS and self._retry(queued):
             return None
         return CallResult(call.id, status, body)
 
-    def _repeat(self, queued: QueuedCall) -> bool:
-        """Put back a call that was refused, since others used the budget up; False where it has no time left."""
+    def _retry(self, queued: QueuedCall) -> bool:
+        """Queue a rate-limited call again after a delay; returns False if too little of its time is left."""
         if self._budget:
             self._budget.refused()
-        if steady_us() + MIN_TIME_TO_REPEAT_US >= queued.deadline_us:
+        if steady_us() + MIN_TIME_TO_RETRY_US >= queued.deadline_us:
             return False
-        time.sleep(REPEAT_PAUSE_S)
+        time.sleep(RETRY_DELAY_S)
         self._calls.put(queued)
         return True
