--- a/quinceslip/transport/connections.py
+++ b/quinceslip/transport/connections.py
@@ -1,4 +1,4 @@
-"""The open connections of an HTTP server, their states, and which of them is closed when there are too many."""
+"""The open connections of an HTTP server, their states, and the choice of the one to close when there are too many."""
 
 import io
 import socket
@@ -15,15 +15,15 @@
 if TYPE_CHECKING:
     from quinceslip.transport.request_handler import RequestHandler
 
-#: buffer for what a client sends, kept from the first byte of a request to its answer. Most heartbeats fit into one
+#: receive buffer of a connection, held from the first byte of a request to its answer; most heartbeats fit into it
 READ_BUFFER_BYTES = 2048
 
 
 class ConnectionState(StrEnum):
-    """Who has a connection at hand. Only a request thread that serves it reads, writes or closes its socket."""
+    """Who owns a connection. While it is SERVING, only its request thread reads, writes or closes the socket."""
 
-    RESTING = auto()  # between two requests: the selector waits for the next one
-    QUEUED = auto()  # has sent something, or its answer is there: waits for a request thread
+    IDLE = auto()  # between two requests: the selector waits for the next one
+    QUEUED = auto()  # has sent data, or its reply is available: waits for a request thread
     SERVING = auto()  # a request thread reads from it or writes to it
     AWAITING_REPLY = auto()  # its request is with the actor
     CLOSED = auto()
@@ -32,7 +32,7 @@
 class Connection:
     """One open connection.
 
-    Its socket has the timeout 0 but for the calls that wait for the client, which end at `deadline_us` at the latest.
+    Its socket is non-blocking, except in calls that wait for the client, which end at `deadline_us` at the latest.
     """
 
     __slots__ = (
@@ -51,14 +51,14 @@
     def __init__(self, accepted: socket.socket, address: tuple[str, int]) -> None:
         self.socket = accepted
         self.address = address
-        self.state = ConnectionState.RESTING
-        self.is_worker = False  # a valid heartbeat came through it
-        self.interrupted = False  # the thread that serves it is to close it
-        self.deadline_us = 0  # steady clock, for what the client is to send or to take now
-        self.waiting_since_us: int | None = None  # a request thread has waited for the client since
-        self.reader: RequestReader | None = None  # None while nothing of a request is read
-        self.handler: RequestHandler | None = None  # of the request that is with the actor or has its reply
-        self.reply: Reply | None = None  # to that request; None when there was none in time
+        self.state = ConnectionState.IDLE
+        self.is_worker = False  # it has sent a valid heartbeat
+        self.interrupted = False  # the thread that serves it must close it
+        self.deadline_us = 0  # steady clock; limit for the client's current sending or receiving
+        self.waiting_since_us: int | None = None  # start of the current wait of a request thread for the client
+        self.reader: RequestReader | None = None  # None before the first byte of a request
+        self.handler: RequestHandler | None = None  # of the request that waits for the actor or has its reply
+        self.reply: Reply | None = None  # to that request; None if it timed out
 
     @property
     def host(self) -> str:
@@ -66,7 +66,7 @@
         return self.address[0]
 
     def receive_into(self, buffer: memoryview) -> int:
-        """Receive bytes, 0 at the end of the stream; raises `OSError`, as `TimeoutError` at the deadline."""
+        """Receive bytes and return the count, 0 at end of stream; raises `OSError`, at the deadline `TimeoutError`."""
         try:
             received = self.socket.recv_into(buffer)
         except BlockingIOError:
@@ -77,7 +77,7 @@
         return received
 
     def send(self, data: bytes) -> None:
-        """Send all of `data`; raises `OSError`, as `TimeoutError` at the deadline."""
+        """Send all of `data`; raises `OSError`, at the deadline `TimeoutError`."""
         try:
             sent = self.socket.send(data)
         except BlockingIOError:
@@ -88,10 +88,10 @@
 
     @contextmanager
     def _waiting_for_client(self) -> Iterator[None]:
-        """Let a socket call wait until the deadline; meanwhile the connection counts as slow."""
+        """Make socket calls block until the deadline; meanwhile the connection counts as slow."""
         now_us = steady_us()
         if now_us >= self.deadline_us:
-            raise TimeoutError("the client's time is over")
+            raise TimeoutError("client deadline exceeded")
         self.waiting_since_us = now_us
         self.socket.settimeout((self.deadline_us - now_us) / 1e6)
         try:
@@ -102,7 +102,7 @@
 
 
 class _RawReader(io.RawIOBase):
-    """The bytes that a connection receives; none come while it is paused."""
+    """Raw stream of the bytes that a connection receives; returns none while it is paused."""
 
     def __init__(self, connection: Connection) -> None:
         self.paused = False
@@ -116,14 +116,14 @@
 
 
 class RequestReader(io.BufferedReader):
-    """What a connection receives, as the file that `http.server` reads; it waits for the client."""
+    """Buffered stream of what a connection receives, for `http.server` to read; reading waits for the client."""
 
     def __init__(self, connection: Connection) -> None:
         self._source = _RawReader(connection)
         super().__init__(self._source, READ_BUFFER_BYTES)
 
     def has_buffered_data(self) -> bool:
-        """Whether bytes behind those that were read are here already; does not wait."""
+        """Return whether more bytes than those already read are available; does not wait."""
         self._source.paused = True
         try:
             return bool(self.peek(1))
@@ -132,13 +132,13 @@
 
 
 class ConnectionWriter(io.BufferedIOBase):
-    """What is sent by a connection, as the file that `http.server` writes; it waits for the client."""
+    """Stream that sends through a connection, for `http.server` to write to; writing waits for the client."""
 
     def __init__(self, connection: Connection) -> None:
         self._connection = connection
 
     def writable(self) -> bool:
-        """For `io`: it can be written to."""
+        """Return True, as `io` requires of a writable stream."""
         return True
 
     def write(self, data: bytes) -> int:  # type: ignore[override]
@@ -148,7 +148,7 @@
 
 
 class ConnectionTable:
-    """The open connections, those of users in the order in which they last sent a whole request; for any thread."""
+    """The open connections, those of users ordered by the time of their last complete request; thread-safe."""
 
     def __init__(self, max_connections: int) -> None:
         self.max_connections = max_connections
@@ -160,17 +160,17 @@
         return len(self._users) + len(self._workers)
 
     def all(self) -> list[Connection]:
-        """A copy."""
+        """Return a copy of the list of open connections."""
         with self._lock:
             return [*self._users, *self._workers]
 
     def add(self, connection: Connection) -> None:
-        """Begin with a connection that was accepted."""
+        """Add an accepted connection; it counts as a user's until `mark_worker`."""
         with self._lock:
             self._users[connection] = None
 
     def mark_worker(self, connection: Connection) -> None:
-        """A valid heartbeat came through it: it is never closed in favour of another one."""
+        """Record that it has sent a valid heartbeat: it is never closed in favour of another one."""
         with self._lock:
             connection.is_worker = True
             if connection in self._users:
@@ -178,18 +178,18 @@
                 self._workers.add(connection)
 
     def mark_active(self, connection: Connection) -> None:
-        """It has sent a whole request."""
+        """Record that it has sent a complete request."""
         with self._lock:
             if connection in self._users:
                 self._users.move_to_end(connection)
 
-    def longest_quiet(self) -> Connection | None:
-        """The user's connection that has sent no request for the longest time; None where all are workers'."""
+    def least_recently_active(self) -> Connection | None:
+        """Return the least recently active connection of a user; None if all are workers'."""
         with self._lock:
             return next(iter(self._users), None)
 
-    def move(self, connection: Connection, state: ConnectionState) -> bool:
-        """Pass a connection on; False where it is closed, or interrupted and to be closed by its thread."""
+    def set_state(self, connection: Connection, state: ConnectionState) -> bool:
+        """Change the state of a connection; returns False if it is closed, or interrupted and about to be closed."""
         with self._lock:
             if connection.state is ConnectionState.CLOSED or connection.interrupted:
                 return False
@@ -197,13 +197,13 @@
             return True
 
     def interrupt_if_waiting(self, connection: Connection) -> None:
-        """Take the thread from a connection that keeps it waiting for its client: the thread closes it at once."""
+        """Interrupt a connection whose thread waits for the client; the thread then closes it at once."""
         with self._lock:
             if connection.state is ConnectionState.SERVING and connection.waiting_since_us is not None:
                 self._interrupt(connection)
 
     def close(self, connection: Connection) -> None:
-        """Close a connection, at once, or by the thread that serves it; one that is closed already stays so."""
+        """Close a connection: immediately, or through the thread that serves it. Idempotent."""
         with self._lock:
             if connection.state is ConnectionState.SERVING:
                 self._interrupt(connection)
@@ -211,7 +211,7 @@
                 self._close(connection)
 
     def close_served(self, connection: Connection) -> None:
-        """Close a connection in the thread that serves it."""
+        """Close a connection; called by the thread that serves it."""
         with self._lock:
             self._close(connection)
 
--- a/quinceslip/transport/http_server.py
+++ b/quinceslip/transport/http_server.py
@@ -1,9 +1,9 @@
-"""The HTTP server: connections rest in one selector loop, and a bounded pool of threads serves those that have sent.
+"""The HTTP server: a selector loop watches idle connections, and a bounded pool of threads serves active ones.
 
-A connection is RESTING in the loop until something arrives, QUEUED for a thread, then SERVING: a thread reads one
-request with blocking calls. While the actor has the request the connection is AWAITING_REPLY and takes no thread; with
-its reply it is QUEUED again to be answered, and rests. So neither idle clients nor a late actor take threads, and slow
-clients take no more than `request_threads` lets them.
+A connection is IDLE in the loop until data arrives, then QUEUED for a thread, then SERVING: a thread reads one request
+with blocking calls. While the actor has the request, the connection is AWAITING_REPLY and occupies no thread; once it
+has the reply, it is QUEUED again to be answered, and becomes IDLE. So neither idle clients nor a slow actor occupy
+threads, and slow clients occupy no more than `request_threads` allows.
 """
 
 import logging
@@ -16,19 +16,19 @@
 from quinceslip.transport.replies import Replies
 from quinceslip.transport.request_handler import SECOND_US, RequestHandler
 from quinceslip.transport.request_threads import MAX_REQUEST_THREADS, RequestThreads
-from quinceslip.transport.resting_connections import RestingConnections
+from quinceslip.transport.selector_loop import SelectorLoop
 
 log = logging.getLogger(__name__)
 
-#: a connection has so long to begin a request, so long to send all of it, and so long to take the answer
+#: time limit of a client to begin a request, to send all of it, and to receive the answer; each of the three
 IDLE_TIMEOUT_S = 20.0
-#: the loop looks so often for connections that wait for a thread and for replies that are late; the time limits of
-#: replies are longer
+#: longest wait of the loop between two checks for queued connections and overdue replies; shorter than the time limits
+#: of replies
 MAX_WAIT_S = 0.1
 #: the same while connections wait for a thread
 CONGESTED_WAIT_S = 0.005
-#: connections that the kernel is asked to hold until they are accepted: all workers of a large site may come at once,
-#: from a controller that ended. The kernel caps it (net.core.somaxconn, mostly 4,096)
+#: connections for the kernel to queue until they are accepted: when a controller fails, all workers of a large site may
+#: connect at once. Capped by the kernel (net.core.somaxconn, usually 4,096)
 LISTEN_BACKLOG = 16_384
 
 
@@ -40,12 +40,12 @@
         address: tuple[str, int],
         replies: Replies,
         max_connections: int,
-        questions: Sequence[str] = (),
+        subsystem_paths: Sequence[str] = (),
         idle_timeout_s: float = IDLE_TIMEOUT_S,
         max_threads: int = MAX_REQUEST_THREADS,
     ) -> None:
-        """Begin to listen; raises `OSError` where the address can't be had."""
-        self.questions = questions  # paths that subsystems answer
+        """Start listening; raises `OSError` if the address can't be bound."""
+        self.subsystem_paths = subsystem_paths  # answered by subsystems
         self.connections = ConnectionTable(max_connections)
         self._replies = replies
         self._idle_timeout_us = int(idle_timeout_s * SECOND_US)
@@ -54,26 +54,26 @@
         self._listener.setblocking(False)
         self.address: tuple[str, int] = self._listener.getsockname()
         self._threads = RequestThreads(max_threads, self._serve)
-        self._resting = RestingConnections(self._listener, self.connections, self._idle_timeout_us, self._enqueue)
+        self._selector_loop = SelectorLoop(self._listener, self.connections, self._idle_timeout_us, self._enqueue)
         replies.on_reply = self._on_reply
 
     def serve_forever(self) -> None:
-        """Serve until `shutdown` is called from another thread; then the address is free again."""
+        """Serve until `shutdown` is called from another thread, then release the address."""
         with self._listener:
             try:
-                # Bound: none, it is the life of the thread.
+                # Bound: none, it runs until `shutdown`.
                 while not self._stopping:
-                    self._turn()
+                    self._run_once()
             finally:
-                self._end()
+                self._close()
 
     def shutdown(self) -> None:
-        """Let `serve_forever` return."""
+        """Make `serve_forever` return."""
         self._stopping = True
-        self._resting.wake()
+        self._selector_loop.wake()
 
-    def _turn(self) -> None:
-        self._resting.turn(self._wait_s())
+    def _run_once(self) -> None:
+        self._selector_loop.run_once(self._max_wait_s())
         self._threads.add_threads()
         now_us = steady_us()
         self._replies.expire(now_us)
@@ -81,37 +81,37 @@
             log.debug("connection closed reason=slow client=%s", connection.host)
             self.connections.interrupt_if_waiting(connection)
 
-    def _wait_s(self) -> float:
-        """Seconds until the next turn at the latest."""
+    def _max_wait_s(self) -> float:
+        """Return the longest wait, in seconds, until the next iteration."""
         max_wait_s = CONGESTED_WAIT_S if self._threads.has_waiting() else MAX_WAIT_S
         deadline_us = self._replies.next_deadline_us()
         if deadline_us is None:
             return max_wait_s
         return min(max_wait_s, max(0, deadline_us - steady_us()) / SECOND_US)
 
-    def _end(self) -> None:
-        """Close all connections and wait for the threads."""
+    def _close(self) -> None:
+        """Close all connections and wait for the threads to end."""
         self._threads.stop()
         for connection in self.connections.all():
             self.connections.close(connection)
         self._threads.join()
-        self._resting.close()
+        self._selector_loop.close()
 
     def _enqueue(self, connection: Connection) -> None:
-        if self.connections.move(connection, ConnectionState.QUEUED):
+        if self.connections.set_state(connection, ConnectionState.QUEUED):
             self._threads.submit(connection)
 
     def _on_reply(self, connection: Connection, reply: Reply | None) -> None:
-        """Have a request answered; in the thread of the actor, or of the loop when there was no reply in time."""
+        """Queue a request to be answered; called by the actor's thread, or by the loop if the reply timed out."""
         connection.reply = reply
         self._enqueue(connection)
 
     def _serve(self, connection: Connection) -> None:
-        """In a request thread: read a request, or answer the one whose reply is there.
+        """Read a request, or answer the one whose reply has arrived; called by a request thread.
 
-        What fails costs this connection and nothing else.
+        An exception closes only this connection.
         """
-        if not self.connections.move(connection, ConnectionState.SERVING):
+        if not self.connections.set_state(connection, ConnectionState.SERVING):
             return
         connection.deadline_us = steady_us() + self._idle_timeout_us
         try:
@@ -123,7 +123,7 @@
             log.debug("connection closed reason=%s client=%s", error, connection.host)
             self.connections.close_served(connection)
         except Exception:
-            log.exception("while serving %s", connection.host)
+            log.exception("error while serving %s", connection.host)
             self.connections.close_served(connection)
 
     def _read_request(self, connection: Connection) -> None:
@@ -137,14 +137,14 @@
             self._ask_actor(connection, handler)
 
     def _ask_actor(self, connection: Connection, handler: RequestHandler) -> None:
-        """Ask, and leave the connection to whoever has the reply; where the inbox is full, answer 503."""
+        """Post the request to the actor; the connection then belongs to its reply. Answer 503 if the inbox is full."""
         assert handler.actor_request is not None
         connection.handler = handler
-        if not self.connections.move(connection, ConnectionState.AWAITING_REPLY):
+        if not self.connections.set_state(connection, ConnectionState.AWAITING_REPLY):
             self.connections.close_served(connection)
-        elif not self._replies.ask(connection, *handler.actor_request):
+        elif not self._replies.submit(connection, *handler.actor_request):
             connection.reply = None
-            if self.connections.move(connection, ConnectionState.SERVING):
+            if self.connections.set_state(connection, ConnectionState.SERVING):
                 self._answer(connection, handler)
 
     def _answer(self, connection: Connection, handler: RequestHandler) -> None:
@@ -153,17 +153,17 @@
         self._finish(connection, handler)
 
     def _finish(self, connection: Connection, handler: RequestHandler) -> None:
-        """After an answer: close, serve what was sent behind the request, or rest."""
+        """After an answer, close the connection, queue it for a pipelined request, or make it idle."""
         if handler.close_connection:
             self.connections.close_served(connection)
             return
         if connection.reader is not None and connection.reader.has_buffered_data():
-            if self.connections.move(connection, ConnectionState.QUEUED):
+            if self.connections.set_state(connection, ConnectionState.QUEUED):
                 self._threads.submit(connection)
                 return
         else:
-            connection.reader = None  # its buffer is larger than all else of a connection
-            if self.connections.move(connection, ConnectionState.RESTING):
-                self._resting.rest(connection)
+            connection.reader = None  # frees its buffer, the largest part of a connection
+            if self.connections.set_state(connection, ConnectionState.IDLE):
+                self._selector_loop.add(connection)
                 return
         self.connections.close_served(connection)
--- a/quinceslip/transport/request_handler.py
+++ b/quinceslip/transport/request_handler.py
@@ -1,4 +1,4 @@
-"""One HTTP request of a user, a worker or a health check: read, answered or passed to the actor."""
+"""Reads an HTTP request of a user, a worker or a health check, and answers it or passes it to the actor."""
 
 import logging
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 log = logging.getLogger(__name__)
 
 SECOND_US = 1_000_000
-#: how long the actor may take for its reply; then the answer is 503
+#: time limits for the actor's reply; after that the answer is 503
 USER_REPLY_TIMEOUT_S = 4.5
 HEARTBEAT_REPLY_TIMEOUT_S = 3.0
 READY_REPLY_TIMEOUT_S = 0.9
@@ -29,14 +29,14 @@
 
 
 class ActorRequest(NamedTuple):
-    """What a handler wants to ask the actor."""
+    """A request for the actor, to be posted after the handler returns."""
 
-    make_message: Callable[[int], Any]  # given the number of the request
+    make_message: Callable[[int], Any]  # takes the request number
     timeout_us: int
 
 
 class RequestHandler(BaseHTTPRequestHandler):
-    """Reads one request and answers it, or leaves it to the actor: then `answer` is called with the reply."""
+    """Reads one request and answers it, or sets `actor_request`; then `answer` is called with the actor's reply."""
 
     protocol_version = "HTTP/1.1"
     server_version = "quinceslip"
@@ -44,7 +44,7 @@
     raw_requestline: bytes
 
     def __init__(self, connection: Connection, reader: RequestReader, api: "ApiServer") -> None:
-        # Not the base class's, which would serve the whole connection at once.
+        # Doesn't call the base class, which would serve the whole connection at once.
         self.api = api
         self.client_connection = connection
         self.client_address = connection.address
@@ -54,14 +54,14 @@
         self.actor_request: ActorRequest | None = None
 
     def answer(self, reply: Reply | None) -> None:
-        """Write the answer that the actor gave; None where it gave none in time."""
+        """Send the actor's reply, or 503 for None (the reply timed out)."""
         if reply is None:
             self._send(503, {"error": "busy"}, {"Retry-After": "1"})
         else:
             self._send(reply.status, reply.body, reply.headers)
 
     def log_message(self, format: str, *args: Any) -> None:
-        """For `http.server`: what it has to say is of use for debugging only."""
+        """Log the messages of `http.server` at debug level."""
         log.debug("http.server client=%s message=%r", self.client_address[0], format % args)
 
     def _send(self, status: int, body: Any = None, headers: dict[str, str] | None = None) -> None:
@@ -78,13 +78,13 @@
         self.wfile.write("\r\n".join(lines).encode() + b"\r\n\r\n" + payload)
 
     def send_error(self, code: int, message: str | None = None, explain: str | None = None) -> None:
-        """Answer with an error and close the connection: the next request's first byte may be unknown."""
+        """Answer with an error and close the connection, since the start of the next request may be unknown."""
         self.close_connection = True
         self.command = getattr(self, "command", None) or "GET"
         self._send(int(code), {"error": message or "bad request"})
 
-    def _body(self) -> bytes | None:
-        """The body; None after an error was answered, or where the client ends. No body over the limit is read."""
+    def _read_body(self) -> bytes | None:
+        """Read the body, up to the limit; returns None after an error answer or if the client closed the connection."""
         if self.headers.get("Transfer-Encoding"):
             self.send_error(411, "a length is needed")
             return None
@@ -102,7 +102,7 @@
         return data
 
     def parse_request(self) -> bool:
-        """`http.server`'s, with a reader of its own for the header lines (`transport/headers.py`)."""
+        """Parse a request like `http.server`, but with the header parser of `transport/headers.py`."""
         self.command, self.close_connection = "", True
         self.requestline = self.raw_requestline.decode("latin-1").rstrip("\r\n")
         words = self.requestline.split()
@@ -114,94 +114,94 @@
         if self.path.startswith("//"):
             self.path = "/" + self.path.lstrip("/")
         try:
-            found = read_headers(self.rfile)
+            headers = read_headers(self.rfile)
         except HeaderError as error:
             self.send_error(error.status, str(error))
             return False
-        self.headers = found  # type: ignore[assignment]
-        connection = (found.get("connection") or "").lower()
+        self.headers = headers  # type: ignore[assignment]
+        connection = (headers.get("connection") or "").lower()
         self.close_connection = connection == "close" or (
             self.request_version == "HTTP/1.0" and connection != "keep-alive"
         )
-        if (found.get("expect") or "").lower() == "100-continue" and self.request_version != "HTTP/1.0":
+        if (headers.get("expect") or "").lower() == "100-continue" and self.request_version != "HTTP/1.0":
             self.wfile.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         return True
 
-    def _serve(self) -> None:
-        """Read the body and answer by the path, or leave the request to the actor."""
-        body = self._body()
+    def _dispatch(self) -> None:
+        """Read the body and call the handler of the path."""
+        body = self._read_body()
         if body is None:
             return
         self.api.connections.mark_active(self.client_connection)
         path = self.path.partition("?")[0]
-        serve_path = self._BY_PATH.get(path)
-        if serve_path is not None:
-            serve_path(self, body)
+        handle_path = self._HANDLERS_BY_PATH.get(path)
+        if handle_path is not None:
+            handle_path(self, body)
         elif path.startswith(m.PATH_JOBS + "/"):
             self._poll_or_cancel(path.removeprefix(m.PATH_JOBS + "/"))
-        elif path in self.api.questions:
-            self._ask_subsystem(path)
+        elif path in self.api.subsystem_paths:
+            self._query_subsystem(path)
         else:
             self._send(404, {"error": "no such path"})
 
-    def _ask_subsystem(self, path: str) -> None:
-        if self._allow("GET"):
+    def _query_subsystem(self, path: str) -> None:
+        if self._check_method("GET"):
             after = parse_qs(self.path.partition("?")[2]).get("after", [""])[0]
-            self._ask(lambda n: SubsystemQuery(n, path[1:], after), USER_REPLY_TIMEOUT_S)
+            self._defer_to_actor(lambda n: SubsystemQuery(n, path[1:], after), USER_REPLY_TIMEOUT_S)
 
-    def _ready(self, _body: bytes) -> None:
-        if self._allow("GET"):
-            self._ask(lambda n: UserRequest(n, "ready"), READY_REPLY_TIMEOUT_S)
+    def _handle_ready(self, _body: bytes) -> None:
+        if self._check_method("GET"):
+            self._defer_to_actor(lambda n: UserRequest(n, "ready"), READY_REPLY_TIMEOUT_S)
 
     def _poll_or_cancel(self, path: str) -> None:
         job_id = path.removesuffix(m.CANCEL_END)
         verb, method = ("poll", "GET") if job_id == path else ("cancel", "POST")
         if not job_id or "/" in job_id:
             self._send(404, {"error": "no such path"})
-        elif self._allow(method):
-            self._ask(lambda n: UserRequest(n, verb, job_id), USER_REPLY_TIMEOUT_S)
+        elif self._check_method(method):
+            self._defer_to_actor(lambda n: UserRequest(n, verb, job_id), USER_REPLY_TIMEOUT_S)
 
-    def _allow(self, method: str) -> bool:
+    def _check_method(self, method: str) -> bool:
         if self.command == method or (method == "GET" and self.command == "HEAD"):
             return True
         self._send(405, {"error": "method not allowed"}, {"Allow": method})
         return False
 
-    def _ask(self, make_message: Callable[[int], Any], timeout_s: float) -> None:
-        """Leave the request to the actor; asked once this handler has returned, since its reply may come at once."""
+    def _defer_to_actor(self, make_message: Callable[[int], Any], timeout_s: float) -> None:
+        """Leave the request to the actor. It is posted after this handler returns, since the reply may come at once."""
         self.actor_request = ActorRequest(make_message, int(timeout_s * SECOND_US))
 
-    def _submit(self, body: bytes) -> None:
-        if not self._allow("POST"):
+    def _handle_submission(self, body: bytes) -> None:
+        if not self._check_method("POST"):
             return
         spec = m.read_submission(body)
         if isinstance(spec, m.Malformed):
             if spec.job_id:
-                # Guard: a repeat of an accepted job gets its state, however it is written; 400 would be for ever.
-                self._ask(lambda n: UserRequest(n, "malformed", spec.job_id, spec), USER_REPLY_TIMEOUT_S)
+                # Guard: resubmitting an accepted job returns its state, even if malformed now; a 400 would be final.
+                self._defer_to_actor(lambda n: UserRequest(n, "malformed", spec.job_id, spec), USER_REPLY_TIMEOUT_S)
             else:
                 self._send(400, {"error": spec.why})
             return
-        self._ask(lambda n: UserRequest(n, "submit", spec.job_id, spec), USER_REPLY_TIMEOUT_S)
+        self._defer_to_actor(lambda n: UserRequest(n, "submit", spec.job_id, spec), USER_REPLY_TIMEOUT_S)
 
-    def _heartbeat(self, body: bytes) -> None:
-        if not self._allow("POST"):
+    def _handle_heartbeat(self, body: bytes) -> None:
+        if not self._check_method("POST"):
             return
         try:
             heartbeat = _heartbeat_decoder.decode(body)
-            split_address(heartbeat.endpoint)  # it is going to be asked there
+            split_address(heartbeat.endpoint)  # must be valid: commands and probes are sent there
         except (msgspec.DecodeError, ValueError, RecursionError) as error:
             log.error("malformed heartbeat from %s: %s", self.client_address[0], error)
             self._send(400, {"error": str(error)})
             return
         self.api.connections.mark_worker(self.client_connection)
-        self._ask(lambda n: HeartbeatReceived(n, heartbeat), HEARTBEAT_REPLY_TIMEOUT_S)
+        self._defer_to_actor(lambda n: HeartbeatReceived(n, heartbeat), HEARTBEAT_REPLY_TIMEOUT_S)
 
-    _BY_PATH: ClassVar[dict[str, Callable[["RequestHandler", bytes], None]]] = {
-        m.PATH_HEARTBEAT: _heartbeat,
-        m.PATH_READY: _ready,
-        m.PATH_JOBS: _submit,
+    _HANDLERS_BY_PATH: ClassVar[dict[str, Callable[["RequestHandler", bytes], None]]] = {
+        m.PATH_HEARTBEAT: _handle_heartbeat,
+        m.PATH_READY: _handle_ready,
+        m.PATH_JOBS: _handle_submission,
     }
 
-    # Names that `http.server` looks for.
-    do_GET = do_POST = do_PUT = do_DELETE = do_HEAD = do_PATCH = do_OPTIONS = _serve  # noqa: N815
+    # Method names that `http.server` looks up.
+    do_GET = do_POST = do_PUT = do_DELETE = do_HEAD = do_PATCH = do_OPTIONS = _dispatch  # noqa: N815
