--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -251,8 +251,8 @@
             process.wait(10)
             log.close()
         said = (Path(folder) / "log").read_text(encoding="utf-8")
-        assert said.count("the actor stands still: it has worked for ") == 1, said[-2000:]
-        assert said.count("the actor stands still: it waits at one place") == 1, said[-2000:]
+        assert said.count("actor stalled: it has worked for ") == 1, said[-2000:]
+        assert said.count("actor stalled: it waits at one place") == 1, said[-2000:]
         assert "(levels), at" in said and ", in fair_levels" in said and "most recent call first" in said
         assert said.count("the levels rest") == 1 and said.count("the levels are solved again") == 1, said[-2000:]
 
