--- a/quinceslip/transport/actor.py
+++ b/quinceslip/transport/actor.py
@@ -34,8 +34,8 @@
         self.max_inbox = max_inbox
         # Only requests are limited (see `post`): the actor's own calls are bounded, and each yields only a few answers.
         self.inbox: queue.SimpleQueue[Any] = queue.SimpleQueue()
-        self.turns = 0  # messages handled; while idle, one for each tick
-        self.current_message = ""  # type of the message being handled, else of the last one
+        self.messages_handled = 0  # while idle, one for each tick
+        self.current_message_type = ""  # of the message being handled, else of the last one
         self.thread = threading.Thread(target=self._run, name="actor", daemon=True)
         self._next_tick_us = 0
         self._batch_messages = 0  # handled since the last `BatchEnd`
@@ -80,8 +80,8 @@
     def _process(self, message: Any) -> None:
         """Handle one message and carry out its effects; exceptions are logged, and the actor continues."""
         self._batch_messages = 0 if isinstance(message, BatchEnd) else self._batch_messages + 1
-        self.turns += 1
-        self.current_message = type(message).__name__
+        self.messages_handled += 1
+        self.current_message_type = type(message).__name__
         try:
             effects = self.handle(message, steady_us())
         except Exception:
--- a/quinceslip/transport/capacity.py
+++ b/quinceslip/transport/capacity.py
@@ -4,7 +4,7 @@
 from quinceslip.transport.request_threads import MAX_REQUEST_THREADS
 
 #: threads for commands to workers
-WORKER_THREADS = 12
+COMMAND_THREADS = 12
 #: sockets for each probe thread; a probe of a silent machine occupies its thread for a second
 SOCKETS_PER_PROBE_THREAD = 64
 #: with the request threads and the 35 other threads of one of three controllers, far below the limit of 2,000 threads
@@ -49,7 +49,7 @@
 
 def probe_threads(limits: Limits) -> int:
     """Number of probe threads: at least as many as for commands, more if there are sockets for a large site."""
-    return max(WORKER_THREADS, min(MAX_PROBE_THREADS, limits.max_sockets // SOCKETS_PER_PROBE_THREAD))
+    return max(COMMAND_THREADS, min(MAX_PROBE_THREADS, limits.max_sockets // SOCKETS_PER_PROBE_THREAD))
 
 
 def max_idle_command_sockets(limits: Limits) -> int:
--- a/quinceslip/transport/clients.py
+++ b/quinceslip/transport/clients.py
@@ -115,7 +115,7 @@
         return UNKNOWN, b""
 
 
-class Budget:
+class RateLimiter:
     """Token buckets for requests and writes that keep this controller within its share of a rate limit.
 
     The share adapts: a rejection shows that the other controllers need theirs, so it shrinks, down to an equal
@@ -134,10 +134,10 @@
         self.share = min(1.0, 2.0 / controller_count)
         self.tokens = [rate * self.share, write_rate * self.share]
         self.last_refill_us = steady_us()
-        self.cut_us = 0  # time of the last cut of the share
+        self.last_cut_us = 0  # time of the last cut of the share
         self.lock = threading.Lock()
 
-    def take(self, writes: int) -> float:
+    def acquire(self, writes: int) -> float:
         """Take the tokens of a request with `writes` writes and return 0.
 
         If there are too few, take none and return the seconds to wait before the next try.
@@ -153,12 +153,12 @@
                 self.tokens = [tokens - cost for tokens, cost in zip(self.tokens, costs, strict=True)]
             return wait_s
 
-    def refused(self) -> None:
+    def record_rejection(self) -> None:
         """Record that the service answered 429, and cut the share."""
         with self.lock:
             now_us = steady_us()
-            if now_us > self.cut_us + self.MIN_CUT_INTERVAL_US:
-                self.cut_us = now_us
+            if now_us > self.last_cut_us + self.MIN_CUT_INTERVAL_US:
+                self.last_cut_us = now_us
                 self.share = max(self.min_share, self.share * self.SHARE_CUT_FACTOR)
 
     def _refill(self) -> None:
@@ -221,17 +221,22 @@
         connection.close()
 
 
-class Pool:
+class ClientPool:
     """Thread pool that sends calls, the most urgent first, and posts their results."""
 
-    #: longest sleep while the most urgent call waits for the budget; after it the most urgent call is chosen again
+    #: longest sleep while the most urgent call waits for the rate limiter; then the most urgent call is chosen again
     MAX_WAIT_S = 0.05
 
     def __init__(
-        self, name: str, threads: int, post: Callable[[Any], bool], budget: Budget | None = None, max_idle: int = 64
+        self,
+        name: str,
+        threads: int,
+        post: Callable[[Any], bool],
+        rate_limiter: RateLimiter | None = None,
+        max_idle: int = 64,
     ) -> None:
         self._post = post
-        self._budget = budget
+        self._rate_limiter = rate_limiter
         self._idle = IdleConnections(max_idle)
         self._calls: queue.PriorityQueue[QueuedCall] = queue.PriorityQueue()
         self._sequence_numbers = itertools.count()
@@ -252,7 +257,7 @@
     def _run(self) -> None:
         # Bound: none, it runs as long as the thread.
         while True:
-            queued = self._next()
+            queued = self._next_call()
             try:
                 result = self._carry_out(queued)
             except Exception:
@@ -261,19 +266,19 @@
             if result is not None:
                 self._post(result)
 
-    def _next(self) -> QueuedCall:
-        """Return the most urgent call as soon as the budget allows it.
+    def _next_call(self) -> QueuedCall:
+        """Return the most urgent call as soon as the rate limiter allows it.
 
         A more urgent call may arrive during the wait, so the choice is made again after each sleep.
         """
-        if self._budget is None:
+        if self._rate_limiter is None:
             return self._calls.get()
         with self._selection_lock:
-            # Bound: the deadline of the call, after which it is returned regardless of the budget.
+            # Bound: the deadline of the call, after which it is returned regardless of the rate limiter.
             while True:
                 queued = self._calls.get()
                 expired = steady_us() >= queued.deadline_us
-                wait_s = 0.0 if expired else self._budget.take(queued.call.writes)
+                wait_s = 0.0 if expired else self._rate_limiter.acquire(queued.call.writes)
                 if wait_s <= 0:
                     return queued
                 self._calls.put(queued)
@@ -295,8 +300,8 @@
 
     def _retry(self, queued: QueuedCall) -> bool:
         """Queue a rate-limited call again after a delay; returns False if too little of its time is left."""
-        if self._budget:
-            self._budget.refused()
+        if self._rate_limiter:
+            self._rate_limiter.record_rejection()
         if steady_us() + MIN_TIME_TO_RETRY_US >= queued.deadline_us:
             return False
         time.sleep(RETRY_DELAY_S)
--- a/quinceslip/transport/replies.py
+++ b/quinceslip/transport/replies.py
@@ -45,7 +45,7 @@
                 self._remove(number)
         return accepted
 
-    def give(self, reply: Reply) -> None:
+    def deliver(self, reply: Reply) -> None:
         """Pass a reply to `on_reply`; it is dropped if its request no longer waits."""
         connection = self._remove(reply.request)
         if connection is not None:
--- a/quinceslip/transport/watchdog.py
+++ b/quinceslip/transport/watchdog.py
@@ -23,7 +23,7 @@
 log = logging.getLogger(__name__)
 
 #: exit status after a stall of the actor (EX_TEMPFAIL: to be restarted)
-STATUS = 75
+STALL_EXIT_STATUS = 75
 #: longest wait for a log call to return
 LOG_TIMEOUT_S = 0.5
 
@@ -100,11 +100,11 @@
             self._log(lambda: log.error("not exiting for %.0f s: the last exit is too recent", wait_us / 1e6))
         elif self._progress() == progress_count:
             self._log(
-                lambda: log.error("exiting with status %d to be restarted", STATUS),
+                lambda: log.error("exiting with status %d to be restarted", STALL_EXIT_STATUS),
                 lambda: faulthandler.dump_traceback(all_threads=True),
                 sys.stderr.flush,
             )
-            os._exit(STATUS)
+            os._exit(STALL_EXIT_STATUS)
 
     def _log(self, *calls: Callable[[], object]) -> None:
         """Run log calls without blocking for long: the actor may have stalled in a log call, holding the log's lock."""
