--- a/quinceslip/models/__init__.py
+++ b/quinceslip/models/__init__.py
@@ -1,1 +1,1 @@
-"""Models that explore protocols of coordination with its own code (`quinceslip model`); no controller imports them."""
+"""Model checkers that run the coordination code itself (`quinceslip model`); controllers never import them."""
--- a/quinceslip/models/gap_leader.py
+++ b/quinceslip/models/gap_leader.py
@@ -1,4 +1,4 @@
-"""What the service's own code lets a leader do and say, given how old its contacts with the store are."""
+"""The leader of the gap model: the service's own code decides, given the age of the leader's contacts with the store."""
 
 from types import SimpleNamespace
 from typing import Any, NamedTuple
@@ -17,15 +17,15 @@
 from quinceslip.protocol.settings import Settings
 from quinceslip.storage.records import JobRecord
 
-#: the watch is a proof of contact too
+#: an answered watch counts as contact with the store, as a renewal does
 CHECK_WATCH = "watch"
-#: a proof of contact counts from its sending
+#: the age of a contact counts from the sending of the request, not from its answer
 CHECK_SENT = "sent"
-#: the grace period leaves margins
+#: the grace period is short enough to leave safety margins
 CHECK_GRACE = "grace"
-#: workers are sent stops within the grace period
+#: workers are sent stop commands within the grace period
 CHECK_HALTS = "halts"
-#: the safety checks that `explore(without=...)` leaves out, one at a time
+#: the safety checks that `explore(without=...)` can disable, one at a time
 ALL_CHECKS = frozenset({CHECK_WATCH, CHECK_SENT, CHECK_GRACE, CHECK_HALTS})
 
 SHARD = 0
@@ -34,7 +34,7 @@
 
 
 class _AnswerCase(NamedTuple):
-    """All that the answer to a heartbeat depends on."""
+    """The inputs that determine the answer to a heartbeat."""
 
     may_launch: bool
     cancellation_known: bool
@@ -42,21 +42,21 @@
 
 
 class GapLeader:
-    """The leader of the task, under settings with a lease of the workers and a `cancel_s` of so many units."""
+    """The leader of the task, for a given worker lease and `cancel_s`, both in units of time."""
 
     def __init__(self, unit_us: int, lease: int, cancel: int, checks: frozenset[str]) -> None:
-        """A leader with only the safety checks `checks`."""
+        """Create a leader with only the safety checks `checks` enabled."""
         self.unit_us, self.checks = unit_us, checks
         self.settings = _settings(unit_us / SECOND, lease, cancel)
         self.timing = Timing(self.settings)
         if CHECK_GRACE not in checks:
             self.timing.grace_us += 2 * (self.timing.margin_us + unit_us)
-        #: units after which a contact proves nothing any more
+        #: age, in units, from which a contact with the store no longer permits anything
         self.max_age = (self.timing.leader_lease_us + self.timing.grace_us) // unit_us + 2
         self._stops_task: dict[_AnswerCase, bool] = {}
 
     def election(self, state: GapState) -> LeaderElection:
-        """The leadership whose contacts are as old as in `state`."""
+        """An election whose contacts with the store are as old as in `state`."""
         now_us = 2 * self.max_age * self.unit_us
         job = JobRecord(m.CANCELLED if state.cancellation_known else m.QUEUED, 1)
         ctx: Any = SimpleNamespace(
@@ -76,15 +76,15 @@
         return election
 
     def answer_stops_task(self, election: LeaderElection, state: GapState) -> bool:
-        """Whether the answer to a heartbeat of now ends the task, or its launch that is in flight."""
+        """Whether the answer to a heartbeat received now stops the task, or its launch in flight."""
         case = _AnswerCase(election.may_launch(), state.cancellation_known, state.running)
         if case not in self._stops_task:
-            answered = case.may_launch or CHECK_HALTS in self.checks
-            commands = self._commands(election, case) if answered else []
+            sends_commands = case.may_launch or CHECK_HALTS in self.checks
+            commands = self._commands_for(election, case) if sends_commands else []
             self._stops_task[case] = any(command.op == "halt" for command in commands)
         return self._stops_task[case]
 
-    def _commands(self, election: LeaderElection, case: _AnswerCase) -> list[m.Command]:
+    def _commands_for(self, election: LeaderElection, case: _AnswerCase) -> list[m.Command]:
         reconciler = Reconciler(election.ctx, election, SHARD, TERM)
         worker = Worker(WORKER, None, "z", False, endpoint=WORKER, fencing_token=TERM)
         reconciler.workers[WORKER] = worker
--- a/quinceslip/models/job.py
+++ b/quinceslip/models/job.py
@@ -1,4 +1,4 @@
-"""The job whose tasks the models place."""
+"""The job whose tasks the models run, and the names of its tasks."""
 
 from quinceslip.protocol import messages as m
 
@@ -31,5 +31,5 @@
 
 
 def task_index(name: str) -> int:
-    """The index of a task in its job, from its name on the wire."""
+    """The index of a task within its job, parsed from its name on the wire."""
     return int(name.rpartition("/")[2])
