--- a/quinceslip/models/gap_leader.py
+++ b/quinceslip/models/gap_leader.py
@@ -1,4 +1,4 @@
-"""The leader of the gap model: the service's own code decides, given the age of the leader's contacts with the store."""
+"""The leader of the gap model: the service's own code, given the age of the leader's contacts with the store."""
 
 from types import SimpleNamespace
 from typing import Any, NamedTuple
--- a/quinceslip/models/takeover/__init__.py
+++ b/quinceslip/models/takeover/__init__.py
@@ -1,18 +1,18 @@
-"""Explores exhaustively, to a stated depth, what the leader of one shard and its workers can do to each other.
+"""Model checker for the failover of one shard: its leaders and workers, explored exhaustively to a given depth.
 
-Real: `Reconciler` (heartbeats, inheritance, ends of attempts) and `CommandSender` (answers to heartbeats, direct
-commands). Modelled: workers that keep to the protocol's fencing tokens, epochs and leases (`workers`), a network that
-delays heartbeats and direct commands without limit and loses answers (`network`), leaders that crash and are followed
-by another one under a higher term (`leader`), and a key-value store that keeps the results of tasks (`store`): it
-applies writes that were never answered at any time, if their conditions (the versions of the shard's and of the job's
-record) still hold. Placement is free: a pending task may go to any worker that has shown the term.
+Real code: `Reconciler` (heartbeats, inheritance, ends of attempts) and `CommandSender` (answers to heartbeats, direct
+commands). Modelled: workers that follow the protocol's rules for fencing tokens, epochs and leases (`workers`), a
+network that delays heartbeats and direct commands without limit and loses answers (`network`), leaders that crash and
+are succeeded under a higher term (`leader`), and a key-value store that keeps the results of tasks (`store`): it may
+apply an unanswered write at any later time, if its conditions (the versions of the shard's and the job's records)
+still hold. Placement is unrestricted: a pending task may go to any worker that has shown the term.
 
-Checked in every state: no task runs on two workers, none is started after its result was recorded, no result is
-dropped by its worker before that, and every task can still be completed from there once no more faults occur.
+Checked in every state: no task runs on two workers, no task starts after its result was recorded, no worker drops a
+result before it was recorded, and every task can still be completed once no more faults occur.
 
-States are rebuilt by playing their history from the start, so that pending callbacks are as real as the rest. Terms,
-attempts and sequence numbers count by their order only (`state_key`), so histories that differ in nothing else lead
-to one state.
+States are rebuilt by replaying their history from the initial state, so that pending callbacks are real closures, too.
+Terms, attempt numbers and sequence numbers are compared by order only (`state_key`), so histories that differ in
+nothing else lead to the same state.
 """
 
 from quinceslip.models.takeover.search import explore
--- a/quinceslip/models/takeover/enabled_steps.py
+++ b/quinceslip/models/takeover/enabled_steps.py
@@ -1,4 +1,4 @@
-"""Which steps may happen next in a state, in the order in which the search tries them."""
+"""The steps enabled in a state, in the order in which the search tries them."""
 
 from collections.abc import Iterator
 
@@ -11,12 +11,12 @@
 from quinceslip.models.takeover.world import World
 from quinceslip.protocol import messages as m
 
-#: unanswered writes in flight at the same time
-MAX_OPEN_WRITES = 2
+#: maximum number of unanswered writes in flight
+MAX_PENDING_WRITES = 2
 
 
 def enabled_steps(world: World) -> Iterator[Step]:
-    """Every step that may happen next."""
+    """Yield every step enabled in the present state."""
     yield from _task_steps(world)
     yield from _store_steps(world)
     yield Step(StepKind.CRASH)
@@ -28,7 +28,7 @@
         else:
             yield from _lost_machine_steps(world, number, machine)
     if world.leader.reconciler.addresses.open:
-        yield Step(StepKind.LISTED)
+        yield Step(StepKind.MACHINES_LISTED)
     yield from _network_steps(world)
 
 
@@ -44,8 +44,8 @@
 
 
 def _may_place(worker: Worker, task: str) -> bool:
-    usable = worker.fenced and not worker.lease_expired
-    return usable and task not in worker.attempts and task not in worker.reported_tasks
+    is_usable = worker.fenced and not worker.lease_expired
+    return is_usable and task not in worker.attempts and task not in worker.reported_tasks
 
 
 def _store_steps(world: World) -> Iterator[Step]:
@@ -53,11 +53,11 @@
     if leader.requested_term:
         yield Step(StepKind.RAISE_TERM)
     if world.partition.unrecorded_done:
-        if leader.sees_newest_record:
+        if leader.sees_latest_record:
             yield Step(StepKind.RECORD)
-        if len(writes) < MAX_OPEN_WRITES:
+        if len(writes) < MAX_PENDING_WRITES:
             yield Step(StepKind.WRITE_UNANSWERED)
-    if not leader.sees_newest_record:
+    if not leader.sees_latest_record:
         yield Step(StepKind.WATCH)
     for position in range(len(writes)):
         yield Step(StepKind.WRITE_APPLIED, position)
@@ -68,7 +68,7 @@
     yield Step(StepKind.HEARTBEAT, number)
     yield Step(StepKind.ANSWER_LOST, number)
     if machine.name in world.leader.reconciler.addresses.open:
-        yield Step(StepKind.ADDRESS_ASKED, number)
+        yield Step(StepKind.ADDRESS_PROBED, number)
     if worker is not None:
         yield from _probe_steps(number, worker)
     if not world.network.heartbeats:
@@ -78,7 +78,7 @@
     if worker is not None:
         yield from _expiry_steps(world, number, machine, worker)
     if sum(not other.gone and not other.is_foreign for other in world.workers) > 1:
-        yield Step(StepKind.MACHINE_GONE, number)
+        yield Step(StepKind.MACHINE_LOST, number)
         if not any(other.is_foreign for other in world.workers):
             yield Step(StepKind.ADDRESS_REUSED, number)
     yield from _running_task_steps(number, machine)
@@ -92,18 +92,18 @@
 
 
 def _foreign_steps(world: World, number: int, machine: ModelWorker) -> Iterator[Step]:
-    """Steps of a machine that has the address of a lost one; its own leader renews its lease."""
+    """Steps of a machine of another shard, which has the address of a lost one; its own leader renews its lease."""
     if machine.fencing_token <= world.store.term:
-        yield Step(StepKind.OTHER_TERM, number)
+        yield Step(StepKind.FOREIGN_TERM_RAISED, number)
     yield from _running_task_steps(number, machine)
 
 
 def _lost_machine_steps(world: World, number: int, machine: ModelWorker) -> Iterator[Step]:
     reconciler = world.leader.reconciler
     if machine.name in reconciler.workers:
-        yield Step(StepKind.GONE_SEEN, number)
+        yield Step(StepKind.LOSS_NOTICED, number)
     if machine.name in reconciler.addresses.open:
-        yield Step(StepKind.ADDRESS_ASKED, number)
+        yield Step(StepKind.ADDRESS_PROBED, number)
 
 
 def _probe_steps(number: int, worker: Worker) -> Iterator[Step]:
@@ -114,13 +114,13 @@
 
 
 def _expiry_steps(world: World, number: int, machine: ModelWorker, worker: Worker) -> Iterator[Step]:
-    # An epoch that has been heard of has its full lease from then on.
+    # A lease runs in full from the moment that the leader learns of the epoch.
     if machine.lease_lapsed and not worker.lease_expired and worker.epoch != machine.epoch:
-        yield Step(StepKind.LEASE_EXPIRY_SEEN, number)
-    # As `Reconciler.lease_expired_unheard`, whose clock the newer epoch of the worker stands for here.
+        yield Step(StepKind.LEASE_EXPIRY_NOTICED, number)
+    # As in `Reconciler.lease_expired_unheard`; here the worker's newer epoch takes the place of the clock.
     unreconciled = machine.name in world.leader.reconciler.unreconciled
-    if worker.unanswered and unreconciled and machine.in_newer_epoch():
-        yield Step(StepKind.EXPIRED_UNHEARD, number)
+    if worker.unanswered and unreconciled and machine.epoch_has_advanced():
+        yield Step(StepKind.UNANSWERED_EXPIRY_NOTICED, number)
 
 
 def _network_steps(world: World) -> Iterator[Step]:
--- a/quinceslip/models/takeover/leader.py
+++ b/quinceslip/models/takeover/leader.py
@@ -1,4 +1,4 @@
-"""The leader under test: the service's own reconciler and command sender, as one leadership of the shard."""
+"""The leader under test: the service's own reconciler and command sender, for one leadership of the shard."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -14,31 +14,31 @@
 from quinceslip.protocol import messages as m
 from quinceslip.storage.records import JobRecord
 
-#: direct commands in flight at the same time
-MAX_OPEN_COMMANDS = 2
+#: maximum number of direct commands in flight
+MAX_COMMANDS_IN_FLIGHT = 2
 SHARD = 0
 
 
 class LeaderUnderTest:
-    """One leadership, from the failover that begins it to the crash that ends it."""
+    """One leadership of the shard, from a failover to the leader's crash."""
 
     def __init__(
-        self, store: ResultStore, network: Network, fleet: list[ModelWorker], tasks: int, guards: frozenset[str]
+        self, store: ResultStore, network: Network, machines: list[ModelWorker], tasks: int, guards: frozenset[str]
     ) -> None:
-        """Lead under the term of `store`, with all inherited tasks and workers unreconciled."""
+        """Lead under the term in `store`; all inherited tasks and workers are unreconciled."""
         self._store, self._network = store, network
-        self.requested_term = 0  # a higher term is to be claimed; 0: none
-        self.seen_revision = store.mod_revision  # of the job's record
+        self.requested_term = 0  # a higher term to be claimed; 0: none
+        self.seen_revision = store.mod_revision  # the latest known version of the job's record
         self.reconciler = Reconciler(self._context(tasks), self._election(), SHARD, store.term)
         self.reconciler.guards = guards
         self.partition = self._inherit_partition(tasks)
-        self._inherit_workers(fleet)
+        self._inherit_workers(machines)
         persistence: Any = SimpleNamespace(is_recorded=self._is_recorded)
         self.command_sender = CommandSender(self.reconciler, persistence, self.receive_heartbeat)
         self.reconciler.release_unreconciled()
 
     def _context(self, tasks: int) -> Any:
-        # The job itself is unfinished in the cache; completed tasks stand in its partition.
+        # In the cache the job itself is unfinished; its completed tasks are in the partition.
         record = JobRecord(m.QUEUED, tasks)
         cache = SimpleNamespace(job=lambda job_id: record)
         cloud = SimpleNamespace(list_lag_s=1.0)
@@ -67,8 +67,8 @@
         self.reconciler.partitions[JOB_ID] = partition
         return partition
 
-    def _inherit_workers(self, fleet: list[ModelWorker]) -> None:
-        for machine in fleet:
+    def _inherit_workers(self, machines: list[ModelWorker]) -> None:
+        for machine in machines:
             machine.leader_changed()
             if machine.name not in self._store.registered:
                 continue
@@ -76,28 +76,28 @@
             self.reconciler.workers[machine.name] = worker
             self.reconciler.inherit_worker(worker)
 
-    # Reading.
+    # Queries.
 
     def worker(self, machine: ModelWorker) -> Worker | None:
-        """What it knows of a worker; None if that is gone."""
+        """The leader's view of a worker; None if it knows the machine to be gone."""
         return self.reconciler.workers.get(machine.name)
 
     @property
     def completed(self) -> set[int]:
-        """Tasks that it knows to be done, recorded or not."""
+        """Tasks that the leader knows to be done, whether recorded or not."""
         return self.partition.done | self.partition.unrecorded_done
 
     @property
-    def sees_newest_record(self) -> bool:
-        """Whether it knows the job's record as it is."""
+    def sees_latest_record(self) -> bool:
+        """Whether the leader knows the latest version of the job's record."""
         return self.seen_revision == self._store.mod_revision
 
     # Events.
 
     def receive_heartbeat(self, heartbeat: m.WorkerHeartbeat, direct: bool = False) -> m.CommandReply | None:
-        """Take a heartbeat as `Shard` does; the answer, or None where it gets none.
+        """Handle a heartbeat as `Shard` does, and return the answer, or None if there is none.
 
-        `direct` says that it is the reply to a direct call.
+        `direct`: the heartbeat is the reply to a direct call.
         """
         reconciler = self.reconciler
         worker = reconciler.workers.get(heartbeat.worker)
@@ -122,7 +122,7 @@
         return reply
 
     def watch(self) -> None:
-        """Learn the job's record as it is, as in `JobPersistence.sync`."""
+        """Read the latest version of the job's record, as `JobPersistence.sync` does."""
         recorded, partition = self._store.recorded, self.partition
         self.seen_revision = self._store.mod_revision
         partition.done |= recorded
@@ -138,7 +138,7 @@
         self.reconciler.counter = 0
 
     def end_batch(self) -> None:
-        """Send direct commands, as at the end of a batch of messages."""
+        """Send direct commands, as the actor does at the end of a batch of messages."""
         self.reconciler.next_raise_us = 0
-        if len(self._network.commands) < MAX_OPEN_COMMANDS:
+        if len(self._network.commands) < MAX_COMMANDS_IN_FLIGHT:
             self.command_sender.send_direct()
--- a/quinceslip/models/takeover/network.py
+++ b/quinceslip/models/takeover/network.py
@@ -1,4 +1,4 @@
-"""Messages in flight between the leader and its workers: they take as long as the search likes."""
+"""Messages in flight between the leader and its workers; the search decides when they arrive."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,48 +12,48 @@
 
 @dataclass(slots=True)
 class CommandsInFlight:
-    """Direct commands: in flight until they are delivered, whether or not their sender still waits."""
+    """Direct commands; they stay in flight until delivered, even if the sender no longer waits for the answer."""
 
-    worker: int  # its place in the fleet; the machine with which the connection was made
+    machine_index: int  # in the fleet; the machine to which the connection was made
     body: m.DirectCommands
-    on_answer: OnAnswer | None  # None: the sender waits no longer
+    on_answer: OnAnswer | None  # None: the sender no longer waits
 
 
 @dataclass(slots=True)
 class DelayedHeartbeat:
-    """A heartbeat that has not arrived yet, or that may arrive once more."""
+    """A heartbeat that has not arrived yet, or that may arrive again."""
 
-    worker: int  # its place in the fleet
+    machine_index: int  # of the sender in the fleet
     heartbeat: m.WorkerHeartbeat
 
 
 class Network:
-    """All that is in flight."""
+    """All messages in flight."""
 
     def __init__(self) -> None:
-        """A network with nothing in flight."""
+        """Create a network with nothing in flight."""
         self.commands: list[CommandsInFlight] = []
         self.heartbeats: list[DelayedHeartbeat] = []
-        self._places: dict[str, int] = {}  # of machines that have the address of another one
+        self._reassigned: dict[str, int] = {}  # reused addresses -> index of the machine there
 
     def call(self, target: str, method: str, path: str, body: Any, on_answer: OnAnswer, timeout_us: int = 0) -> None:
-        """Take a direct call of the leader (`Context.call`).
+        """Accept a direct call of the leader (`Context.call`).
 
-        Probes are no calls here but steps of their own: "probe" is one that is answered, "unasked" one that is not.
+        Probes are ignored here, as they are steps of their own: "probe" if answered, "unasked" if not.
         """
         if method == "GET":
             return
-        worker = self._places.get(target, int(target[1:]))
-        self.commands.append(CommandsInFlight(worker, body, on_answer))
+        machine_index = self._reassigned.get(target, int(target[1:]))
+        self.commands.append(CommandsInFlight(machine_index, body, on_answer))
 
-    def address_reused(self, address: str, lost: int, place: int) -> None:
-        """Another machine has an address: what is sent there goes to it, also calls that have not been given up."""
-        self._places[address] = place
+    def address_reused(self, address: str, lost_index: int, new_index: int) -> None:
+        """Route messages for `address` to another machine, including calls whose sender still waits."""
+        self._reassigned[address] = new_index
         for commands in self.commands:
-            if commands.worker == lost and commands.on_answer is not None:
-                commands.worker = place
+            if commands.machine_index == lost_index and commands.on_answer is not None:
+                commands.machine_index = new_index
 
     def leader_crashed(self) -> None:
-        """Nobody waits any more for the answers to what is in flight."""
+        """Discard the callbacks of all commands in flight; their sender no longer waits."""
         for commands in self.commands:
             commands.on_answer = None
--- a/quinceslip/models/takeover/recovery.py
+++ b/quinceslip/models/takeover/recovery.py
@@ -1,35 +1,35 @@
-"""The liveness check: without further faults every task is completed."""
+"""The liveness check: in the absence of further faults every task completes."""
 
 from quinceslip.models.result import Breach, Step
 from quinceslip.models.takeover.enabled_steps import enabled_steps
 from quinceslip.models.takeover.steps import StepKind, perform
 from quinceslip.models.takeover.world import World
 
-#: rounds without faults in which everything must be done
+#: rounds without faults within which all tasks must complete
 MAX_RECOVERY_ROUNDS = 14
-#: progress that the leader and the workers make by themselves
+#: steps that the leader and the workers take without external events
 PROGRESS_KINDS = frozenset(
     {
         StepKind.RAISE_TERM,
         StepKind.WATCH,
         StepKind.RECORD,
         StepKind.TASK_DONE,
-        StepKind.GONE_SEEN,
-        StepKind.ADDRESS_ASKED,
-        StepKind.LISTED,
+        StepKind.LOSS_NOTICED,
+        StepKind.ADDRESS_PROBED,
+        StepKind.MACHINES_LISTED,
     }
 )
 
 
 def check_recovery(world: World) -> None:
-    """Play on without faults; raises Breach where a task is never completed. The world is used up."""
+    """Continue without faults, which modifies `world`; raises Breach if a task does not complete."""
     for _ in range(MAX_RECOVERY_ROUNDS):
         if _all_recorded(world):
             return
         _deliver_everything(world)
         _make_progress(world)
     if not _all_recorded(world):
-        raise Breach(f"only {sorted(world.store.recorded)} of {world.tasks} tasks can ever be done")
+        raise Breach(f"without further faults only tasks {sorted(world.store.recorded)} of {world.tasks} complete")
 
 
 def _all_recorded(world: World) -> bool:
@@ -37,14 +37,14 @@
 
 
 def _deliver_everything(world: World) -> None:
-    """What is in flight arrives, then a heartbeat of each worker."""
-    # Bound: what is in flight; an arrival sends no other heartbeat.
+    """Deliver all messages in flight, then a heartbeat of each worker."""
+    # Bound: the heartbeats in flight; an arrival sends no further heartbeat.
     while world.network.heartbeats:
         perform(world, Step(StepKind.HEARTBEAT_ARRIVES))
-    # Bound: what is in flight; no write is sent meanwhile.
+    # Bound: the writes in flight; none is sent meanwhile.
     while world.store.pending_writes:
         perform(world, Step(StepKind.WRITE_APPLIED))
-    # Bound: the commands that the leader has to send; delivered, they need no repetition.
+    # Bound: the commands that the leader has to send; it does not repeat delivered ones.
     while world.network.commands:
         perform(world, Step(StepKind.COMMANDS_ARRIVE))
     for number, machine in enumerate(world.workers):
--- a/quinceslip/models/takeover/state_key.py
+++ b/quinceslip/models/takeover/state_key.py
@@ -1,7 +1,7 @@
-"""The canonical key of a state: states whose keys are equal behave the same from then on.
+"""Canonical keys of states: states with equal keys have the same future behaviour.
 
-Terms and attempt numbers only rise and are only compared, so each is replaced by its rank among all that are in the
-state. Epochs count by their distance from the worker's own, revisions by their distance from the store's.
+Terms and attempt numbers only increase and are only compared, so each is replaced by its rank among all those in the
+state. Epochs are relative to the worker's own epoch, revisions to the store's.
 """
 
 from collections.abc import Iterable, Iterator
@@ -16,37 +16,37 @@
 
 Key = tuple[object, ...]
 
-#: in place of the rank of an attempt that nothing else in the state names
-NO_RANK = -1
+#: stands for an attempt number that occurs nowhere else in the state
+UNRANKED = -1
 
 
 def state_key(world: World) -> Key:
-    """The key of a state."""
+    """Return the canonical key of a state."""
     return _KeyBuilder(world).build()
 
 
 class _KeyBuilder:
-    """The ranks of one state, and the parts of its key."""
+    """Builds the key of one state, part by part."""
 
     def __init__(self, world: World) -> None:
-        """Rank all terms and attempt numbers of a state."""
+        """Rank all terms and attempt numbers in `world`."""
         self.world = world
         self.term_ranks = _ranks(_terms(world))
         self.attempt_ranks = _ranks(_attempt_numbers(world))
 
     def build(self) -> Key:
-        """All parts of the key."""
+        """Return the key with all its parts."""
         world = self.world
         return (
             tuple(self._machine(machine) for machine in world.workers),
             tuple(self._known_worker(machine) for machine in world.workers),
             tuple(self._commands(commands) for commands in world.network.commands),
-            tuple(self._delayed(delayed) for delayed in world.network.heartbeats),
+            tuple(self._delayed_heartbeat(delayed) for delayed in world.network.heartbeats),
             self._store(),
             self._partition(),
             self._leader(),
             tuple(sorted(world.store.registered)),
-            tuple(self._check(check) for check in world.leader.reconciler.addresses.open.values()),
+            tuple(self._address_check(check) for check in world.leader.reconciler.addresses.open.values()),
         )
 
     def _machine(self, machine: ModelWorker) -> Key:
@@ -75,9 +75,9 @@
             worker.unanswered,
             machine.name in reconciler.unreconciled,
             machine.name in reconciler.workers_to_command,
-            machine.in_newer_epoch(),
+            machine.epoch_has_advanced(),
             self._delivery(worker),
-            self._reported(worker),
+            self._reported_tasks(worker),
             tuple(self._attempt(attempt) for attempt in worker.attempts.values()),
         )
 
@@ -87,12 +87,12 @@
             min(delivery.unanswered_probes, MAX_UNANSWERED_PROBES),
             min(delivery.unacknowledged, MAX_UNACKNOWLEDGED),
             delivery.fencing_token > 0,
-            tuple(sorted(self.attempt_ranks.get(number, NO_RANK) for _, number in delivery.launches)),
+            tuple(sorted(self.attempt_ranks.get(number, UNRANKED) for _, number in delivery.launches)),
         )
 
-    def _reported(self, worker: Worker) -> Key:
+    def _reported_tasks(self, worker: Worker) -> Key:
         return tuple(
-            (name, self.attempt_ranks.get(status.attempt, NO_RANK), status.state)
+            (name, self.attempt_ranks.get(status.attempt, UNRANKED), status.state)
             for name, status in worker.reported_tasks.items()
         )
 
@@ -110,7 +110,7 @@
             self.world.partition.attempts.get(attempt.index) is attempt,
         )
 
-    def _check(self, check: AddressCheck) -> Key:
+    def _address_check(self, check: AddressCheck) -> Key:
         return (
             check.worker.name,
             check.is_inherited,
@@ -123,21 +123,21 @@
     def _commands(self, commands: CommandsInFlight) -> Key:
         body = commands.body
         return (
-            commands.worker,
+            commands.machine_index,
             self.term_ranks[body.fencing_token],
-            body.epoch - self.world.workers[commands.worker].epoch,
+            body.epoch - self.world.workers[commands.machine_index].epoch,
             tuple((command.op, command.task, self.attempt_ranks[command.attempt]) for command in body.commands),
             commands.on_answer is not None,
         )
 
-    def _delayed(self, delayed: DelayedHeartbeat) -> Key:
+    def _delayed_heartbeat(self, delayed: DelayedHeartbeat) -> Key:
         heartbeat = delayed.heartbeat
         return (
-            delayed.worker,
+            delayed.machine_index,
             self.term_ranks[heartbeat.fencing_token],
-            heartbeat.epoch - self.world.workers[delayed.worker].epoch,
+            heartbeat.epoch - self.world.workers[delayed.machine_index].epoch,
             self._tasks(heartbeat.tasks),
-            self.world.is_newer_than_known(delayed.worker, heartbeat),
+            self.world.is_newer_than_known(delayed.machine_index, heartbeat),
         )
 
     def _store(self) -> Key:
@@ -160,7 +160,7 @@
     def _leader(self) -> Key:
         leader = self.world.leader
         return (
-            leader.sees_newest_record,
+            leader.sees_latest_record,
             self.term_ranks[leader.reconciler.term],
             self.term_ranks[leader.reconciler.first_own_term],
             leader.requested_term > 0,
@@ -172,7 +172,7 @@
 
 
 def _terms(world: World) -> Iterator[int]:
-    """Every term in a state; 0 stands for none."""
+    """Yield every term in a state; 0 stands for none."""
     reconciler = world.leader.reconciler
     yield 0
     yield world.store.term
@@ -195,7 +195,7 @@
 
 
 def _attempt_numbers(world: World) -> Iterator[int]:
-    """The number of every attempt in a state."""
+    """Yield the number of every attempt in a state."""
     for machine in world.workers:
         for status in machine.tasks.values():
             yield status.attempt
--- a/quinceslip/models/takeover/steps.py
+++ b/quinceslip/models/takeover/steps.py
@@ -1,4 +1,4 @@
-"""The kinds of steps, what each of them does, and how a history is read from text."""
+"""The kinds of steps, their effects, and the parser for histories."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -15,40 +15,40 @@
 
 
 class StepKind(StrEnum):
-    """Every kind of step, by its name on the command line; `number` and `task` of a `Step` are explained at each."""
+    """Kinds of steps; the values are their names on the command line. The comments refer to the fields of `Step`."""
 
-    LAUNCH = "launch"  # the leader pins task `task` to worker `number`
+    LAUNCH = "launch"  # the leader launches task `task` on worker `number`
     STOP = "halt"  # the leader stops task `task`
-    RAISE_TERM = "raise"  # the leader raises its term, as it has asked for
-    RECORD = "record"  # the leader records the completed tasks, with an answer
-    LEASE_EXPIRY_SEEN = "sweep"  # the leader notes that the lease of worker `number` has run out
-    MACHINE_GONE = "gone"  # machine `number` vanishes, and the cloud says so
-    ADDRESS_REUSED = "reuse"  # machine `number` vanishes, and another one, of another shard, has its address
-    GONE_SEEN = "missed"  # the cloud says that machine `number` is gone
-    ADDRESS_ASKED = "ask"  # the machine at the address of machine `number`, which is lost, says what it has
-    LISTED = "list"  # the cloud lists the machines and their addresses
-    OTHER_TERM = "other"  # machine `number`, of another shard, obeys a leader with a later term
-    CRASH = "crash"  # the leader ends, a successor leads under a higher term
-    HEARTBEAT = "report"  # a heartbeat of worker `number` and its answer arrive
-    ANSWER_LOST = "unheard"  # a heartbeat of worker `number` arrives, its answer does not
+    RAISE_TERM = "raise"  # the leader claims the higher term that it has requested
+    RECORD = "record"  # the leader records the completed tasks and gets an answer
+    LEASE_EXPIRY_NOTICED = "sweep"  # the leader notices that the lease of worker `number` has expired
+    MACHINE_LOST = "gone"  # machine `number` is lost, and the cloud reports it
+    ADDRESS_REUSED = "reuse"  # machine `number` is lost, and a machine of another shard gets its address
+    LOSS_NOTICED = "missed"  # the cloud reports that machine `number`, lost earlier, is gone
+    ADDRESS_PROBED = "ask"  # the machine at the address of lost machine `number` answers a probe
+    MACHINES_LISTED = "list"  # the cloud lists the machines and their addresses
+    FOREIGN_TERM_RAISED = "other"  # machine `number`, of another shard, gets a higher term from its own leader
+    CRASH = "crash"  # the leader crashes, and a successor leads under a higher term
+    HEARTBEAT = "report"  # a heartbeat of worker `number` arrives, and so does its answer
+    ANSWER_LOST = "unheard"  # a heartbeat of worker `number` arrives, but its answer is lost
     PROBE_LOST = "unasked"  # a probe of worker `number` gets no reply
     PROBE = "probe"  # a probe of worker `number` is answered
     DELAY_HEARTBEAT = "late"  # worker `number` sends a heartbeat, which stays in flight
     HEARTBEAT_ARRIVES = "arrive"  # delayed heartbeat `number` arrives
     HEARTBEAT_COPIED = "copy"  # a copy of delayed heartbeat `number` arrives
     COMMANDS_ARRIVE = "do"  # direct commands `number` arrive
-    COMMANDS_TIME_OUT = "give up"  # the leader waits no longer for the answer to direct commands `number`
+    COMMANDS_TIME_OUT = "give up"  # the call with direct commands `number` times out at the leader
     TASK_DONE = "finish"  # task `task` on worker `number` completes
     TASK_FAILS = "fail"  # task `task` on worker `number` exits with an error
-    EXPIRE_LEASE = "expire"  # the lease of worker `number` runs out there
-    EXPIRED_UNHEARD = "outlived"  # the leader concludes that the lease of worker `number`, unanswered, has run out
+    EXPIRE_LEASE = "expire"  # the lease of worker `number` expires on the worker
+    UNANSWERED_EXPIRY_NOTICED = "outlived"  # the leader infers that unanswered worker `number` has no lease left
     WRITE_UNANSWERED = "write"  # the leader sends a write of the completed tasks, which stays in flight
     WRITE_APPLIED = "carry out"  # the store applies unanswered write `number`
-    WATCH = "watch"  # the leader learns the job's record
+    WATCH = "watch"  # the leader reads the latest version of the job's record
 
 
 def perform(world: World, step: Step) -> None:
-    """Carry out one step; raises Breach where it leads to what must never be."""
+    """Apply one step to `world`; raises Breach if it violates a safety property."""
     _HANDLERS[StepKind(step.kind)](world, step)
     world.leader.end_batch()
     world.deregister()
@@ -115,7 +115,7 @@
     machine = _machine(world, step)
     answer = world.leader.receive_heartbeat(machine.heartbeat())
     if answer is not None:
-        machine.lease_lapsed = False  # the leader counts the lease as renewed
+        machine.lease_lapsed = False  # the leader considers the lease renewed
 
 
 def _probe_lost(world: World, step: Step) -> None:
@@ -174,31 +174,31 @@
     _machine(world, step).expire_lease()
 
 
-def _machine_gone(world: World, step: Step) -> None:
+def _machine_lost(world: World, step: Step) -> None:
     machine = _machine(world, step)
-    machine.vanish()
+    machine.terminate()
     world.leader.reconciler.machine_gone(machine.name)
 
 
 def _address_reused(world: World, step: Step) -> None:
     machine = _machine(world, step)
-    place = world.fleet.reuse_address(machine)
-    world.network.address_reused(machine.address, step.number, place)
+    new_index = world.fleet.reuse_address(machine)
+    world.network.address_reused(machine.address, step.number, new_index)
 
 
-def _gone_seen(world: World, step: Step) -> None:
+def _loss_noticed(world: World, step: Step) -> None:
     world.leader.reconciler.machine_gone(_machine(world, step).name)
 
 
-def _address_asked(world: World, step: Step) -> None:
-    world.answer_from(_machine(world, step).address)
+def _address_probed(world: World, step: Step) -> None:
+    world.answer_address_checks(_machine(world, step).address)
 
 
-def _listed(world: World, step: Step) -> None:
+def _machines_listed(world: World, step: Step) -> None:
     world.list_machines()
 
 
-def _other_term(world: World, step: Step) -> None:
+def _foreign_term_raised(world: World, step: Step) -> None:
     _machine(world, step).fencing_token = world.store.term + 1
 
 
@@ -207,13 +207,13 @@
     StepKind.STOP: _stop,
     StepKind.RAISE_TERM: _raise_term,
     StepKind.RECORD: _record,
-    StepKind.LEASE_EXPIRY_SEEN: _expire_known_lease,
-    StepKind.MACHINE_GONE: _machine_gone,
+    StepKind.LEASE_EXPIRY_NOTICED: _expire_known_lease,
+    StepKind.MACHINE_LOST: _machine_lost,
     StepKind.ADDRESS_REUSED: _address_reused,
-    StepKind.GONE_SEEN: _gone_seen,
-    StepKind.ADDRESS_ASKED: _address_asked,
-    StepKind.LISTED: _listed,
-    StepKind.OTHER_TERM: _other_term,
+    StepKind.LOSS_NOTICED: _loss_noticed,
+    StepKind.ADDRESS_PROBED: _address_probed,
+    StepKind.MACHINES_LISTED: _machines_listed,
+    StepKind.FOREIGN_TERM_RAISED: _foreign_term_raised,
     StepKind.CRASH: _crash,
     StepKind.HEARTBEAT: _heartbeat,
     StepKind.ANSWER_LOST: _answer_lost,
@@ -227,25 +227,25 @@
     StepKind.TASK_DONE: _task_done,
     StepKind.TASK_FAILS: _task_fails,
     StepKind.EXPIRE_LEASE: _expire_lease,
-    StepKind.EXPIRED_UNHEARD: _expire_known_lease,
+    StepKind.UNANSWERED_EXPIRY_NOTICED: _expire_known_lease,
     StepKind.WRITE_UNANSWERED: _write_unanswered,
     StepKind.WRITE_APPLIED: _write_applied,
     StepKind.WATCH: _watch,
 }
 
 
-# Text.
+# Parsing.
 
 
 def read_steps(text: str) -> tuple[Step, ...]:
-    """Read "launch:0:0,crash:0:0"; raises ValueError for anything else."""
-    return tuple(_read_step(part.strip()) for part in text.split(",") if part.strip())
+    """Parse a history such as "launch:0:0,crash:0:0"; raises ValueError for an invalid step."""
+    return tuple(_parse_step(part.strip()) for part in text.split(",") if part.strip())
 
 
-def _read_step(text: str) -> Step:
+def _parse_step(text: str) -> Step:
     fields = [field.strip() for field in text.split(":")]
     if len(fields) == 3:
         kind, number, index = fields
         if kind in set(StepKind) and number.isdigit() and index.isdigit():
             return Step(StepKind(kind), int(number), int(index))
-    raise ValueError(f"no such step: {text}; a step is KIND:NUMBER:NUMBER of {', '.join(StepKind)}")
+    raise ValueError(f"invalid step: {text}; expected KIND:NUMBER:NUMBER, with KIND one of {', '.join(StepKind)}")
--- a/quinceslip/models/takeover/store.py
+++ b/quinceslip/models/takeover/store.py
@@ -1,39 +1,39 @@
-"""The store: the job's results, with writes that are applied late or never answered, and the machine registry."""
+"""The store: the job's results, writes that are applied late or never answered, and the machine registry."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class PendingWrite:
-    """A write of the completed tasks that nobody waits for any more; it is applied if its conditions still hold."""
+    """An unanswered write of the completed tasks, which is applied later if its conditions still hold."""
 
-    term: int  # condition: the version of the shard's record
-    mod_revision: int  # condition: the version of the job's record
+    term: int  # expected version of the shard's record
+    mod_revision: int  # expected version of the job's record
     done: frozenset[int]
 
 
 class ResultStore:
-    """The completed tasks by the job's record, and the versions that writes to it are conditional on."""
+    """The completed tasks in the job's record, and the versions that writes to it are conditional on."""
 
-    def __init__(self, conditional: bool) -> None:
-        """A store that checks the conditions of late writes only if `conditional`."""
-        self._conditional = conditional
-        self.term = 0  # of the shard's record
+    def __init__(self, check_conditions: bool) -> None:
+        """Create a store that checks the conditions of late writes if `check_conditions`."""
+        self._check_conditions = check_conditions
+        self.term = 0  # version of the shard's record
         self.recorded: set[int] = set()
         self.mod_revision = 0
         self.pending_writes: list[PendingWrite] = []
-        self.registered: set[str] = set()  # machines that the registry says may hold tasks
+        self.registered: set[str] = set()  # machines that may have tasks, by the registry
 
     def write(self, done: set[int]) -> None:
-        """Apply a write of the present leader at once."""
+        """Apply a write of the current leader at once."""
         self.recorded |= done
         self.mod_revision += 1
 
     def apply_pending(self, position: int) -> None:
-        """Apply a late write, or drop it where its conditions no longer hold."""
+        """Apply a late write, or drop it if its conditions no longer hold."""
         write = self.pending_writes.pop(position)
-        holds = write.term == self.term and write.mod_revision == self.mod_revision
-        # Guard: a late write is conditional on what it replaces, so it undoes no newer one.
-        if holds or not self._conditional:
+        conditions_hold = write.term == self.term and write.mod_revision == self.mod_revision
+        # Guard: a late write is conditional on the versions that it replaces, so it cannot undo a newer one.
+        if conditions_hold or not self._check_conditions:
             self.recorded = set(write.done)
             self.mod_revision += 1
