--- a/quinceslip/bench/__init__.py
+++ b/quinceslip/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the service's own parts, for `quinceslip bench`. No controller imports them."""
+"""Benchmarks of parts of the service (`quinceslip bench`); controllers never import them."""
--- a/quinceslip/bench/capacity_simulation.py
+++ b/quinceslip/bench/capacity_simulation.py
@@ -1,8 +1,8 @@
-"""Controllers that share what they see of a cloud's capacity, in virtual time.
+"""Simulation, in virtual time, of controllers that share their observations of a cloud's capacity.
 
-The real `CapacityObservations` of each controller, against a cloud whose pools of machines run short and recover. All
-controllers want machines of every pool all the time, which is the worst case. Heartbeats arrive at once, and some are
-lost. Counts repeat exactly for one seed.
+Each controller has a real `CapacityObservations`; the cloud's pools of machines run out of capacity and recover. All
+controllers request machines from every pool all the time, which is the worst case. Heartbeats arrive immediately, and
+some are lost. Counts are deterministic for a given seed.
 """
 
 import random
@@ -15,68 +15,67 @@
 from quinceslip.protocol import frames
 
 STEP_US = SECOND // 10
-#: least and greatest time that a pool is short, and that it has capacity
-SHORT_S = (15.0, 90.0)
+#: minimum and maximum time that a pool is exhausted, and that it has capacity
+EXHAUSTED_S = (15.0, 90.0)
 AVAILABLE_S = (5.0, 40.0)
-#: part of the heartbeats that is lost
-LOSS = 0.01
-#: machines that each request asks for
+#: probability that a heartbeat is lost
+HEARTBEAT_LOSS = 0.01
 MACHINES_PER_REQUEST = 4
 REQUEST_INTERVAL_US = SECOND
 HEARTBEAT_INTERVAL_US = SECOND
 
 
 class SimulatedPools:
-    """The pools of the cloud: which are short, and since when the others have capacity again."""
+    """The pools of the cloud: which are exhausted, and when the others recovered."""
 
-    def __init__(self, count: int, draw: random.Random) -> None:
-        """`count` pools, all with capacity."""
-        self._draw = draw
+    def __init__(self, count: int, rng: random.Random) -> None:
+        """Create `count` pools, all with capacity."""
+        self._rng = rng
         self.pools: list[MachinePool] = [(f"type-{i}", "zone", True) for i in range(count)]
-        self._short = dict.fromkeys(self.pools, False)
-        self._changes_us = {pool: self._duration_us(short=False) for pool in self.pools}
-        self._recovered_us: dict[MachinePool, int] = {}
-        self.short_us = 0  # summed over the pools
+        self._exhausted = dict.fromkeys(self.pools, False)
+        self._next_change_us = {pool: self._duration_us(exhausted=False) for pool in self.pools}
+        self._unnoticed_recovery_us: dict[MachinePool, int] = {}
+        self.exhausted_us = 0  # summed over the pools
         self.refused_requests = 0
-        self.recoveries_found_s: list[float] = []  # from each recovery to the first request that was granted
+        self.recovery_delays_s: list[float] = []  # from each recovery to the first granted request
 
-    def _duration_us(self, short: bool) -> int:
-        return int(self._draw.uniform(*(SHORT_S if short else AVAILABLE_S)) * SECOND)
+    def _duration_us(self, exhausted: bool) -> int:
+        return int(self._rng.uniform(*(EXHAUSTED_S if exhausted else AVAILABLE_S)) * SECOND)
 
     def advance(self, now_us: int) -> None:
-        """One step of time: pools run short and recover."""
+        """Advance by one step, in which pools run out of capacity or recover."""
         for pool in self.pools:
-            self.short_us += STEP_US * self._short[pool]
-            if now_us >= self._changes_us[pool]:
+            self.exhausted_us += STEP_US * self._exhausted[pool]
+            if now_us >= self._next_change_us[pool]:
                 self._change(pool, now_us)
 
     def _change(self, pool: MachinePool, now_us: int) -> None:
-        short = not self._short[pool]
-        self._short[pool] = short
-        self._changes_us[pool] = now_us + self._duration_us(short)
-        if not short:
-            self._recovered_us[pool] = now_us
+        exhausted = not self._exhausted[pool]
+        self._exhausted[pool] = exhausted
+        self._next_change_us[pool] = now_us + self._duration_us(exhausted)
+        if not exhausted:
+            self._unnoticed_recovery_us[pool] = now_us
 
     def request(self, pool: MachinePool, now_us: int) -> int:
-        """Ask for machines; how many are granted."""
-        if self._short[pool]:
+        """Request machines from a pool; returns the number granted."""
+        if self._exhausted[pool]:
             self.refused_requests += 1
             return 0
-        if pool in self._recovered_us:
-            self.recoveries_found_s.append((now_us - self._recovered_us.pop(pool)) / SECOND)
+        if pool in self._unnoticed_recovery_us:
+            self.recovery_delays_s.append((now_us - self._unnoticed_recovery_us.pop(pool)) / SECOND)
         return MACHINES_PER_REQUEST
 
 
 @dataclass(slots=True)
 class _Controller:
-    """One controller and when it acts next."""
+    """One controller and the times of its next heartbeat and request."""
 
     observations: CapacityObservations
     next_heartbeat_us: int
     next_request_us: int
 
     def request_if_due(self, pools: SimulatedPools, now_us: int) -> None:
-        """Ask the cloud for machines of every pool that it does not back off from."""
+        """Request machines from every pool that the controller does not back off from."""
         if now_us < self.next_request_us:
             return
         self.next_request_us = now_us + REQUEST_INTERVAL_US
@@ -86,29 +85,29 @@
                 self.observations.request_answered(pool, MACHINES_PER_REQUEST, granted, now_us)
 
     def heartbeat_due(self, now_us: int) -> bool:
-        """Whether a heartbeat is to be sent; news is sent early."""
+        """Whether to send a heartbeat; unsent observations advance it."""
         early_us = MAX_EARLY_US if self.observations.has_news else 0
         return now_us >= self.next_heartbeat_us - early_us
 
 
 class CapacitySimulation:
-    """One run of one seed."""
+    """One simulation run, deterministic for its seed."""
 
     def __init__(self, controllers: int, sharing: bool, pools: int, seed: int, requests_per_s: float) -> None:
-        """So many controllers; they send each other their observations if `sharing`."""
-        self._draw = random.Random(seed)
+        """Create the controllers and pools; the controllers send each other their observations if `sharing`."""
+        self._rng = random.Random(seed)
         labels = [f"berth-{i}" for i in range(controllers)]
-        self.pools = SimulatedPools(pools, self._draw)
-        heartbeats_us = [self._draw.randrange(HEARTBEAT_INTERVAL_US) for _ in labels]
-        requests_us = [self._draw.randrange(REQUEST_INTERVAL_US) for _ in labels]
+        self.pools = SimulatedPools(pools, self._rng)
+        first_heartbeats_us = [self._rng.randrange(HEARTBEAT_INTERVAL_US) for _ in labels]
+        first_requests_us = [self._rng.randrange(REQUEST_INTERVAL_US) for _ in labels]
         self._controllers = [
             _Controller(CapacityObservations(label, labels, requests_per_s, 1, sharing), heartbeat_us, request_us)
-            for label, heartbeat_us, request_us in zip(labels, heartbeats_us, requests_us, strict=True)
+            for label, heartbeat_us, request_us in zip(labels, first_heartbeats_us, first_requests_us, strict=True)
         ]
-        self.bytes_sent = 0  # each frame once, whatever the number of its receivers
+        self.bytes_sent = 0  # each frame counts once, whatever its number of receivers
 
     def run(self, seconds: float) -> None:
-        """Play so many simulated seconds."""
+        """Run for the given number of simulated seconds."""
         for now_us in range(0, int(seconds * SECOND), STEP_US):
             self.pools.advance(now_us)
             for controller in self._controllers:
@@ -129,5 +128,5 @@
 
     def _deliver(self, sender: _Controller, observations: Iterable[frames.Observation], now_us: int) -> None:
         for receiver in self._controllers:
-            if receiver is not sender and self._draw.random() >= LOSS:
+            if receiver is not sender and self._rng.random() >= HEARTBEAT_LOSS:
                 receiver.observations.observations_received(sender.observations.label, observations, now_us)
--- a/quinceslip/bench/fleet/__init__.py
+++ b/quinceslip/bench/fleet/__init__.py
@@ -1,8 +1,8 @@
-"""What messages cost a controller, by kind: the real actor alone, machines that obey, virtual time.
+"""Benchmark of what each kind of message costs a controller: the real actor with simulated machines, in virtual time.
 
-No network and no threads: heartbeats, submissions, polls and ends of tasks of a fleet are played against one
-`Controller` that leads all machines. The key-value store grants everything after its latency. Counts repeat exactly
-for one seed; times are processor time of this machine, to be compared within one run only.
+Without network or threads: the heartbeats, submissions, polls and task exits of a fleet are fed to one `Controller`
+that leads all machines. The key-value store accepts every write after its latency. Counts are deterministic for a
+given seed; times are processor time on this machine and comparable only within one run.
 """
 
 from quinceslip.bench.fleet.measurement import measure
--- a/quinceslip/bench/fleet/actor_shell.py
+++ b/quinceslip/bench/fleet/actor_shell.py
@@ -1,4 +1,4 @@
-"""The shell around the controller under measurement: virtual time, calls with their latencies, pending requests."""
+"""The environment of the controller under measurement: virtual time, calls with latencies, pending requests."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -11,45 +11,45 @@
 from quinceslip.coordination.actor import effects as fx
 from quinceslip.coordination.controller.controller import Controller
 
-#: latencies of calls
+#: latencies of calls to services and to workers
 SERVICE_LATENCY_US = 6_000
 WORKER_LATENCY_US = 1_000
 
-#: called with the status and the body of a reply
+#: callback for a reply; takes its status and body
 OnReply = Callable[[int, Any], None]
 
 
 class CallHandler(Protocol):
-    """Somebody whom the controller calls."""
+    """A simulated service or set of workers that the controller calls."""
 
     def answer(self, call: fx.Call) -> Answer:
-        """Carry out one call."""
+        """Handle one call."""
 
 
 class ActorShell:
-    """Posts messages to the controller and carries out its effects."""
+    """Posts messages to the controller and executes its effects."""
 
-    def __init__(self, controller: Controller, queue: EventQueue, counted: bool) -> None:
-        """A shell that counts the calls of functions of `controller` if `counted`."""
-        self.measured = MeasuredController(controller, counted)
+    def __init__(self, controller: Controller, queue: EventQueue, count_calls: bool) -> None:
+        """Wrap `controller`; count its function calls if `count_calls`."""
+        self.measured = MeasuredController(controller, count_calls)
         self.queue = queue
         self._services: dict[str, CallHandler] = {}
         self._workers: CallHandler | None = None
         self._pending_requests: dict[int, OnReply] = {}
-        self._requests = 0
+        self._request_count = 0
 
     def connect(self, services: dict[str, CallHandler], workers: CallHandler) -> None:
-        """Say who answers calls, by their target; the other targets are addresses of `workers`."""
+        """Set the handlers of calls: services by target, and `workers` for all other targets."""
         self._services, self._workers = services, workers
 
     def open_request(self, on_reply: OnReply) -> int:
-        """The number of a new request to the controller."""
-        self._requests += 1
-        self._pending_requests[self._requests] = on_reply
-        return self._requests
+        """Register a request to the controller; returns its number."""
+        self._request_count += 1
+        self._pending_requests[self._request_count] = on_reply
+        return self._request_count
 
     def post(self, kind: MessageKind, message: fx.Message) -> None:
-        """Let the controller handle one message and the end of its batch."""
+        """Have the controller handle one message as a batch of its own."""
         self._handle(kind, message)
         self._handle(MessageKind.BATCH_END, fx.BatchEnd())
 
@@ -68,12 +68,12 @@
     def _schedule_call(self, call: fx.Call) -> None:
         service = self._services.get(call.target)
         if service is not None:
-            self.queue.after(SERVICE_LATENCY_US, lambda: self._carry_out(call, service))
+            self.queue.schedule(SERVICE_LATENCY_US, lambda: self._execute_call(call, service))
         elif self._workers is not None:
             workers = self._workers
-            self.queue.after(WORKER_LATENCY_US, lambda: self._carry_out(call, workers))
+            self.queue.schedule(WORKER_LATENCY_US, lambda: self._execute_call(call, workers))
 
-    def _carry_out(self, call: fx.Call, handler: CallHandler) -> None:
+    def _execute_call(self, call: fx.Call, handler: CallHandler) -> None:
         answer = handler.answer(call)
         result = fx.CallResult(call.id, answer.status, msgspec.json.encode(answer.body))
         self.post(MessageKind.ANSWER, result)
--- a/quinceslip/bench/fleet/costs.py
+++ b/quinceslip/bench/fleet/costs.py
@@ -1,4 +1,4 @@
-"""The controller under measurement, and what each kind of message costs it."""
+"""Measures what each kind of message costs the controller."""
 
 import sys
 import time
@@ -16,7 +16,7 @@
 
 
 class MessageKind(StrEnum):
-    """Kinds of messages, by their keys in the output."""
+    """Kinds of messages; the values are keys in the output."""
 
     ANSWER = "answer"  # the result of a call
     POLL = "poll"
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Cost:
-    """One kind of message: how many, processor time in microseconds, and calls of functions."""
+    """Totals for one kind of message: messages, processor time in microseconds, and function calls."""
 
     messages: int = 0
     cpu_us: float = 0.0
@@ -37,35 +37,35 @@
 
 
 class MeasuredController:
-    """A controller whose messages are timed, or whose calls of functions are counted.
+    """A controller whose messages are timed, or whose function calls are counted.
 
-    Counting slows it down, so one run does not give both.
+    Counting distorts the times, so one run does only one of them.
     """
 
-    def __init__(self, controller: Controller, counted: bool) -> None:
-        """Measure `controller`; count its calls of functions if `counted`."""
+    def __init__(self, controller: Controller, count_calls: bool) -> None:
+        """Measure `controller`; count its function calls if `count_calls`."""
         self.controller = controller
         self.costs: dict[MessageKind, Cost] = defaultdict(Cost)
-        self._counted = counted
+        self._counting = count_calls
         self._calls = 0
 
     def handle(self, kind: MessageKind, message: fx.Message, now_us: int) -> Sequence[fx.Effect]:
-        """Let the controller handle one message; its effects."""
+        """Have the controller handle one message; returns its effects."""
         cost = self.costs[kind]
         cost.messages += 1
         self._calls = 0
-        if self._counted:
-            sys.setprofile(self._count)
+        if self._counting:
+            sys.setprofile(self._count_call)
         started_ns = time.thread_time_ns()
         try:
             effects = self.controller.handle(message, now_us)
         finally:
             cost.cpu_us += (time.thread_time_ns() - started_ns) / NS_PER_US
-            if self._counted:
+            if self._counting:
                 sys.setprofile(None)
         cost.calls += self._calls
         return effects
 
-    def _count(self, frame: FrameType, event: str, argument: Any) -> None:
+    def _count_call(self, frame: FrameType, event: str, argument: Any) -> None:
         if event in ("call", "c_call"):
             self._calls += 1
--- a/quinceslip/bench/fleet/machines.py
+++ b/quinceslip/bench/fleet/machines.py
@@ -1,4 +1,4 @@
-"""The machines of the fleet: they send heartbeats, obey commands, and run tasks for about their estimated time."""
+"""The simulated machines: they send heartbeats, execute commands, and run tasks for about the estimated time."""
 
 import random
 from dataclasses import dataclass, field
@@ -24,13 +24,13 @@
     spot_price=0.36,
     cache_gb=25.0,
 )
-#: of so many machines in a row, the first are on demand and the others spot
-SPOT_PERIOD, ON_DEMAND_OF_PERIOD = 9, 5
-#: heartbeats begin when the controller has claimed its shard
+#: of each group of 9 consecutive machines, the first 5 are on demand and the others spot
+MACHINE_GROUP_SIZE, ON_DEMAND_PER_GROUP = 9, 5
+#: start of heartbeats and submissions, late enough for the controller to have claimed its shard
 START_US = 2 * SECOND
-#: from a launch to the start of the task: the pull of its image
-PULL_US = SECOND
-#: a change is reported this much later, with whatever else changes until then
+#: duration of an image pull, which delays the start of each task
+IMAGE_PULL_US = SECOND
+#: delay of the heartbeat that reports a change, so that it covers several changes
 EXTRA_HEARTBEAT_DELAY_US = SECOND // 2
 
 
@@ -52,7 +52,7 @@
         return f"{self.name}:1"
 
     def heartbeat(self) -> m.WorkerHeartbeat:
-        """The next heartbeat, with the state of all its tasks."""
+        """Return the next heartbeat, with the state of all tasks."""
         self.seq += 1
         return m.WorkerHeartbeat(
             worker=self.name,
@@ -68,18 +68,18 @@
 
 
 def _machine(number: int) -> SimulatedMachine:
-    spot = number % SPOT_PERIOD >= ON_DEMAND_OF_PERIOD
+    spot = number % MACHINE_GROUP_SIZE >= ON_DEMAND_PER_GROUP
     return SimulatedMachine(f"n-{number:06d}", ZONES[number % len(ZONES)], spot)
 
 
 class SimulatedMachines:
-    """All machines; counts what was launched and what has ended on them."""
+    """All machines, with counts of launched and ended tasks."""
 
-    def __init__(self, count: int, shell: ActorShell, specs: dict[str, m.JobSpec], draw: random.Random) -> None:
-        """`count` idle machines; `specs` has the jobs that were submitted, by their ids."""
+    def __init__(self, count: int, shell: ActorShell, specs: dict[str, m.JobSpec], rng: random.Random) -> None:
+        """Create `count` idle machines; `specs` holds the submitted jobs by id."""
         self._shell, self._queue = shell, shell.queue
         self._specs = specs
-        self._draw = draw
+        self._rng = rng
         self._machines = [_machine(number) for number in range(count)]
         self._by_endpoint = {machine.endpoint: machine for machine in self._machines}
         self.launched = 0
@@ -88,25 +88,25 @@
     # Heartbeats.
 
     def start(self) -> None:
-        """Begin the heartbeats of all machines, at moments of their own."""
+        """Start the heartbeats of all machines, at random offsets."""
         for machine in self._machines:
-            delay_us = START_US + self._draw.uniform(0, HEARTBEAT_S) * SECOND
-            self._queue.after(delay_us, partial(self._regular_heartbeat, machine))
+            delay_us = START_US + self._rng.uniform(0, HEARTBEAT_S) * SECOND
+            self._queue.schedule(delay_us, partial(self._regular_heartbeat, machine))
 
     def _regular_heartbeat(self, machine: SimulatedMachine) -> None:
         self._send_heartbeat(machine)
-        delay_us = HEARTBEAT_S * SECOND * self._draw.uniform(0.75, 1.25)
-        self._queue.after(delay_us, lambda: self._regular_heartbeat(machine))
+        delay_us = HEARTBEAT_S * SECOND * self._rng.uniform(0.75, 1.25)
+        self._queue.schedule(delay_us, lambda: self._regular_heartbeat(machine))
 
     def _schedule_extra_heartbeat(self, machine: SimulatedMachine) -> None:
         if not machine.extra_heartbeat_due:
             machine.extra_heartbeat_due = True
-            self._queue.after(EXTRA_HEARTBEAT_DELAY_US, lambda: self._send_heartbeat(machine))
+            self._queue.schedule(EXTRA_HEARTBEAT_DELAY_US, lambda: self._send_heartbeat(machine))
 
     def _send_heartbeat(self, machine: SimulatedMachine) -> None:
         def on_reply(status: int, body: m.CommandReply) -> None:
             if status == OK:
-                self._obey(machine, body.fencing_token, body.commands)
+                self._execute_commands(machine, body.fencing_token, body.commands)
 
         machine.extra_heartbeat_due = False
         request = self._shell.open_request(on_reply)
@@ -115,13 +115,13 @@
     # Commands.
 
     def answer(self, call: fx.Call) -> Answer:
-        """Carry out a direct call; the answer is a heartbeat."""
+        """Handle a direct call; the answer is a heartbeat."""
         machine = self._by_endpoint[call.target]
         if call.path == m.PATH_DO:
-            self._obey(machine, call.body.fencing_token, call.body.commands)
+            self._execute_commands(machine, call.body.fencing_token, call.body.commands)
         return Answer(OK, machine.heartbeat())
 
-    def _obey(self, machine: SimulatedMachine, fencing_token: int, commands: list[m.Command]) -> None:
+    def _execute_commands(self, machine: SimulatedMachine, fencing_token: int, commands: list[m.Command]) -> None:
         machine.fencing_token = max(machine.fencing_token, fencing_token)
         for command in commands:
             known = machine.tasks.get(command.task)
@@ -136,7 +136,7 @@
     def _launch(self, machine: SimulatedMachine, command: m.Command) -> None:
         self.launched += 1
         machine.tasks[command.task] = m.TaskStatus(command.task, command.attempt, m.PULLING)
-        self._queue.after(PULL_US, lambda: self._start_task(machine, command.task, command.attempt))
+        self._queue.schedule(IMAGE_PULL_US, lambda: self._start_task(machine, command.task, command.attempt))
 
     def _end(self, machine: SimulatedMachine, command: m.Command, known: m.TaskStatus) -> None:
         """Stop an attempt, or drop the result of one that has exited."""
@@ -155,8 +155,8 @@
         self._schedule_extra_heartbeat(machine)
         spec = self._specs[task.rpartition("/")[0]]
         if not spec.service:
-            duration_us = spec.estimated_run_s * self._draw.uniform(0.5, 1.5) * SECOND
-            self._queue.after(duration_us, lambda: self._exit(machine, task, attempt, m.CAUSE_DONE))
+            duration_us = spec.estimated_run_s * self._rng.uniform(0.5, 1.5) * SECOND
+            self._queue.schedule(duration_us, lambda: self._exit(machine, task, attempt, m.CAUSE_DONE))
 
     def _exit(self, machine: SimulatedMachine, task: str, attempt: int, cause: str) -> None:
         known = machine.tasks.get(task)
--- a/quinceslip/bench/fleet/measurement.py
+++ b/quinceslip/bench/fleet/measurement.py
@@ -8,14 +8,14 @@
 US_PER_S = 1e6
 
 
-def measure(machines: int, length_s: float, seed: int) -> dict[str, Any]:
-    """Two runs of one seed: one is timed, in the other calls of functions are counted."""
-    timed = _run(machines, length_s, seed, counted=False)
-    counted = _run(machines, length_s, seed, counted=True)
+def measure(machines: int, duration_s: float, seed: int) -> dict[str, Any]:
+    """Run twice with the same seed: once timed, once with function calls counted."""
+    timed = _run(machines, duration_s, seed, count_calls=False)
+    counted = _run(machines, duration_s, seed, count_calls=True)
     timed_costs, counted_costs = timed.shell.measured.costs, counted.shell.measured.costs
     return {
         "machines": machines,
-        "simulated_s": length_s,
+        "simulated_s": duration_s,
         "seed": seed,
         "cpu_s": round(sum(cost.cpu_us for cost in timed_costs.values()) / US_PER_S, 2),
         "calls": sum(cost.calls for cost in counted_costs.values()),
@@ -28,9 +28,9 @@
     }
 
 
-def _run(machines: int, length_s: float, seed: int, counted: bool) -> Simulation:
-    simulation = Simulation(machines, seed, counted)
-    simulation.run(length_s)
+def _run(machines: int, duration_s: float, seed: int, count_calls: bool) -> Simulation:
+    simulation = Simulation(machines, seed, count_calls)
+    simulation.run(duration_s)
     return simulation
 
 
--- a/quinceslip/bench/fleet/services.py
+++ b/quinceslip/bench/fleet/services.py
@@ -1,4 +1,4 @@
-"""The key-value store and the cloud, as far as a steady fleet needs them. Their answers are a status and a body."""
+"""Simulations of the key-value store and the cloud, as far as a steady fleet needs them."""
 
 from typing import Any, NamedTuple
 
@@ -16,24 +16,24 @@
 
 
 class Answer(NamedTuple):
-    """The answer to a call."""
+    """The answer to a call: HTTP status and body."""
 
     status: int
     body: Any
 
 
 class SimulatedStore:
-    """A key-value store that grants every transaction whose conditions hold."""
+    """A key-value store that commits every transaction whose conditions hold."""
 
     def __init__(self) -> None:
-        """An empty store."""
+        """Create an empty store."""
         self.revision = 0
         self.writes = 0
         self._mod_revisions: dict[str, int] = {}
-        self._unseen: list[m.Event] = []  # changes that the watch has not brought yet
+        self._unwatched_changes: list[m.Event] = []  # changes that no watch has returned yet
 
     def answer(self, call: fx.Call) -> Answer:
-        """Carry out one call."""
+        """Handle one call."""
         if call.path == m.PATH_TXN:
             return self._transaction(msgspec.json.decode(msgspec.json.encode(call.body)))
         if call.path.startswith(m.PATH_KV):
@@ -41,9 +41,9 @@
         return Answer(OK, {"hold": LEASE_ID})
 
     def _transaction(self, body: dict[str, Any]) -> Answer:
-        failed = [c["k"] for c in body["if"] if self._mod_revisions.get(c["k"], 0) != c["stamp"]]
-        if failed:
-            return Answer(CONFLICT, {"failed": failed, "ledger": self.revision})
+        failed_keys = [c["k"] for c in body["if"] if self._mod_revisions.get(c["k"], 0) != c["stamp"]]
+        if failed_keys:
+            return Answer(CONFLICT, {"failed": failed_keys, "ledger": self.revision})
         changes = body.get("then", [])
         self.revision += bool(changes)
         for change in changes:
@@ -56,25 +56,25 @@
             key = change["write"]
             self._mod_revisions[key] = self.revision
             value = msgspec.Raw(msgspec.json.encode(change["v"]))
-            self._unseen.append(m.Event(self.revision, put=key, value=value))
+            self._unwatched_changes.append(m.Event(self.revision, put=key, value=value))
         elif self._mod_revisions.pop(change["drop"], None):
-            self._unseen.append(m.Event(self.revision, delete=change["drop"]))
+            self._unwatched_changes.append(m.Event(self.revision, delete=change["drop"]))
 
-    def take_changes(self) -> list[m.Event]:
-        """The changes since the last time this was called."""
-        changes, self._unseen = self._unseen, []
+    def drain_changes(self) -> list[m.Event]:
+        """Return the changes since the previous call."""
+        changes, self._unwatched_changes = self._unwatched_changes, []
         return changes
 
 
 class SimulatedCloud:
-    """A cloud with one machine type, none of which it has left."""
+    """A cloud with one machine type, of which it has no capacity left."""
 
     def __init__(self, machine_type: m.MachineType) -> None:
-        """A cloud that knows `machine_type`."""
+        """Create a cloud that offers `machine_type` only."""
         self._type = machine_type
 
     def answer(self, call: fx.Call) -> Answer:
-        """Carry out one call."""
+        """Handle one call."""
         if call.path == m.PATH_MACHINE_TYPES:
             return Answer(OK, m.MachineTypes([self._type]))
         if call.method == "GET":
--- a/quinceslip/bench/fleet/simulation.py
+++ b/quinceslip/bench/fleet/simulation.py
@@ -1,4 +1,4 @@
-"""One run: a controller, its machines, users, a key-value store and a cloud, in virtual time."""
+"""The simulation: a controller, its machines, users, a key-value store and a cloud, in virtual time."""
 
 import random
 
@@ -21,18 +21,18 @@
 
 
 class Simulation:
-    """One run of one seed."""
+    """One simulation run, deterministic for its seed."""
 
-    def __init__(self, machines: int, seed: int, counted: bool) -> None:
-        """A fleet of so many machines; calls of functions are counted if `counted`."""
-        draw = random.Random(seed)
+    def __init__(self, machines: int, seed: int, count_calls: bool) -> None:
+        """Create a fleet of `machines` machines; count function calls if `count_calls`."""
+        rng = random.Random(seed)
         specs: dict[str, m.JobSpec] = {}
         self._queue = EventQueue()
         self.controller = Controller(_settings(), Tuning(), 0, 0)
-        self.shell = ActorShell(self.controller, self._queue, counted)
+        self.shell = ActorShell(self.controller, self._queue, count_calls)
         self.store = SimulatedStore()
-        self.machines = SimulatedMachines(machines, self.shell, specs, draw)
-        self.users = SimulatedUsers(machines, self.shell, specs, draw)
+        self.machines = SimulatedMachines(machines, self.shell, specs, rng)
+        self.users = SimulatedUsers(machines, self.shell, specs, rng)
         services: dict[str, CallHandler] = {
             fx.TARGET_STORE: self.store,
             fx.TARGET_LEASE: self.store,
@@ -40,23 +40,23 @@
         }
         self.shell.connect(services, self.machines)
 
-    def run(self, length_s: float) -> None:
-        """Play so many simulated seconds."""
+    def run(self, duration_s: float) -> None:
+        """Run for the given number of simulated seconds."""
         self.shell.post(MessageKind.WATCH, fx.StoreListing([], 0, 0))
         self._watch()
         self._tick()
         self.machines.start()
         self.users.start()
-        self._queue.run_until(int(length_s * SECOND))
+        self._queue.run_until(int(duration_s * SECOND))
 
     def _tick(self) -> None:
         self.shell.post(MessageKind.TICK, fx.Tick())
-        self._queue.after(TICK_INTERVAL_US, self._tick)
+        self._queue.schedule(TICK_INTERVAL_US, self._tick)
 
     def _watch(self) -> None:
-        changes = fx.StoreChanges(self.store.take_changes(), self.store.revision, self._queue.now_us)
+        changes = fx.StoreChanges(self.store.drain_changes(), self.store.revision, self._queue.now_us)
         self.shell.post(MessageKind.WATCH, changes)
-        self._queue.after(WATCH_INTERVAL_US, self._watch)
+        self._queue.schedule(WATCH_INTERVAL_US, self._watch)
 
 
 def _settings() -> Settings:
--- a/quinceslip/bench/fleet/users.py
+++ b/quinceslip/bench/fleet/users.py
@@ -1,4 +1,4 @@
-"""The users of the fleet: they submit jobs at random moments and poll each until it has ended."""
+"""The simulated users: they submit jobs at random times and poll each one until it has ended."""
 
 import random
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 POLL_S = 5.0
 IMAGES = 10
 SERVICE_CPUS, ARRAY_CPUS = 1.0, 2.0
-#: services per machine that are submitted at once; they take the CPUs of a steady fleet, about nine tenths of all
+#: services per machine that are submitted at the start; they take about 90 % of the fleet's CPUs
 SERVICES_PER_MACHINE = 0.45
 #: job arrays per second and machine
 ARRAYS_PER_S = 0.001
@@ -26,50 +26,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """Jobs of one kind."""
+    """One kind of jobs and their rate of arrival."""
 
     priority_class: Literal["production", "normal", "low"]
     service: bool
     estimate_s: float
     checkpoint_s: float
-    arrays_per_job: float  # mean interval of arrivals, in mean intervals of job arrays
-    draw_tasks: Callable[[random.Random], int]
+    arrays_per_arrival: float  # mean number of `ARRAYS` arrivals per arrival of this kind
+    sample_task_count: Callable[[random.Random], int]
 
 
-SERVICES = Workload("production", True, 0.0, 0.0, 2, lambda draw: draw.choice([2, 6, 9]))
-ARRAYS = Workload("normal", False, 30.0, 0.0, 1, lambda draw: draw.randint(5, 80))
-LOW_PRIORITY_ARRAYS = Workload("low", False, 60.0, 15.0, 3, lambda draw: draw.randint(5, 150))
-#: in this order their first jobs arrive
+SERVICES = Workload("production", True, 0.0, 0.0, 2, lambda rng: rng.choice([2, 6, 9]))
+ARRAYS = Workload("normal", False, 30.0, 0.0, 1, lambda rng: rng.randint(5, 80))
+LOW_PRIORITY_ARRAYS = Workload("low", False, 60.0, 15.0, 3, lambda rng: rng.randint(5, 150))
+#: in the order of their first arrivals
 WORKLOADS = (SERVICES, ARRAYS, LOW_PRIORITY_ARRAYS)
 
 
 class SimulatedUsers:
-    """All users; `specs` gets the jobs that they submit, by their ids."""
+    """All users; they add each submitted job to `specs`, by id."""
 
-    def __init__(self, machines: int, shell: ActorShell, specs: dict[str, m.JobSpec], draw: random.Random) -> None:
-        """Users with work for so many machines."""
+    def __init__(self, machines: int, shell: ActorShell, specs: dict[str, m.JobSpec], rng: random.Random) -> None:
+        """Create users that submit work for a fleet of `machines` machines."""
         self._machines = machines
         self._shell, self._queue = shell, shell.queue
         self._specs = specs
-        self._draw = draw
+        self._rng = rng
         self.submitted = 0
 
     def start(self) -> None:
-        """Schedule the services that fill the fleet, and arrivals from then on."""
+        """Schedule the services that fill the fleet, and the first arrival of each workload."""
         for _ in range(int(self._machines * SERVICES_PER_MACHINE)):
-            self._queue.after(self._draw.uniform(1, 6) * SECOND, lambda: self._submit(SERVICES))
+            self._queue.schedule(self._rng.uniform(1, 6) * SECOND, lambda: self._submit(SERVICES))
         arrays_per_s = ARRAYS_PER_S * self._machines
         for workload in WORKLOADS:
-            self._queue.after(START_US, partial(self._arrive, workload, workload.arrays_per_job / arrays_per_s))
+            self._queue.schedule(
+                START_US, partial(self._submit_periodically, workload, workload.arrays_per_arrival / arrays_per_s)
+            )
 
-    def _arrive(self, workload: Workload, mean_interval_s: float) -> None:
+    def _submit_periodically(self, workload: Workload, mean_interval_s: float) -> None:
         """Submit a job, and schedule the next one."""
         self._submit(workload)
-        interval_s = self._draw.expovariate(1.0 / mean_interval_s)
-        self._queue.after(interval_s * SECOND, lambda: self._arrive(workload, mean_interval_s))
+        interval_s = self._rng.expovariate(1.0 / mean_interval_s)
+        self._queue.schedule(interval_s * SECOND, lambda: self._submit_periodically(workload, mean_interval_s))
 
     def _submit(self, workload: Workload) -> None:
-        tasks = workload.draw_tasks(self._draw)
+        tasks = workload.sample_task_count(self._rng)
         self.submitted += 1
         job_id = f"req-{self.submitted:06d}"
         spec = _spec(job_id, workload, tasks, f"img-{self.submitted % IMAGES}")
@@ -78,8 +80,8 @@
         self._shell.post(MessageKind.SUBMIT, fx.UserRequest(request, "submit", job_id, spec))
 
     def _schedule_poll(self, job_id: str) -> None:
-        delay_us = POLL_S * SECOND * self._draw.uniform(0.8, 1.2)
-        self._queue.after(delay_us, lambda: self._poll(job_id))
+        delay_us = POLL_S * SECOND * self._rng.uniform(0.8, 1.2)
+        self._queue.schedule(delay_us, lambda: self._poll(job_id))
 
     def _poll(self, job_id: str) -> None:
         def on_reply(status: int, body: Any) -> None:
