--- a/quinceslip/bench/capacity.py
+++ b/quinceslip/bench/capacity.py
@@ -54,7 +54,7 @@
     for sharing, name in ((True, "shared"), (False, "not shared")):
         _draw_runs(axes, name, [run for run in runs if run["told"] == sharing])
     axes[0].set_title("refused requests per minute and exhausted pool", loc="left", fontsize=9)
-    axes[1].set_title("seconds until room that comes back is found", loc="left", fontsize=9)
+    axes[1].set_title("seconds until recovered capacity is found", loc="left", fontsize=9)
     for axis in axes:
         axis.set_ylim(bottom=0)
         axis.legend(fontsize=7)
