--- a/quinceslip/models/takeover/steps.py
+++ b/quinceslip/models/takeover/steps.py
@@ -237,7 +237,7 @@
 # Parsing.
 
 
-def read_steps(text: str) -> tuple[Step, ...]:
+def parse_steps(text: str) -> tuple[Step, ...]:
     """Parse a history such as "launch:0:0,crash:0:0"; raises ValueError for an invalid step."""
     return tuple(_parse_step(part.strip()) for part in text.split(",") if part.strip())
 
