--- a/quinceslip/models/takeover/enabled_steps.py
+++ b/quinceslip/models/takeover/enabled_steps.py
@@ -117,9 +117,9 @@
     # A lease runs in full from the moment that the leader learns of the epoch.
     if machine.lease_lapsed and not worker.lease_expired and worker.epoch != machine.epoch:
         yield Step(StepKind.LEASE_EXPIRY_NOTICED, number)
-    # As in `Reconciler.lease_expired_unheard`; here the worker's newer epoch takes the place of the clock.
+    # As in `Reconciler.lease_expired_while_unreachable`; here the worker's newer epoch takes the place of the clock.
     unreconciled = machine.name in world.leader.reconciler.unreconciled
-    if worker.unanswered and unreconciled and machine.epoch_has_advanced():
+    if worker.heartbeat_unanswered and unreconciled and machine.epoch_has_advanced():
         yield Step(StepKind.UNANSWERED_EXPIRY_NOTICED, number)
 
 
