--- a/quinceslip/__init__.py
+++ b/quinceslip/__init__.py
@@ -1,3 +1,3 @@
-"""quinceslip: a cluster scheduler whose controllers balance load as a multicluster."""
+"""A cluster scheduler whose controllers balance load between them as a multicluster."""
 
 __version__ = "0.1.0"
--- a/quinceslip/cli/bench.py
+++ b/quinceslip/cli/bench.py
@@ -1,4 +1,4 @@
-"""`quinceslip bench ...`: measurements of parts of the service on this machine."""
+"""`quinceslip bench ...`: benchmarks of parts of the service on this machine."""
 
 import argparse
 import json
@@ -12,7 +12,7 @@
 
 
 def add_commands(commands: Subcommands) -> None:
-    """Add `bench` with a subcommand for each measurement."""
+    """Add `bench` with a subcommand for each benchmark."""
     bench = commands.add_parser("bench", help="measure parts of the service on this machine")
     benches = bench.add_subparsers(dest="part", required=True, metavar="WHAT")
     _add_fleet(benches)
@@ -25,7 +25,7 @@
     command.add_argument("--machines", type=int, nargs="+", default=DEFAULT_FLEETS, metavar="N")
     command.add_argument("--seconds", type=float, default=60.0, help="simulated seconds (60)")
     command.add_argument("--seed", type=int, default=1)
-    command.set_defaults(act=bench_fleet)
+    command.set_defaults(handler=bench_fleet)
 
 
 def _add_capacity(benches: Subcommands) -> None:
@@ -36,18 +36,18 @@
     command.add_argument("--seconds", type=float, default=1800.0, help="simulated seconds (1800)")
     command.add_argument("--seed", type=int, default=1)
     add_output(command, required=False, text=PLOT_HELP)
-    command.set_defaults(act=bench_capacity)
+    command.set_defaults(handler=bench_capacity)
 
 
 def _add_plot(benches: Subcommands) -> None:
     command = benches.add_parser("plot", help="one HTML page of what `fleet` printed (needs requirements-plots.txt)")
     command.add_argument("files", type=Path, nargs="+", metavar="FILE")
     add_output(command, required=True)
-    command.set_defaults(act=bench_plot)
+    command.set_defaults(handler=bench_plot)
 
 
 def bench_fleet(arguments: argparse.Namespace) -> int:
-    """Print what messages cost, one JSON line for each size of the fleet."""
+    """Print the cost of handling messages, one JSON line per fleet size."""
     from quinceslip.bench.fleet import measure
 
     for machines in arguments.machines:
@@ -56,7 +56,7 @@
 
 
 def bench_capacity(arguments: argparse.Namespace) -> int:
-    """Print how capacity is found, one JSON line for each number of controllers, with and without sharing."""
+    """Print how controllers find capacity, one JSON line per number of controllers, with and without sharing."""
     from quinceslip.bench.capacity import measure, write_page
 
     runs = [
@@ -72,7 +72,7 @@
 
 
 def bench_plot(arguments: argparse.Namespace) -> int:
-    """Draw what `bench fleet` printed."""
+    """Plot the output of `bench fleet`."""
     from quinceslip.bench.plots import write_page
 
     print(write_page(arguments.files, arguments.output))
--- a/quinceslip/cli/models.py
+++ b/quinceslip/cli/models.py
@@ -1,27 +1,27 @@
-"""`quinceslip model ...`: the models that explore the states of a protocol with the service's own code."""
+"""`quinceslip model ...`: model checkers that explore the states of a protocol with the service's own code."""
 
 import argparse
 import logging
 
-from quinceslip.cli.common import Subcommands, add_guard_options, words
+from quinceslip.cli.common import Subcommands, add_guard_options, split_at_commas
 from quinceslip.protocol.settings import SettingsError
 
-#: name, default and meaning of each number that a model takes
-Numbers = tuple[tuple[str, int, str], ...]
-QUOTA_NUMBERS: Numbers = (
+#: name, default and help text of each integer option of a model
+IntegerOptions = tuple[tuple[str, int, str], ...]
+QUOTA_OPTIONS: IntegerOptions = (
     ("depth", 8, "steps from the start"),
     ("shards", 2, "shards that hold of one allocation"),
     ("controllers", 2, "controllers; the first lead a shard each"),
     ("total", 1, "tasks that the allocation has room for"),
     ("most-states", 0, "end after so many states (0: never)"),
 )
-TAKEOVER_NUMBERS: Numbers = (
+TAKEOVER_OPTIONS: IntegerOptions = (
     ("depth", 7, "steps from the start"),
     ("workers", 2, "registered machines"),
     ("tasks", 1, "tasks of one job"),
     ("most-states", 0, "end after so many states (0: never)"),
 )
-GAP_NUMBERS: Numbers = (("lease", 4, "a worker's lease"), ("cancel", 12, "cancel_s"))
+GAP_OPTIONS: IntegerOptions = (("lease", 4, "a worker's lease"), ("cancel", 12, "cancel_s"))
 
 
 def add_commands(commands: Subcommands) -> None:
@@ -33,8 +33,8 @@
     _add_gap(models)
 
 
-def _add_numbers(command: argparse.ArgumentParser, numbers: Numbers, unit: str = "") -> None:
-    for name, default, text in numbers:
+def _add_integer_options(command: argparse.ArgumentParser, options: IntegerOptions, unit: str = "") -> None:
+    for name, default, text in options:
         command.add_argument(f"--{name}", type=int, default=default, help=f"{text}{unit} ({default})")
 
 
@@ -44,19 +44,19 @@
 
 def _add_quota(models: Subcommands) -> None:
     command = models.add_parser("quota", help="the grants of quotas between shards")
-    _add_numbers(command, QUOTA_NUMBERS)
+    _add_integer_options(command, QUOTA_OPTIONS)
     add_guard_options(command)
     _add_step_filter(command)
-    command.set_defaults(act=model_quota)
+    command.set_defaults(handler=model_quota)
 
 
 def _add_takeover(models: Subcommands) -> None:
     command = models.add_parser("takeover", help="one shard's leader, its workers, and its successors")
-    _add_numbers(command, TAKEOVER_NUMBERS)
+    _add_integer_options(command, TAKEOVER_OPTIONS)
     add_guard_options(command)
     _add_step_filter(command)
     command.add_argument("--after", default="", metavar="STEP:N:N,...", help="begin after these steps")
-    command.set_defaults(act=model_takeover)
+    command.set_defaults(handler=model_takeover)
 
 
 def _add_gap(models: Subcommands) -> None:
@@ -64,58 +64,58 @@
         "gap", help="a cancellation that the leader of a task cannot hear of, every history of it"
     )
     add_guard_options(command)
-    _add_numbers(command, GAP_NUMBERS, ", in units of 1.5 s")
-    command.set_defaults(act=model_gap)
+    _add_integer_options(command, GAP_OPTIONS, ", in units of 1.5 s")
+    command.set_defaults(handler=model_gap)
 
 
-def _exit_status(breach: object, without: str) -> int:
-    """0 where a breach was found exactly if a guard was left out."""
-    return 0 if bool(breach) == bool(without) else 1
+def _exit_status(breach: object, omitted_guard: str) -> int:
+    """Return 0 if a breach was found with a guard left out, or none was found with all guards; else 1."""
+    return 0 if bool(breach) == bool(omitted_guard) else 1
 
 
 def model_quota(arguments: argparse.Namespace) -> int:
-    """Explore the grants of quotas."""
+    """Explore the grants of quotas between shards."""
     from quinceslip.quota.commands import run_model
 
-    good, lines = run_model(arguments)
+    as_expected, lines = run_model(arguments)
     print("\n".join(lines))
-    return 0 if good else 1
+    return 0 if as_expected else 1
 
 
 def model_takeover(arguments: argparse.Namespace) -> int:
-    """Explore failovers of one shard."""
+    """Explore the failovers of one shard."""
     from quinceslip.models.takeover import explore, read_steps
 
-    logging.getLogger("quinceslip").setLevel(logging.CRITICAL)  # what it plays goes wrong on purpose
+    logging.getLogger("quinceslip").setLevel(logging.CRITICAL)  # the model provokes errors on purpose
     try:
-        found = explore(
+        result = explore(
             arguments.depth,
             arguments.workers,
             arguments.tasks,
             arguments.without,
             arguments.most_states,
-            words(arguments.only),
+            split_at_commas(arguments.only),
             read_steps(arguments.after),
         )
     except ValueError as error:
         raise SettingsError(str(error)) from error
-    print(f"{found.states} states, {found.depth} steps deep")
-    for what, number, index in found.history:
-        print(f"  {what} {number} {index}")
-    print(found.breach or "no breach")
-    return _exit_status(found.breach, arguments.without)
+    print(f"{result.states} states, {result.depth} steps deep")
+    for step, number, index in result.history:
+        print(f"  {step} {number} {index}")
+    print(result.breach or "no breach")
+    return _exit_status(result.breach, arguments.without)
 
 
 def model_gap(arguments: argparse.Namespace) -> int:
-    """Explore the gap between a cancellation and the end of the leases that a leader still renews."""
+    """Explore the time from a cancellation until the last worker lease that an unaware leader renewed has expired."""
     from quinceslip.models.gap import explore
 
     try:
-        found = explore(arguments.without, lease=arguments.lease, cancel=arguments.cancel)
+        result = explore(arguments.without, lease=arguments.lease, cancel=arguments.cancel)
     except ValueError as error:
         raise SettingsError(str(error)) from error
-    print(f"{found.states} states")
-    for what, *_ in found.history:
-        print(f"  {what}")
-    print(found.breach or f"no breach; the task is there {found.depth} units after its user was told at the most")
-    return _exit_status(found.breach, arguments.without)
+    print(f"{result.states} states")
+    for step, *_ in result.history:
+        print(f"  {step}")
+    print(result.breach or f"no breach; the task is there {result.depth} units after its user was told at the most")
+    return _exit_status(result.breach, arguments.without)
