--- a/quinceslip/protocol/__init__.py
+++ b/quinceslip/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Wire formats and settings: the only place that knows the words on the wire."""
+"""Wire formats and settings. Only this package uses the names on the wire."""
--- a/quinceslip/protocol/frames.py
+++ b/quinceslip/protocol/frames.py
@@ -1,7 +1,7 @@
-"""Frames between controllers, packed by hand with `struct`: a peer's heartbeat, and its observations of cloud capacity.
+"""Binary frames between controllers, packed with `struct`: heartbeats and observations of cloud capacity.
 
-A frame is a header and a payload. A controller passes over kinds of frames that it does not know, so that versions can
-run side by side; within a kind only the end of a payload may grow.
+A frame is a header and a payload. Controllers of different versions run side by side: a controller ignores kinds of
+frames that it does not know, and a newer version may only append to the payload of an existing kind.
 """
 
 import struct
@@ -9,88 +9,87 @@
 
 MAGIC = b"QS"
 VERSION = 4
-#: magic, version, kind, length of the payload
+#: magic, version, kind, payload length in bytes
 HEADER = struct.Struct("!2sBBH")
-#: label, flags, revision of the store, number of shard loads, number of stockouts (of earlier versions, none any more)
+#: label, flags, store revision, number of shard loads, number of stockouts (sent by earlier versions only, now 0)
 HEARTBEAT = struct.Struct("!16sBqHH")
-#: shard, waiting tasks, slots, free slots, service rate, CPUs on quick machines, number of zones
+#: shard, waiting tasks, slots, free slots, service rate, service CPUs on machines with fast image fetches, zones
 LOAD = struct.Struct("!HIIIdIB")
-#: CPUs that services could have in one zone
+#: CPUs available to services in one zone
 ZONE = struct.Struct("!I")
-#: shard, misrouted workers of it; as many as follow, mostly none
+#: shard, number of its misrouted workers; repeated to the end of the payload, usually absent
 MISROUTED = struct.Struct("!HI")
-#: label, start of its process, number of observations
+#: label, start time of the sender's process in milliseconds, number of observations
 OBSERVATIONS = struct.Struct("!16sQH")
-#: machine type, zone, 1 for spot, number, age in milliseconds, machines asked for, machines granted
+#: machine type, zone, 1 for spot, sequence number, age in milliseconds, machines requested, machines granted
 OBSERVATION = struct.Struct("!32s32sBIIHH")
-#: what earlier versions repeated of others' stockouts; read past and not believed
+#: a stockout relayed by an earlier version; skipped on reading
 STOCKOUT = struct.Struct("!32s32sBI")
 KIND_HEARTBEAT = 1
-#: observations of cloud capacity; controllers from before pass over a frame of another kind
+#: observations of cloud capacity; versions without this kind ignore it
 KIND_OBSERVATIONS = 2
 FLAG_STATE_OK = 1
 FLAG_YIELDING = 2
 MAX_MISROUTED_ENTRIES = 64
 MAX_U16 = 2**16 - 1
-#: bytes
-MAX_PAYLOAD = 4096
+MAX_PAYLOAD_BYTES = 4096
 LABEL_BYTES = 16
 NAME_BYTES = 32
 
 
 class FrameError(ValueError):
-    """Bytes that are not a frame of this protocol."""
+    """The bytes are not a valid frame of this protocol version."""
 
 
 @dataclass(slots=True)
 class ShardLoad:
-    """The load of one shard: waiting tasks, slots, free slots, and the tasks that a slot serves in a second."""
+    """The load of one shard; `rate` is the number of tasks that a slot completes per second."""
 
     shard: int
     waiting: int
     slots: int
     free_slots: int
     rate: float
-    service_cpus: list[int]  # CPUs that services could have in each zone, in the order of the settings
-    quick_service_cpus: int = 0  # the part of it on machines that fetch a usual image in time
+    service_cpus: list[int]  # CPUs available to services in each zone, in the order of the settings
+    quick_service_cpus: int = 0  # those of them on machines that can fetch a typical image in time
 
 
 @dataclass(slots=True)
 class PeerHeartbeat:
-    """One controller's sign of life, with the load of the shards that it leads."""
+    """The heartbeat of one controller, with the load of the shards that it leads."""
 
     label: str
     state_ok: bool
     revision: int
     loads: list[ShardLoad]
-    #: it does not reach its workers, so it wants no shard
+    #: the sender cannot reach its workers, so it does not want to lead any shard
     yielding: bool = False
-    #: shard, and how many of its workers sent their heartbeats here although another controller leads it
+    #: shard, and how many of its workers sent heartbeats to this controller although another one leads the shard
     misrouted: list[tuple[int, int]] = field(default_factory=list)
 
 
 @dataclass(slots=True, frozen=True)
 class Observation:
-    """What one controller has seen itself of the cloud's capacity."""
+    """The result of one controller's own request for cloud capacity."""
 
     kind: tuple[str, str, bool]  # machine type, zone, spot
-    process_started_ms: int  # start of the controller's process, milliseconds of wall clock
-    number: int  # counted by that process: a newer observation has a higher one
+    process_started_ms: int  # start of the controller's process, wall clock
+    number: int  # sequence number within that process; newer observations have higher ones
     age_us: int
-    asked: int  # machines
-    granted: int
+    asked: int  # machines requested
+    granted: int  # machines
 
 
 @dataclass(slots=True)
 class PeerObservations:
-    """A controller's own observations; never those of another one."""
+    """The sender's own observations; observations received from peers are not forwarded."""
 
     label: str
     observations: list[Observation]
 
 
 def _u32(amount: int) -> int:
-    """An amount as it fits an unsigned field: a peer without heartbeats is taken for dead, so none may fail to pack."""
+    """Clamp to 32 bits: packing must not fail, as a controller that sends no heartbeats is taken for dead."""
     return min(max(amount, 0), 2**32 - 1)
 
 
@@ -103,27 +102,30 @@
 
 
 def read_header(data: bytes) -> tuple[int, int]:
-    """Kind and payload length in bytes; raises FrameError for another protocol, version or a payload too long."""
+    """Return the frame's kind and payload length in bytes.
+
+    Raises FrameError for another protocol or version, or a payload length above the maximum.
+    """
     magic, version, kind, length = HEADER.unpack(data)
     if magic != MAGIC or version != VERSION:
         raise FrameError(f"bad magic or version: {data[:3]!r}")
-    if length > MAX_PAYLOAD:
+    if length > MAX_PAYLOAD_BYTES:
         raise FrameError(f"payload of {length} bytes")
     return kind, length
 
 
-def read_frame(kind: int, body: bytes) -> PeerHeartbeat | PeerObservations | None:
-    """What a frame says; None for kinds of later versions. Raises FrameError for a payload that is malformed."""
+def read_frame(kind: int, payload: bytes) -> PeerHeartbeat | PeerObservations | None:
+    """Decode a payload; None for kinds of later versions. Raises FrameError for a malformed payload."""
     if kind == KIND_HEARTBEAT:
-        return read_heartbeat(body)
-    return read_observations(body) if kind == KIND_OBSERVATIONS else None
+        return read_heartbeat(payload)
+    return read_observations(payload) if kind == KIND_OBSERVATIONS else None
 
 
 # Heartbeats.
 
 
 def pack_heartbeat(heartbeat: PeerHeartbeat) -> bytes:
-    """The frame of a heartbeat; of misrouted workers the shards with most of them, up to a bound."""
+    """Build the frame of a heartbeat. Of the misrouted counts it keeps the largest `MAX_MISROUTED_ENTRIES`."""
     flags = FLAG_STATE_OK if heartbeat.state_ok else 0
     flags |= FLAG_YIELDING if heartbeat.yielding else 0
     label = heartbeat.label.encode()[:LABEL_BYTES]
@@ -147,48 +149,54 @@
     return packed + b"".join(ZONE.pack(_u32(cpus)) for cpus in load.service_cpus)
 
 
-def read_heartbeat(body: bytes) -> PeerHeartbeat:
-    """The heartbeat of a payload; raises FrameError for a malformed one."""
+def read_heartbeat(payload: bytes) -> PeerHeartbeat:
+    """Decode a heartbeat payload; raises FrameError if it is malformed."""
     try:
-        label, flags, revision, count, stockouts = HEARTBEAT.unpack_from(body)
+        label, flags, revision, load_count, stockout_count = HEARTBEAT.unpack_from(payload)
         offset = HEARTBEAT.size
         loads = []
-        for _ in range(count):
-            load, offset = _read_load(body, offset)
+        for _ in range(load_count):
+            load, offset = _read_load(payload, offset)
             loads.append(load)
-        # Earlier versions mixed what they had heard with what they saw, so nothing of it can be believed.
-        offset += stockouts * STOCKOUT.size
-        # Left out where there are none, so that controllers from before they were sent take the frame as well.
-        misrouted = [(shard, workers) for shard, workers in MISROUTED.iter_unpack(body[offset:])]
+        # Earlier versions relayed stockouts of others together with their own, so they are not reliable: skip them.
+        offset += stockout_count * STOCKOUT.size
+        # Absent if there are none, so that versions from before this field accept the frame as well.
+        misrouted = [(shard, workers) for shard, workers in MISROUTED.iter_unpack(payload[offset:])]
         state_ok, yielding = bool(flags & FLAG_STATE_OK), bool(flags & FLAG_YIELDING)
         return PeerHeartbeat(_label(label), state_ok, revision, loads, yielding, misrouted)
     except (struct.error, UnicodeDecodeError) as error:
         raise FrameError(str(error)) from error
 
 
-def _read_load(body: bytes, offset: int) -> tuple[ShardLoad, int]:
-    """One shard's load, and where the next one begins."""
-    shard, waiting, slots, room, rate, quick_room, zones = LOAD.unpack_from(body, offset)
+def _read_load(payload: bytes, offset: int) -> tuple[ShardLoad, int]:
+    """Decode one shard's load; returns it and the offset of the next one."""
+    shard, waiting, slots, free_slots, rate, quick_service_cpus, zones = LOAD.unpack_from(payload, offset)
     offset += LOAD.size
-    service_room = [ZONE.unpack_from(body, offset + zone * ZONE.size)[0] for zone in range(zones)]
-    return ShardLoad(shard, waiting, slots, room, rate, service_room, quick_room), offset + zones * ZONE.size
+    service_cpus = [ZONE.unpack_from(payload, offset + zone * ZONE.size)[0] for zone in range(zones)]
+    return (
+        ShardLoad(shard, waiting, slots, free_slots, rate, service_cpus, quick_service_cpus),
+        offset + zones * ZONE.size,
+    )
 
 
 # Observations of cloud capacity.
 
 
-def pack_observations(sent: PeerObservations) -> bytes:
-    """The frame of a controller's own observations; the newest come first, and what does not fit is left out."""
-    fitting = [observation for observation in sent.observations if _names_fit(observation)]
-    fitting = fitting[: (MAX_PAYLOAD - OBSERVATIONS.size) // OBSERVATION.size]
+def pack_observations(message: PeerObservations) -> bytes:
+    """Build the frame of a controller's own observations, which are ordered newest first; drops those beyond its size.
+
+    Also drops observations whose names are too long for their fields.
+    """
+    fitting = [observation for observation in message.observations if _names_fit(observation)]
+    fitting = fitting[: (MAX_PAYLOAD_BYTES - OBSERVATIONS.size) // OBSERVATION.size]
     started_ms = fitting[0].process_started_ms if fitting else 0
-    payload = OBSERVATIONS.pack(sent.label.encode()[:LABEL_BYTES], started_ms, len(fitting))
+    payload = OBSERVATIONS.pack(message.label.encode()[:LABEL_BYTES], started_ms, len(fitting))
     payload += b"".join(map(_pack_observation, fitting))
     return _frame(KIND_OBSERVATIONS, payload)
 
 
 def _names_fit(observation: Observation) -> bool:
-    """Whether type and zone fit their fields: cut short, a name would come out as another one."""
+    """Return whether machine type and zone fit their fields: a truncated name could be that of another type or zone."""
     machine_type, zone, _ = observation.kind
     return max(len(machine_type.encode()), len(zone.encode())) <= NAME_BYTES
 
@@ -206,19 +214,20 @@
     )
 
 
-def read_observations(body: bytes) -> PeerObservations:
-    """The observations of a payload; raises FrameError for a malformed one."""
+def read_observations(payload: bytes) -> PeerObservations:
+    """Decode an observations payload; raises FrameError if it is malformed."""
     try:
-        label, started_ms, count = OBSERVATIONS.unpack_from(body)
-        found = [
-            _read_observation(body, OBSERVATIONS.size + place * OBSERVATION.size, started_ms) for place in range(count)
+        label, started_ms, count = OBSERVATIONS.unpack_from(payload)
+        observations = [
+            _read_observation(payload, OBSERVATIONS.size + index * OBSERVATION.size, started_ms)
+            for index in range(count)
         ]
-        return PeerObservations(_label(label), found)
+        return PeerObservations(_label(label), observations)
     except (struct.error, UnicodeDecodeError) as error:
         raise FrameError(str(error)) from error
 
 
-def _read_observation(body: bytes, offset: int, started_ms: int) -> Observation:
-    machine_type, zone, spot, number, age_ms, asked, granted = OBSERVATION.unpack_from(body, offset)
+def _read_observation(payload: bytes, offset: int, started_ms: int) -> Observation:
+    machine_type, zone, spot, number, age_ms, asked, granted = OBSERVATION.unpack_from(payload, offset)
     kind = (_label(machine_type), _label(zone), bool(spot))
     return Observation(kind, started_ms, number, age_ms * 1000, asked, granted)
