--- a/quinceslip/protocol/messages/__init__.py
+++ b/quinceslip/protocol/messages/__init__.py
@@ -1,7 +1,7 @@
 """JSON messages, by counterpart: users, workers, the cloud and the key-value store.
 
-Field names inside the program are the terms of the field (docs/glossary.md); the names given to `field(name=...)` are
-the ones on the wire, and are mapped here and nowhere else.
+Attributes have the names of docs/glossary.md; `field(name=...)` gives the name on the wire. Nothing outside this
+package uses the names on the wire.
 """
 
 from quinceslip.protocol.messages.cloud import (
--- a/quinceslip/protocol/messages/cloud.py
+++ b/quinceslip/protocol/messages/cloud.py
@@ -1,4 +1,4 @@
-"""Messages of the cloud: machine types, scale-out requests, deletions and the list of machines."""
+"""Messages of the cloud API: machine types, scale-out requests, deletions and the machine list."""
 
 from typing import Any
 
@@ -7,15 +7,15 @@
 PATH_MACHINE_TYPES = "/flavors"
 PATH_HOSTS = "/hosts"
 PATH_HOSTS_DELETE = "/hosts/delete"
-#: states of a listed machine that the scheduler knows; any other is as good as running
+#: states of a listed machine that are treated specially; a machine in any other state counts as running
 HOST_FAILED = "failed"
 HOST_BOOTING = "booting"
-#: machines on one page of the list
-LIST_PAGE = 500
+#: maximum number of machines per page of the list
+MACHINES_PER_PAGE = 500
 
 
 class MachineType(Struct, frozen=True):
-    """A type of machine: its size, its price an hour (on demand and spot) and how long a boot takes, in seconds."""
+    """A machine type: its size, its hourly price (on demand and spot), its boot time and its image cache."""
 
     label: str
     cpus: float = field(name="vcpus")
@@ -36,13 +36,13 @@
 
 
 class ScaleOutAnswer(Struct):
-    """The names of the machines that a scale-out request has started."""
+    """The answer to a scale-out request: the names of the started machines."""
 
     machines: list[str] = field(name="berths")
 
 
 class CloudMachine(Struct):
-    """A machine as the cloud lists it; the list lags behind."""
+    """An entry of the cloud's machine list, which lags behind the actual state."""
 
     machine: str = field(name="uid")
     status: str
@@ -54,22 +54,22 @@
 
 
 class MachineListing(Struct):
-    """One page of the cloud's list of machines."""
+    """One page of the cloud's machine list."""
 
     machines: list[CloudMachine] = field(name="berths")
     more: bool = field(name="hasNext", default=False)
 
 
 def scale_out_request(name: str, machine_type: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
-    """An idempotent request for machines: repeated under one name it starts them once."""
+    """Build the body of a request for machines. It is idempotent: requests with the same name start them once."""
     return {"hire": name, "build": machine_type, "yard": zone, "loaners": spot, "howMany": count}
 
 
 def delete_request(names: list[str]) -> dict[str, Any]:
-    """A request to delete machines."""
+    """Build the body of a request to delete machines."""
     return {"berths": names}
 
 
-def machines_path(after: str, limit: int = LIST_PAGE) -> str:
-    """The page of the list that begins after a machine."""
+def machines_path(after: str, limit: int = MACHINES_PER_PAGE) -> str:
+    """Build the path of the list's page that begins after the given machine."""
     return f"{PATH_HOSTS}?since={after}&most={limit}"
--- a/quinceslip/protocol/messages/fields.py
+++ b/quinceslip/protocol/messages/fields.py
@@ -1,10 +1,10 @@
-"""Bounds that several messages share for their fields."""
+"""Constrained field types shared by several messages."""
 
 from typing import Annotated
 
 from msgspec import Meta
 
-#: the largest request body that is read, in bytes (PROTOCOL)
+#: the largest accepted request body, in bytes (PROTOCOL)
 MAX_BODY = 64 * 1024
 
 UnsignedInteger = Annotated[int, Meta(ge=0)]
--- a/quinceslip/protocol/messages/store.py
+++ b/quinceslip/protocol/messages/store.py
@@ -1,4 +1,4 @@
-"""Messages of the consensus-backed key-value store: leases, compare-and-swap, listings and the watch."""
+"""Messages of the consensus-backed key-value store: leases, compare-and-swap, listings and watches."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -9,27 +9,27 @@
 PATH_TXN = "/txn"
 PATH_LEASES = "/holds"
 PATH_KV = "/kv"
-#: in the 400 to a compare-and-swap whose lease has ended (PROTOCOL); any other 400 refuses the changes themselves
+#: text in the 400 response to a compare-and-swap whose lease has expired (PROTOCOL); any other 400 rejects the changes
 NO_LEASE = b"no such lease"
-#: records on one page of a listing
-LIST_PAGE = 500
+#: maximum number of records per page of a listing
+RECORDS_PER_PAGE = 500
 
 
 class LeaseAnswer(Struct):
-    """The id of a lease that was created."""
+    """The answer to a lease request: the id of the new lease."""
 
     lease_id: int = field(name="hold")
 
 
 class CompareAndSwapAnswer(Struct):
-    """The store's revision, and the keys whose condition failed."""
+    """The answer to a compare-and-swap: the store revision, and the keys whose conditions failed."""
 
     revision: int = field(name="ledger")
     failed: list[str] = []
 
 
 class Item(Struct):
-    """A record of a listing, with the revision that last changed it."""
+    """A record in a listing, with the revision of its last change."""
 
     key: str = field(name="k")
     value: msgspec.Raw = field(name="v")
@@ -45,7 +45,7 @@
 
 
 class Event(Struct):
-    """A change of one record: the key that was put, or the key that was deleted."""
+    """A change of one record: `put` is the key that was written, or `delete` the key that was deleted."""
 
     mod_revision: int = field(name="stamp")
     put: str | None = field(name="write", default=None)
@@ -54,38 +54,39 @@
 
 
 class Changes(Struct):
-    """The answer to a watch: what has changed up to a revision."""
+    """The answer to a watch: the changes up to a revision."""
 
     revision: int = field(name="ledger")
     events: list[Event] = []
 
 
 def lease_request(ttl_us: int) -> dict[str, Any]:
-    """A lease that ends unless it is renewed within this time."""
+    """Build the body of a request for a lease that expires unless it is renewed within this time."""
     return {"lifeMs": ttl_us // 1000}
 
 
 def renew_path(lease: int) -> str:
-    """Where a lease is renewed."""
+    """Build the path for renewing a lease."""
     return f"{PATH_LEASES}/{lease}/renew"
 
 
-def list_path(prefix: str, after: str, limit: int = LIST_PAGE) -> str:
-    """The page of a listing that begins after a key."""
+def list_path(prefix: str, after: str, limit: int = RECORDS_PER_PAGE) -> str:
+    """Build the path of a listing's page that begins after the given key."""
     return f"{PATH_KV}?under={prefix}&since={after}&most={limit}"
 
 
 def watch_path(prefix: str, revision: int, wait_ms: int) -> str:
-    """A long poll for what has changed after a revision."""
+    """Build the path of a watch: a long poll for changes after a revision."""
     return f"/changes?under={prefix}&since={revision}&holdMs={wait_ms}"
 
 
 def compare_and_swap_request(
-    conditions: dict[str, int], puts: Mapping[str, tuple[Any, int | None]], drops: list[str]
+    conditions: dict[str, int], puts: Mapping[str, tuple[Any, int | None]], deletions: list[str]
 ) -> dict[str, Any]:
-    """Change records if each condition holds: the revision that last changed a key (0: there is no such record).
+    """Build a compare-and-swap: the changes are made if all conditions hold.
 
-    A put is a value and the lease it is attached to (None: it stays).
+    `conditions` has the revision of the last change expected of each key (0: no such record). `puts` has the new value
+    of each key and the lease that the record is attached to (None: no lease, the record is permanent).
     """
     operations: list[dict[str, Any]] = []
     for key, (value, lease) in puts.items():
@@ -93,7 +94,7 @@
         if lease is not None:
             operation["hold"] = lease
         operations.append(operation)
-    operations += [{"drop": key} for key in drops]
+    operations += [{"drop": key} for key in deletions]
     return {
         "if": [{"k": key, "stamp": mod_revision} for key, mod_revision in conditions.items()],
         "then": operations,
--- a/quinceslip/protocol/messages/users.py
+++ b/quinceslip/protocol/messages/users.py
@@ -1,4 +1,4 @@
-"""Messages of users: submissions, polls and cancellations of jobs, and the health check of the load balancer."""
+"""Messages of users: submitting, polling and cancelling jobs, and the health check of the load balancer."""
 
 import math
 from dataclasses import dataclass
@@ -12,16 +12,16 @@
 
 PATH_JOBS = "/v1/jobs"
 PATH_READY = "/ready"
-#: what a path of `PATH_JOBS` ends with when it cancels a job
+#: suffix of the path that cancels a job
 CANCEL_END = "/cancel"
 
-#: classes of priority on the wire, and the number that orders them: lower goes first
+#: priority of each priority class on the wire; jobs with lower numbers go first
 PRIORITY_CLASSES = {"production": 0, "urgent": 1, "normal": 2, "low": 3}
 _PRIORITY_CLASS_NAMES: tuple[Any, ...] = tuple(PRIORITY_CLASSES)
 
 
 class JobState(StrEnum):
-    """State of a job as its users and its record say it."""
+    """State of a job in answers to users and in job records."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -33,10 +33,10 @@
 
 
 class JobSpec(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What a user submits: a job array, a gang or a service, and what each of its tasks needs.
+    """The specification of a submitted job (a job array, a gang or a service) and of the resources of each task.
 
-    Amounts are of one task; times are in seconds. `estimated_run_s` is the user's guess of a task's run
-    time; `checkpoint_interval_s` is 0 where no checkpoints are made; `checkpoint_cost_s` is what one of them takes.
+    Resource amounts are per task. `estimated_run_s` is the user's estimate of a task's run time;
+    `checkpoint_interval_s` is 0 if the tasks make no checkpoints; `checkpoint_cost_s` is the duration of a checkpoint.
     """
 
     job_id: JobId = field(name="uid")
@@ -59,51 +59,51 @@
     checkpoint_interval_s: Amount = field(name="markEveryS")
     checkpoint_cost_s: Amount = field(name="markCostS")
     deadline_s: Amount | None = field(name="dueS", default=None)
-    #: jobs that have to be done before any task of this one starts (DAG dependencies)
+    #: jobs that must be done before any task of this job starts (DAG dependencies)
     dependencies: list[JobId] = field(name="waitsOn", default=[])
 
     @property
     def service(self) -> bool:
-        """Whether its tasks are replicas that run until they are cancelled."""
+        """Whether the tasks are replicas that run until the job is cancelled."""
         return self.kind == "standing"
 
     @property
     def gang(self) -> bool:
-        """Gang scheduling: all tasks run at the same time or none does."""
+        """Whether the job is gang-scheduled: all of its tasks run at the same time or none does."""
         return self.kind == "group"
 
     @property
     def indivisible(self) -> bool:
-        """Kept in one shard: zones, or starting together, bind the tasks to each other."""
+        """Whether all tasks stay in one shard, since they must start together or their zones depend on each other."""
         return self.service or self.gang or self.spread or self.one_zone
 
     @property
     def priority(self) -> int:
-        """The number of its priority class; 0 goes first."""
+        """The priority of its class; 0 is the highest."""
         return PRIORITY_CLASSES[self.priority_class]
 
 
 def with_priority(spec: JobSpec, priority: int) -> JobSpec:
-    """The same job with another priority (0: production)."""
+    """Return the job with its priority changed (0: production)."""
     if spec.priority == priority:
         return spec
     return msgspec.structs.replace(spec, priority_class=_PRIORITY_CLASS_NAMES[priority])
 
 
 def waiting_on(spec: JobSpec, job_ids: list[str]) -> JobSpec:
-    """The same job, to be started once these are done."""
+    """Return the job with its dependencies changed to these jobs."""
     return spec if spec.dependencies == job_ids else msgspec.structs.replace(spec, dependencies=job_ids)
 
 
 class _IdentifiedJob(Struct):
-    """The one field of a submission that tells which job it is about."""
+    """The only field that is needed to tell which job a malformed submission is about."""
 
     job_id: JobId = field(name="uid")
 
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """A submission that can't be read, and why; `job_id` is empty where it names no job that could be accepted."""
+    """A submission that can't be decoded; `job_id` is empty if it has no valid job id."""
 
     job_id: str
     why: str
@@ -125,7 +125,7 @@
 
 
 def read_submission(body: bytes) -> JobSpec | Malformed:
-    """Decode a submission; a malformed one is still told apart by its id, which may be an accepted job's."""
+    """Decode a submission. A malformed one is returned with its job id, which may be that of an accepted job."""
     try:
         spec = _spec_decoder.decode(body)
         _require_finite_amounts(spec)
@@ -139,7 +139,7 @@
 
 
 def _require_finite_amounts(spec: JobSpec) -> None:
-    """Raise ValidationError for an amount that JSON can write and that is no number to count with."""
+    """Raise ValidationError for amounts such as 1e999, which are valid JSON but are decoded as infinity."""
     for name in _AMOUNT_FIELDS:
         if not math.isfinite(getattr(spec, name) or 0.0):
             raise msgspec.ValidationError(f"the amount is not finite - at `$.{_WIRE_NAMES[name]}`")
@@ -148,7 +148,7 @@
 def job_answer(
     job_id: str, status: str, done: int | None = None, running: int | None = None, why: str | None = None
 ) -> dict[str, Any]:
-    """The answer about a job; `why` is for people: a receiver ignores fields that it does not know (PROTOCOL)."""
+    """Build the answer about a job; `why` is for people, as receivers ignore fields that they don't know (PROTOCOL)."""
     body: dict[str, Any] = {"uid": job_id, "status": status}
     if why is not None:
         body["why"] = why
--- a/quinceslip/protocol/messages/workers.py
+++ b/quinceslip/protocol/messages/workers.py
@@ -1,4 +1,4 @@
-"""Messages of workers: heartbeats with the status of their tasks, and the commands that answer them."""
+"""Messages of workers: heartbeats with the status of their tasks, and commands to them."""
 
 from enum import StrEnum
 from typing import Any
@@ -23,7 +23,7 @@
 
 
 class ExitCause(StrEnum):
-    """Why an attempt exited, where the scheduler treats it in a way of its own."""
+    """Exit causes that the scheduler treats specially."""
 
     DONE = "done"
     HALTED = "halted"
@@ -31,7 +31,7 @@
 
 
 class CommandKind(StrEnum):
-    """What a worker is told to do with an attempt."""
+    """What a worker does with an attempt on a command."""
 
     LAUNCH = "launch"
     STOP = "halt"
@@ -40,12 +40,12 @@
 
 PULLING, FLUSHING, EXITED = TaskState.PULLING, TaskState.FLUSHING, TaskState.EXITED
 CAUSE_DONE, CAUSE_HALTED, CAUSE_ERROR = ExitCause.DONE, ExitCause.HALTED, ExitCause.ERROR
-#: a gang's task that ended because the others did, or never came
+#: exit causes of a gang's task that ended because other tasks of the gang ended or never started
 CAUSES_GANG = ("peers", "incomplete")
 
 
 class TaskStatus(Struct):
-    """One attempt of a task as its worker has it; `why` is the cause once it has exited."""
+    """The status of one attempt of a task on its worker; `why` is the exit cause once it has exited."""
 
     task: str = field(name="pick")
     attempt: UnsignedInteger = field(name="try")
@@ -55,9 +55,10 @@
 
 
 class WorkerHeartbeat(Struct):
-    """A heartbeat with status: the worker, its agent epoch, the fencing token it has seen, and all of its tasks.
+    """A worker's heartbeat: its agent epoch, the fencing token that it has seen, and the status of all its tasks.
 
-    `seq` counts the heartbeats of one epoch. `notice_s` is set once the cloud reclaims the machine in so many seconds.
+    `seq` counts the heartbeats of one epoch. `notice_s` is set once the cloud has announced that it reclaims the
+    machine: the number of seconds until then.
     """
 
     worker: Text = field(name="berth")
@@ -73,7 +74,7 @@
 
 
 def names(body: bytes, worker: str) -> bool:
-    """Whether a reply to `PATH_INSPECT` is a heartbeat of that worker."""
+    """Return whether the answer to `PATH_INSPECT` is a heartbeat of the given worker."""
     try:
         return msgspec.json.decode(body, type=WorkerHeartbeat).worker == worker
     except msgspec.DecodeError:
@@ -81,7 +82,7 @@
 
 
 class Command(Struct, omit_defaults=True):
-    """One command about one attempt; `grace_s` is the time that a stopped task has to save its work."""
+    """A command for one attempt of a task; `grace_s` is the time that a stopped task gets to save its work."""
 
     op: str = field(name="verb")
     task: str = field(name="pick")
@@ -90,29 +91,32 @@
 
 
 def launch(task: str, attempt: int) -> Command:
-    """Start an attempt of a task."""
+    """Build the command that starts an attempt of a task."""
     return Command(CommandKind.LAUNCH, task, attempt)
 
 
 def stop(task: str, attempt: int, grace_s: float) -> Command:
-    """Stop an attempt, with so many seconds to save its work."""
+    """Build the command that stops an attempt, which gets `grace_s` to save its work."""
     return Command(CommandKind.STOP, task, attempt, grace_s)
 
 
 def acknowledge_result(task: str, attempt: int) -> Command:
-    """Let the worker forget an exited attempt: its result is recorded."""
+    """Build the command that lets the worker forget an exited attempt, whose result has been recorded."""
     return Command(CommandKind.ACKNOWLEDGE_RESULT, task, attempt)
 
 
 class CommandReply(Struct):
-    """The answer to a heartbeat; it renews the worker's lease."""
+    """The answer to a heartbeat, which renews the worker's lease."""
 
     fencing_token: int = field(name="baton")
     commands: list[Command] = field(name="orders")
 
 
 class DirectCommands(Struct):
-    """Commands sent to a worker at once; it refuses them for another epoch or under an older fencing token."""
+    """Commands sent to a worker without waiting for its heartbeat.
+
+    The worker rejects them if they are for another epoch or have an older fencing token.
+    """
 
     fencing_token: int = field(name="baton")
     epoch: int = field(name="stint")
@@ -120,5 +124,5 @@
 
 
 def redirect(leader: str | None) -> dict[str, Any]:
-    """The body of a 421: the controller that leads the worker's shard, if it is known."""
+    """Build the body of a 421 response: the controller that leads the worker's shard, if it is known."""
     return {"foreman": leader} if leader else {}
--- a/quinceslip/protocol/settings.py
+++ b/quinceslip/protocol/settings.py
@@ -1,6 +1,6 @@
 """The settings file of the platform (TOML) and the optional one of the operators (INI).
 
-Fields have the names of the files; what they mean is in README and in the platform's pages.
+Fields are named as in the files. The README and the platform's documentation describe them.
 """
 
 import configparser
@@ -15,12 +15,12 @@
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
 
 
-#: subsystems with sections of their own in the operators' file
-SUBSYSTEMS = ("quota",)
+#: subsystems that have their own sections in the operators' file
+SUBSYSTEM_SECTIONS = ("quota",)
 
 
 class SettingsError(Exception):
-    """A settings file that cannot be used; the text names the field."""
+    """Invalid settings; the message names the field."""
 
 
 class Peer(msgspec.Struct, frozen=True):
@@ -39,7 +39,7 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team with its guarantee (`cpus`, `gpus`) and its limit (`..._max`); 0: none."""
+    """A team with its guarantees (`cpus`, `gpus`) and its limits (`..._max`); 0 means none."""
 
     name: Name
     cpus: Amount = 0.0
@@ -59,7 +59,7 @@
 
 
 class WorkerFacts(msgspec.Struct, frozen=True):
-    """Seconds between heartbeats, of a worker's lease, and until a confirmed cancellation must have taken effect."""
+    """Time limits of workers: heartbeat period, lease duration, and deadline for a confirmed cancellation's effect."""
 
     report_s: Positive
     lease_s: Positive
@@ -67,7 +67,7 @@
 
 
 class StateNext(msgspec.Struct, frozen=True):
-    """Limits that the key-value store will have from some moment on, without notice; what is missing stays."""
+    """Limits that the key-value store will change to at an unannounced time; None means no change."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -76,7 +76,11 @@
 
 
 class StateFacts(msgspec.Struct, frozen=True):
-    """Requests and changes a second, KiB of a value, changes of a transaction (four times as many conditions)."""
+    """Limits of the key-value store.
+
+    They are requests and changes per second, KiB per value, and changes per transaction, which may have four times as
+    many conditions.
+    """
 
     rps: Positive
     write_rps: Positive
@@ -85,29 +89,29 @@
     next: StateNext = StateNext()
 
     def lasting(self) -> "StateFacts":
-        """Limits that hold now and after the announced change: the lesser of each. Nothing may rest on others."""
+        """Return limits that hold before and after the announced change; the program relies on no others."""
 
-        def least(now: float, later: float | None) -> float:
-            return now if later is None else min(now, later)
+        def lower(current: float, announced: float | None) -> float:
+            return current if announced is None else min(current, announced)
 
-        later = self.next
+        announced = self.next
         return StateFacts(
-            least(self.rps, later.rps),
-            least(self.write_rps, later.write_rps),
-            least(self.value_kb, later.value_kb),
-            int(least(self.txn_ops, later.txn_ops)),
+            lower(self.rps, announced.rps),
+            lower(self.write_rps, announced.write_rps),
+            lower(self.value_kb, announced.value_kb),
+            int(lower(self.txn_ops, announced.txn_ops)),
         )
 
 
 class CloudFacts(msgspec.Struct, frozen=True):
-    """Calls a second that the cloud takes, and by how much its list of machines lags."""
+    """Limits of the cloud API: calls per second, and the lag of its machine list."""
 
     rps: Positive
     list_lag_s: Amount
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What one controller may use."""
+    """Resource limits of one controller."""
 
     cpu_share: Positive = 1.0
     memory_mb: Positive = 256.0
@@ -115,7 +119,7 @@
 
 
 class Facts(msgspec.Struct, frozen=True):
-    """Facts of the site; `size` is the number of controllers, and of shards."""
+    """Facts about the site; `size` is the number of controllers, which is also the number of shards."""
 
     size: Annotated[int, Meta(ge=1, le=64)]
     zones: list[str]
@@ -129,7 +133,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """Everything that the platform hands over to one controller."""
+    """All settings that the platform gives to one controller."""
 
     label: Name
     location: Name
@@ -141,7 +145,7 @@
 
 
 class Tuning(msgspec.Struct, frozen=True):
-    """What operators may set themselves; every default is derived or taken from the design."""
+    """Optional settings of the operators; every default is derived or follows from the design."""
 
     load_record_s: Positive = 5.0
     balance_period_s: Positive = 10.0
@@ -158,15 +162,15 @@
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Turn "10.0.0.1:8080" into its host and port; raises ValueError for anything else."""
-    host, sep, port = text.rpartition(":")
-    if not sep or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
+    """Split "10.0.0.1:8080" into host and port; raises ValueError if the text is no such address."""
+    host, separator, port = text.rpartition(":")
+    if not separator or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"not an address HOST:PORT: {text!r}")
     return host, int(port)
 
 
 def load_settings(path: Path) -> Settings:
-    """Read and check the platform's settings; raises SettingsError with the file and the field."""
+    """Read and check the platform's settings; raises SettingsError that names the file and the field."""
     try:
         data = path.read_bytes()
     except OSError as error:
@@ -182,7 +186,7 @@
 
 
 def _check_addresses(path: Path, settings: Settings) -> None:
-    """Raise SettingsError for the first field that holds no address."""
+    """Raise SettingsError for the first field whose address is invalid."""
     addresses = {
         "api_addr": settings.api_addr,
         "peer_bind": settings.peer_bind,
@@ -198,9 +202,9 @@
 
 
 def read_operator_file(path: Path | None) -> configparser.ConfigParser:
-    """The operators' own INI file; without one, nothing is set in it.
+    """Read the operators' INI file and check its section names; the result is empty if there is no file.
 
-    Sections of subsystems begin with the subsystem's name and are checked by it.
+    The names of a subsystem's sections begin with the subsystem's name; the subsystem checks their content.
     """
     parser = configparser.ConfigParser(interpolation=None)
     if path is None:
@@ -211,13 +215,13 @@
     except (OSError, UnicodeDecodeError, configparser.Error) as error:
         raise SettingsError(f"{path}: {str(error).splitlines()[0]}") from error
     for section in parser.sections():
-        if section != "quinceslip" and section.split(" ")[0] not in SUBSYSTEMS:
+        if section != "quinceslip" and section.split(" ")[0] not in SUBSYSTEM_SECTIONS:
             raise SettingsError(f"{path}: unknown section [{section}]")
     return parser
 
 
 def load_tuning(path: Path | None, parser: configparser.ConfigParser | None = None) -> Tuning:
-    """Section [quinceslip] of the operators' own file; errors name key and value."""
+    """Read section [quinceslip] of the operators' file; raises SettingsError that names the key and its value."""
     parser = read_operator_file(path) if parser is None else parser
     raw = dict(parser["quinceslip"]) if parser.has_section("quinceslip") else {}
     known = {f.name for f in msgspec.structs.fields(Tuning)}
