--- a/quinceslip/service.py
+++ b/quinceslip/service.py
@@ -1,4 +1,4 @@
-"""Wires one controller together: the actor, its threads and its sockets."""
+"""Assembles one controller: the actor, its clients and its servers."""
 
 import logging
 import threading
@@ -25,30 +25,30 @@
 STATE_THREADS = 8
 LEASE_THREADS = 2
 CLOUD_THREADS = 4
-#: links that each of the controllers may have to this one at a time: an old one may not have ended yet
-LINKS_PER_PEER = 4
-#: room in the actor's inbox beside the requests of connections: heartbeats of peers, answers to the actor's own calls
+#: maximum connections from each peer at a time; more than one, as a peer may reconnect before its old one is closed
+MAX_CONNECTIONS_PER_PEER = 4
+#: capacity of the actor's inbox beyond client requests: for heartbeats of peers and answers to the actor's own calls
 INBOX_MARGIN = 1_000
 
 
 class Service:
-    """One controller: its actor, the clients it calls with, and the sockets it serves."""
+    """One controller: its actor, the clients for outgoing calls, and the servers for incoming ones."""
 
     def __init__(
         self, settings: Settings, tuning: Tuning, subsystem_factories: Sequence[SubsystemFactory] = ()
     ) -> None:
-        """Start all threads; raises `OSError` where an address to listen on can't be had."""
+        """Start all threads; raises `OSError` if an address to listen on can't be bound."""
         threading.stack_size(STACK_BYTES)
         facts = settings.facts
         max_connections = capacity.max_api_connections(facts.limits)
         self.settings = settings
         self.controller = Controller(settings, tuning, steady_us(), wall_us(), subsystem_factories)
-        # Each connection has one request under way. The inbox is full only when the actor is so late that requests
-        # have had their time limits in it: then they are answered 503.
+        # Each connection has at most one request in progress. The inbox is full only if the actor is so late that
+        # requests have timed out while queued; further requests are then answered with 503.
         self.actor = ActorThread(
-            self.controller.handle, self._carry_out, TICK_PERIOD_US, max_inbox=max_connections + INBOX_MARGIN
+            self.controller.handle, self._execute, TICK_PERIOD_US, max_inbox=max_connections + INBOX_MARGIN
         )
-        self._open_pools()
+        self._create_clients()
         self.replies = Replies(self.actor.post)
         self.links = [PeerLink(split_address(peer.endpoint)) for peer in settings.known]
         self.api = ApiServer(
@@ -58,7 +58,9 @@
             [f"/{question}" for subsystem in self.controller.subsystems for question in subsystem.questions],
             max_threads=capacity.request_threads(facts.limits),
         )
-        self.peers = PeerServer(split_address(settings.peer_bind), LINKS_PER_PEER * facts.size, self._on_peer_frame)
+        self.peers = PeerServer(
+            split_address(settings.peer_bind), MAX_CONNECTIONS_PER_PEER * facts.size, self._on_peer_frame
+        )
         timing = Timing(settings)
         self.actor.start()
         if tuning.end_at_standstill:
@@ -75,15 +77,15 @@
         log.info("%s serves users and workers on %s", self.settings.label, self.settings.api_addr)
         self.api.serve_forever()
 
-    def _open_pools(self) -> None:
-        """The clients, each with threads of its own: none waits behind calls to another target."""
+    def _create_clients(self) -> None:
+        """Create a client pool per target, each with its own threads, so that no call waits for another target."""
         facts, post = self.settings.facts, self.actor.post_always
         limits = facts.state.lasting()
         self.state = Pool("state", STATE_THREADS, post, Budget(limits.rps, limits.write_rps, facts.size))
-        self.leases = Pool("lease", LEASE_THREADS, post)  # renewals never wait behind anything else
+        self.leases = Pool("lease", LEASE_THREADS, post)  # separate, so that lease renewals never wait
         self.cloud = Pool("cloud", CLOUD_THREADS, post, Budget(facts.cloud.rps, facts.cloud.rps, facts.size))
-        # A silent worker keeps a thread until the time limit. Probes are mostly of such workers, so
-        # they have threads of their own, and commands to healthy ones never wait behind them.
+        # A call to an unresponsive worker occupies a thread until it times out. Probes mostly go to such workers, so
+        # they have their own threads, and commands to healthy workers never wait for them.
         self.workers = Pool(
             "worker", capacity.WORKER_THREADS, post, max_idle=capacity.max_idle_command_sockets(facts.limits)
         )
@@ -95,7 +97,8 @@
 
         context = self.controller.ctx
         store = split_address(self.settings.outside.state)
-        # The leader's lease, a third of a worker's: until then nothing is lost, then a peer has the shards anyway.
+        # The limit is the leader lease, a third of a worker's: a shorter stall loses nothing, and after a longer one
+        # another controller leads the shards anyway.
         Watchdog(
             self.actor.thread,
             lambda: self.actor.turns + context.progress(),
@@ -105,9 +108,9 @@
         )
 
     def _on_peer_frame(self, frame: PeerFrame) -> None:
-        self.actor.post(PeerFrameReceived(frame))  # one that finds no room is dropped: the next one comes soon
+        self.actor.post(PeerFrameReceived(frame))  # dropped if the inbox is full: the next one comes soon
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         if isinstance(effect, Reply):
             self.replies.give(effect)
         elif isinstance(effect, Call):
--- a/quinceslip/storage/__init__.py
+++ b/quinceslip/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable records in the key-value store (`records`), and this controller's copy of them, kept by the watch."""
+"""Durable records in the key-value store, and this controller's cache of them, kept up to date by the watch."""
--- a/quinceslip/storage/cache.py
+++ b/quinceslip/storage/cache.py
@@ -1,4 +1,4 @@
-"""The records of the key-value store as this controller knows them, kept up to date by the watch."""
+"""A cache of all records in the key-value store, kept up to date by the watch."""
 
 import logging
 from collections.abc import Mapping
@@ -12,30 +12,29 @@
 
 log = logging.getLogger(__name__)
 
-#: deletions that are remembered, so that older changes that come late don't bring the keys back
+#: maximum remembered deletions; they keep late events with older changes from restoring deleted keys
 MAX_REMEMBERED_DELETIONS = 32_000
 
-# Plain strings: what is done for each record costs less with them than with members of an enumeration.
+# Plain strings, since they are cheaper than enum members in code that runs for each record.
 _JOB, _SHARD, _PARTITION = RecordKind.JOB.value, RecordKind.SHARD.value, RecordKind.PARTITION.value
 
 
 class StoreCache:
-    """All records as this controller knows them, with the `mod_revision` of each.
+    """A copy of all records, with the `mod_revision` of each.
 
-    Own writes are applied when their answer comes, so the watch may bring them again, and may still bring older ones:
-    the larger `mod_revision` wins.
+    This controller's own writes are applied as soon as they are answered. The watch may deliver them again, and may
+    still deliver older changes afterwards, so the larger `mod_revision` wins.
     """
 
-    #: kind and name of a key
     split = staticmethod(records.split_key)
 
     def __init__(self) -> None:
         self.kinds: dict[str, Any] = {str(kind): record_type for kind, record_type in KINDS.items()}
-        #: store revision at the last page of the last listing; None before the first
+        #: store revision of the last page of the latest listing; None before the first listing
         self.listing_revision: int | None = None
         #: store revision up to which all changes are known
         self.revision = 0
-        #: records decoded so far: a long listing is one message, and counts as progress of the actor
+        #: number of records decoded so far; shows the actor's progress while it handles a long listing as one message
         self.records_taken = 0
         self.mod_revisions: dict[str, int] = {}
         #: the records of each kind by name
@@ -44,45 +43,49 @@
         self.deleted: dict[str, int] = {}
         #: jobs that are neither done nor cancelled by their own records
         self.open_jobs: dict[str, JobRecord] = {}
-        #: the services among them
+        #: the services among `open_jobs`
         self.open_services: dict[str, JobRecord] = {}
 
     def register_kind(self, kinds: Mapping[str, Any]) -> None:
-        """Keep a subsystem's kinds of records as well; `kinds` gives the type of each."""
+        """Add a subsystem's kinds of records; `kinds` has the record type of each."""
         self.kinds.update(kinds)
         for kind in kinds:
             self.by_kind.setdefault(kind, {})
 
     @property
     def synced(self) -> bool:
-        """Whether all records are known as of one moment.
+        """Whether the cache is a consistent snapshot, on which decisions may be based.
 
-        Guard: the pages of a listing are of different moments, so they may show a shard as free and not yet what its
-        last leader did before. Nothing is decided by them until the watch has brought what came in between.
+        Guard: the pages of a listing are read at different revisions, so they may show a shard as free without the
+        earlier changes of its last leader. The listing is not used until the watch has delivered the changes made
+        while it was read.
         """
         return self.listing_revision is not None and self.revision >= self.listing_revision
 
     # Changes.
 
-    def apply_listing(self, items: list[Item], revision: int, until: int = 0) -> list[str]:
-        """Take a full listing, read from `revision` on up to `until`; returns every key that changed."""
+    def apply_listing(self, items: list[Item], revision: int, last_page_revision: int = 0) -> list[str]:
+        """Apply a full listing and return the keys that changed.
+
+        `revision` and `last_page_revision` are the store revisions of its first and last page.
+        """
         changed = self._remove_unlisted({item.key for item in items}, revision)
         for item in items:
             if self._apply(item.key, item.value, item.mod_revision):
                 changed.append(item.key)
         self.revision = max(self.revision, revision)
-        self.listing_revision = until
+        self.listing_revision = last_page_revision
         return changed
 
     def _remove_unlisted(self, listed: set[str], revision: int) -> list[str]:
-        """Remove the records that a listing would contain if they still existed."""
-        gone = [key for key in self.mod_revisions if key not in listed and self.mod_revisions[key] <= revision]
-        for key in gone:
+        """Remove records that are missing from a listing and not newer than it; returns their keys."""
+        deleted = [key for key in self.mod_revisions if key not in listed and self.mod_revisions[key] <= revision]
+        for key in deleted:
             self._remove(key, revision)
-        return gone
+        return deleted
 
     def apply_changes(self, events: list[Event], revision: int) -> list[str]:
-        """Take what the watch brought up to `revision`, oldest first; returns the keys that changed."""
+        """Apply the events of the watch up to `revision`, oldest first; returns the keys that changed."""
         changed: list[str] = []
         for event in sorted(events, key=lambda event: event.mod_revision):
             if event.put is not None:
@@ -97,9 +100,9 @@
         return changed
 
     def _apply(self, key: str, raw: msgspec.Raw, mod_revision: int) -> bool:
-        """Decode and store one record; returns whether it is news.
+        """Decode and store one record; returns whether the cache changed.
 
-        An advisory record that can't be read counts as deleted; any other raises `msgspec.DecodeError`.
+        An advisory record that can't be decoded counts as deleted; any other raises `msgspec.DecodeError`.
         """
         self.records_taken += 1
         kind = key.split("/")[1]
@@ -109,11 +112,11 @@
         except msgspec.DecodeError as error:
             if kind not in ADVISORY:
                 raise
-            log.info("record unreadable and treated as absent key=%s error=%s", key, error)
+            log.info("cannot decode advisory record, treated as absent key=%s error=%s", key, error)
             return self.delete(key, mod_revision)
 
     def store(self, key: str, value: Any, mod_revision: int) -> bool:
-        """Keep the value of a key, unless something as new is known; returns whether it was kept."""
+        """Store a record unless the known change of its key is as new or newer; returns whether it was stored."""
         if self._is_outdated(key, mod_revision):
             return False
         self.mod_revisions[key] = mod_revision
@@ -125,7 +128,7 @@
         return True
 
     def delete(self, key: str, mod_revision: int) -> bool:
-        """Forget a key, unless something as new is known; returns whether a record of it was known."""
+        """Delete a record unless the known change of its key is as new or newer; returns whether there was one."""
         if self._is_outdated(key, mod_revision):
             return False
         return self._remove(key, mod_revision)
@@ -135,13 +138,13 @@
 
     def _remove(self, key: str, mod_revision: int) -> bool:
         self.deleted[key] = mod_revision
-        known = self.mod_revisions.pop(key, None) is not None
+        existed = self.mod_revisions.pop(key, None) is not None
         kind, name = records.split_key(key)
         if kind in self.by_kind:
             self.by_kind[kind].pop(name, None)
         if kind == _JOB:
             self._unindex_job(name)
-        return known
+        return existed
 
     def _index_job(self, job_id: str, job: JobRecord) -> None:
         if job.state != QUEUED:
@@ -158,19 +161,19 @@
     # Queries.
 
     def mod_revision(self, key: str) -> int:
-        """Store revision of the last change of a key; 0 where no record of it is known."""
+        """Return the store revision of the last change of a key; 0 if it has no record."""
         return self.mod_revisions.get(key, 0)
 
     def job(self, job_id: str) -> JobRecord | None:
-        """The record of a job."""
+        """Return the record of a job."""
         return self.by_kind[_JOB].get(job_id)
 
     def shard(self, shard: int) -> ShardRecord | None:
-        """The record of a shard; None while nobody leads it."""
+        """Return the record of a shard; None if no controller leads it."""
         return self.by_kind[_SHARD].get(str(shard))
 
     def partition(self, shard: int, job_id: str) -> PartitionRecord | None:
-        """The partition of an open job that a shard has, whichever record contains it."""
+        """Return a shard's partition of an open job, from the job's record or the partition's own."""
         job = self.job(job_id)
         if job is None or job.state != QUEUED:
             return None
@@ -179,14 +182,14 @@
         return self.by_kind[_PARTITION].get(f"{shard}/{job_id}")
 
     def partition_record_key(self, shard: int, job_id: str) -> str:
-        """Key of the record that contains a shard's partition of a job: at the home shard that of the job itself."""
+        """Return the key of the record that contains a shard's partition of a job; at the home shard, the job's."""
         job = self.job(job_id)
         if job is not None and job.shard == shard:
             return records.job_key(job_id)
         return records.partition_key(shard, job_id)
 
     def partitions(self, job_id: str) -> dict[int, PartitionRecord]:
-        """All partitions of an open job, by shard."""
+        """Return all partitions of an open job by shard."""
         job = self.job(job_id)
         if job is None or job.state != QUEUED:
             return {}
@@ -194,5 +197,5 @@
         return {shard: partition for shard, partition in found.items() if partition is not None}
 
     def done_count(self, job_id: str) -> int:
-        """How many tasks of a job are recorded as done, over all its partitions."""
+        """Return the number of tasks of a job that are recorded as done in any of its partitions."""
         return sum(len(task_sets.decode(partition.done)) for partition in self.partitions(job_id).values())
--- a/quinceslip/storage/records.py
+++ b/quinceslip/storage/records.py
@@ -1,36 +1,37 @@
-"""What is written where: every key of the key-value store, its record, and who writes it.
+"""The schema of the key-value store: all keys, their records, and the modules that write them.
 
-All keys are below `PREFIX`, so that one watch carries every change. The second part of a key is the record's kind
-(`RecordKind`); what follows is its name, unique within the kind.
+All keys begin with `PREFIX`, so that a single watch delivers all changes. The second part of a key is the record's kind
+(`RecordKind`); the rest is its name, which is unique within the kind.
 
 ====================  ======================  ==================================================================
-Key below `PREFIX`    Record                  Written by
+Key after `PREFIX`    Record                  Written by
 ====================  ======================  ==================================================================
 term                  `TermRecord`            `coordination.leadership`, with every claim of a shard
 shard/<shard>         `ShardRecord`           `coordination.leadership`; attached to the leader's lease, so that it
-                                              is deleted when this expires
+                                              is deleted when the lease expires
 job/<job id>          `JobRecord`             `coordination.controller` on acceptance and cancellation;
-                                              `coordination.jobs` for results, moves and the job's end;
-                                              `dependencies.cancellation` for jobs cancelled through others
+                                              `coordination.jobs` for results, moves, the job's end, and
+                                              cancellation because a dependency was cancelled
 part/<shard>/<job>    `PartitionRecord`       `coordination.jobs`, for partitions that moved to another shard;
                                               deleted there or by `coordination.controller` after the job's end
 roster/<worker>       `MachineRecord`         `coordination.autoscaling` when a machine is enrolled, adopted or
                                               deleted; `coordination.shard` before the first launch on it
 hire/<request>        `ScaleOutRecord`        `coordination.autoscaling`, before the cloud is asked for machines
 load/<shard>          `LoadRecord`            `coordination.load_balancing`, every few seconds
-standstill/<label>    `StallRecord`           `transport.watchdog`, before a stalled controller ends itself
-stray/<label>         `MisroutedRecord`       `coordination.leadership`, while misrouted workers report to it
+standstill/<label>    `StallRecord`           `transport.stall_journal`, before a stalled controller exits
+stray/<label>         `MisroutedRecord`       `coordination.connectivity`, while misrouted workers report to the
+                                              controller
 types                 `list[MachineType]`     `coordination.autoscaling`; read by controllers that start while the
                                               cloud can't be reached
 supports/<label>      `SupportsRecord`        `feature_gate`; attached to the controller's lease
-rollout               `LevelRecord`           `feature_gate`; it only rises
+rollout               `LevelRecord`           `feature_gate`; the level never decreases
 ====================  ======================  ==================================================================
 
-<label> is a controller's name in the settings. Subsystems add kinds of their own (`StoreCache.register_kind`): the
-quotas `grant`, `want` and `tree` (`quota.allocations`).
+<label> is a controller's label in its settings. Subsystems add their own kinds (`StoreCache.register_kind`): the
+quotas add `grant`, `want` and `tree` (`quota.allocations`).
 
-Names and values are stored data, which other versions read and write: field names given by `msgspec.field(name=...)`
-and the values of `RecordKind` never change.
+Other versions read and write the stored records, so the stored field names (those of `msgspec.field(name=...)`, if
+given) and the values of `RecordKind` must not change.
 """
 
 from enum import StrEnum
@@ -42,7 +43,7 @@
 
 
 class RecordKind(StrEnum):
-    """The kinds of records; the value is the part of a key that follows `PREFIX`."""
+    """The kinds of records; the value is the part of the key after `PREFIX`."""
 
     TERM = "term"
     SHARD = "shard"
@@ -59,86 +60,89 @@
 
 
 PREFIX = "q/"
-#: the counter that every term comes from
+#: key of the counter from which all terms are taken
 TERM = PREFIX + RecordKind.TERM
-#: the machine types that the cloud offers
+#: key of the machine types that the cloud offers
 TYPES = PREFIX + RecordKind.MACHINE_TYPES
-#: the feature level that all controllers act by
+#: key of the feature level that is active on all controllers
 ROLLOUT = PREFIX + RecordKind.ACTIVE_LEVEL
-#: a key that is never written: a read of it returns the store revision and nothing else
+#: a key that is never written: reading it returns only the store revision
 NOTHING = "none"
 
 
 def shard_key(shard: int) -> str:
-    """Key of the `ShardRecord` of a shard."""
+    """Return the key of a shard's `ShardRecord`."""
     return f"{PREFIX}{RecordKind.SHARD}/{shard}"
 
 
 def job_key(job_id: str) -> str:
-    """Key of the `JobRecord` of a job."""
+    """Return the key of a job's `JobRecord`."""
     return f"{PREFIX}{RecordKind.JOB}/{job_id}"
 
 
 def partition_key(shard: int, job_id: str) -> str:
-    """Key of the `PartitionRecord` of a job at a shard other than its home shard."""
+    """Return the key of a job's `PartitionRecord` at a shard other than its home shard."""
     return f"{PREFIX}{RecordKind.PARTITION}/{shard}/{job_id}"
 
 
 def machine_key(worker: str) -> str:
-    """Key of the `MachineRecord` of a worker."""
+    """Return the key of a worker's `MachineRecord`."""
     return f"{PREFIX}{RecordKind.MACHINE}/{worker}"
 
 
 def scale_out_key(name: str) -> str:
-    """Key of the `ScaleOutRecord` of a request for machines."""
+    """Return the key of the `ScaleOutRecord` of a request for machines."""
     return f"{PREFIX}{RecordKind.SCALE_OUT}/{name}"
 
 
 def misrouted_key(label: str) -> str:
-    """Key of the `MisroutedRecord` of a controller."""
+    """Return the key of a controller's `MisroutedRecord`."""
     return f"{PREFIX}{RecordKind.MISROUTED}/{label}"
 
 
 def supports_key(label: str) -> str:
-    """Key of the `SupportsRecord` of a controller."""
+    """Return the key of a controller's `SupportsRecord`."""
     return f"{PREFIX}{RecordKind.SUPPORTS}/{label}"
 
 
 def load_key(shard: int) -> str:
-    """Key of the `LoadRecord` of a shard."""
+    """Return the key of a shard's `LoadRecord`."""
     return f"{PREFIX}{RecordKind.LOAD}/{shard}"
 
 
 def split_key(key: str) -> tuple[str, str]:
-    """Kind and name of a key; the name of a partition's record is "<shard>/<job id>", that of a single record ""."""
+    """Split a key into kind and name.
+
+    The name of a partition's record is "<shard>/<job id>"; a kind with a single record has the name "".
+    """
     _, kind, *rest = key.split("/", 2)
     return kind, rest[0] if rest else ""
 
 
 class TermRecord(msgspec.Struct):
-    """The highest term that any leader was given."""
+    """The highest term that has been given to any leader."""
 
     term: int
 
 
 class ShardRecord(msgspec.Struct):
-    """The leader of a shard, by its label, and its term."""
+    """The label of a shard's leader, and its term."""
 
     leader: str = msgspec.field(name="owner")
     term: int
 
 
 class PartitionRecord(msgspec.Struct, omit_defaults=True):
-    """The tasks of a job that one shard answers for, and those of them that are done (`task_sets`)."""
+    """The tasks of a job that are assigned to one shard, and which of them are done (encoded by `task_sets`)."""
 
     assigned: str = msgspec.field(name="own")
     done: str = ""
-    #: the only zones this partition may use, where a spread service is split between shards; empty: any
+    #: zones that a partition of a spread service split between shards is restricted to; empty: any zone
     zones: list[str] = []
 
 
 class JobRecord(msgspec.Struct, omit_defaults=True):
-    """A job: while it is open its specification and its home partition, then its final state alone."""
+    """A job. The specification and the home partition are only stored while the job is open."""
 
     #: QUEUED, DONE or CANCELLED of `protocol.messages`
     state: str
@@ -148,28 +152,28 @@
     shard: int = 0
     #: the home partition
     partition: PartitionRecord | None = msgspec.field(name="chunk", default=None)
-    #: wall clock at acceptance, of a finished job at its end; only for order and deadlines
+    #: wall clock time when the job was accepted, or ended if it is final; used only for ordering and deadlines
     at_us: int = 0
-    #: shards that have partitions of it besides the home shard
+    #: shards other than the home shard that have a partition of the job
     parts: list[int] = []
-    #: number of tasks that were done when the job ended
+    #: number of tasks done when the job ended
     done: int = 0
 
 
 class MachineRecord(msgspec.Struct, omit_defaults=True):
-    """An entry of the machine registry: a machine that may have tasks of a shard."""
+    """An entry of the machine registry: a machine that may run tasks of a shard."""
 
     shard: int
     type: str
     zone: str
     spot: bool
     endpoint: str = ""
-    #: set before the first launch: a machine without it has no task
+    #: set before the first launch, so a machine without it has no tasks
     used: bool = False
 
 
 class ScaleOutRecord(msgspec.Struct):
-    """A request for machines that is about to be sent to the cloud."""
+    """A scale-out request, written before it is sent to the cloud."""
 
     shard: int
     type: str
@@ -179,7 +183,11 @@
 
 
 class LoadRecord(msgspec.Struct):
-    """The load of a shard: waiting tasks, slots, tasks a second it completes and receives, free slots."""
+    """The load of a shard.
+
+    `rate` is the number of tasks that a slot completes per second, `arrivals` the number of tasks that arrive at the
+    shard per second, and `room` the number of free slots.
+    """
 
     waiting: int
     slots: int
@@ -189,7 +197,7 @@
 
 
 class StallRecord(msgspec.Struct):
-    """The latest stall of a controller: in which part, how many in a row, and when (wall clock)."""
+    """The latest stall of a controller: the stalled part, the number of consecutive stalls, and the wall clock time."""
 
     part: str
     times: int
@@ -197,7 +205,7 @@
 
 
 class MisroutedRecord(msgspec.Struct):
-    """By shard, how many of its workers report to this controller, which does not lead it."""
+    """Pairs of a shard that this controller does not lead and the number of its workers that report to it."""
 
     misrouted: list[tuple[int, int]] = msgspec.field(name="strays")
 
@@ -209,12 +217,12 @@
 
 
 class LevelRecord(msgspec.Struct):
-    """The feature level that all controllers act by."""
+    """The feature level that is active on all controllers."""
 
     level: int
 
 
-#: the type of the record of each kind
+#: the record type of each kind
 KINDS: dict[str, Any] = {
     RecordKind.TERM: TermRecord,
     RecordKind.SHARD: ShardRecord,
@@ -230,16 +238,17 @@
     RecordKind.ACTIVE_LEVEL: LevelRecord,
 }
 
-#: kinds that no safety rule rests on: one that can't be read is treated as absent, so that it doesn't cost its batch.
-#: Without what a controller supports its feature gate stays shut; the active level itself is not among them.
+#: Kinds that no safety rule depends on: a record that can't be decoded is treated as absent, so that the rest of its
+#: batch is still applied. Without a controller's `SUPPORTS` record the feature level is not raised. `ACTIVE_LEVEL` is
+#: not advisory.
 ADVISORY = frozenset({RecordKind.LOAD, RecordKind.STALL, RecordKind.MISROUTED, RecordKind.SUPPORTS})
 
 
 def is_final(job: JobRecord) -> bool:
-    """Whether a job is done or cancelled, which never changes again."""
+    """Return whether a job is done or cancelled; such a state never changes."""
     return job.state in (DONE, CANCELLED)
 
 
 def final_record(job: JobRecord, state: str, done: int, at_us: int = 0) -> JobRecord:
-    """What is kept of a finished job: enough to answer its users, and from when its dependents may start."""
+    """Build the record of an ended job: what answers to its users need, and when its dependents may start."""
     return JobRecord(state=state, tasks=job.tasks, done=done, at_us=at_us)
--- a/quinceslip/storage/task_sets.py
+++ b/quinceslip/storage/task_sets.py
@@ -1,15 +1,15 @@
-"""Compact text for sets of task numbers, as stored in job records."""
+"""A compact text encoding for sets of task numbers, used in job records."""
 
 import base64
 
-#: longest ranges, in characters, that are kept without looking whether a bitmap is shorter
+#: ranges up to this length, in characters, are used without checking whether a bitmap is shorter
 MAX_PLAIN_RANGES_LENGTH = 64
-#: first character of a bitmap; ranges begin with a digit
+#: marks a bitmap; ranges begin with a digit
 BITMAP_MARK = "~"
 
 
 def encode(numbers: set[int]) -> str:
-    """Write a set as ranges ("0-4,7"), or as a bitmap in base 85 where that is shorter."""
+    """Encode a set as ranges ("0-4,7"), or as a bitmap in base 85 if that is shorter."""
     if not numbers:
         return ""
     ordered = sorted(numbers)
@@ -21,7 +21,7 @@
 
 
 def decode(text: str) -> set[int]:
-    """Read what `encode` wrote; raises ValueError for anything else."""
+    """Decode the output of `encode`; raises ValueError for anything else."""
     if not text:
         return set()
     if text.startswith(BITMAP_MARK):
@@ -30,7 +30,7 @@
 
 
 def _encode_ranges(ordered: list[int]) -> str:
-    """Ranges of ascending numbers, of which there is at least one."""
+    """Encode a non-empty list of ascending numbers as ranges."""
     parts: list[str] = []
     first = last = ordered[0]
     for number in ordered[1:]:
@@ -55,7 +55,7 @@
 
 
 def _encode_bitmap(ordered: list[int]) -> str:
-    """One bit a number, from the lowest bit of the first byte on."""
+    """Encode numbers as a bitmap, beginning with the lowest bit of the first byte."""
     bitmap = bytearray(ordered[-1] // 8 + 1)
     for number in ordered:
         bitmap[number // 8] |= 1 << (number % 8)
@@ -64,4 +64,4 @@
 
 def _decode_bitmap(text: str) -> set[int]:
     bitmap = base64.b85decode(text)
-    return {8 * place + bit for place, byte in enumerate(bitmap) if byte for bit in range(8) if byte >> bit & 1}
+    return {8 * index + bit for index, byte in enumerate(bitmap) if byte for bit in range(8) if byte >> bit & 1}
--- a/quinceslip/subsystems.py
+++ b/quinceslip/subsystems.py
@@ -1,21 +1,21 @@
-"""Which subsystems a controller takes in, by its settings. What is off is not imported."""
+"""Selects the subsystems that a controller's settings enable. Disabled ones are not imported."""
 
 import configparser
 
 from quinceslip.coordination.controller.subsystem import SubsystemFactory
 from quinceslip.protocol.settings import Settings
 
-#: sections of the operators' file whose first word is this one name a quota level
+#: first word of the sections of the operators' file that define quota levels
 QUOTA_SECTION = "quota"
 
 
 def subsystem_factories(
     settings: Settings, operators: configparser.ConfigParser, source: str = "", fair_teams: bool = True
 ) -> list[SubsystemFactory]:
-    """The subsystems that are switched on; raises SettingsError for what cannot be used.
+    """Return the factories of the enabled subsystems; raises SettingsError for invalid settings.
 
-    `operators` is the operators' file and `source` its name, for messages. `fair_teams`: several teams divide what is
-    free between them even where nothing limits or guarantees them anything.
+    `operators` is the operators' file, and `source` its name for error messages. With `fair_teams`, teams share free
+    resources fairly even if none of them has a limit or a guarantee.
     """
     factories: list[SubsystemFactory] = []
     if _uses_quotas(settings, operators, fair_teams):
@@ -29,7 +29,7 @@
 
 
 def _uses_quotas(settings: Settings, operators: configparser.ConfigParser, fair_teams: bool) -> bool:
-    """Whether the operators name quota levels, a team has a limit or a guarantee, or teams are to share fairly."""
+    """Return whether quota levels, or a team's limit or guarantee are configured, or several teams share fairly."""
     teams = settings.facts.teams
     if any(section.split(" ")[0] == QUOTA_SECTION for section in operators.sections()):
         return True
--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Start a quinceslip controller with the libraries that the build put under target/deps."""
+"""Start the quinceslip command line with the libraries that the build installed in target/deps."""
 
 import sys
 from pathlib import Path
