--- a/quinceslip/coordination/autoscaling/consolidation.py
+++ b/quinceslip/coordination/autoscaling/consolidation.py
@@ -153,6 +153,6 @@
             continue
         if spec.image in worker.images:
             return worker
-        if targets.may_fetch and fetching is None and not shard.placement.slow_fetch(worker, spec):
+        if targets.may_fetch and fetching is None and not shard.placement.fetch_too_slow(worker, spec):
             fetching = worker
     return fetching
--- a/quinceslip/coordination/autoscaling/machine_types.py
+++ b/quinceslip/coordination/autoscaling/machine_types.py
@@ -55,7 +55,7 @@
         self.ctx.quick_types = {
             machine_type.label
             for machine_type in self.ctx.types.values()
-            if 2 * sum(placement.quick_type(machine_type, spec) for spec in specs) > len(specs)
+            if 2 * sum(placement.fetches_in_time(machine_type, spec) for spec in specs) > len(specs)
         }
 
     def _on_types_answered(self, status: int, body: bytes) -> None:
--- a/quinceslip/coordination/jobs/partition_mover.py
+++ b/quinceslip/coordination/jobs/partition_mover.py
@@ -80,7 +80,7 @@
 
     # What may move.
 
-    def movable(self, partition: JobPartition) -> list[int]:
+    def movable_tasks(self, partition: JobPartition) -> list[int]:
         """Tasks certain not to be running; all or nothing where zones bind the tasks together."""
         # A job that is suspected of a crash loop stays where that is known.
         if _is_unsettled(partition) or partition.crash_loop.suspected:
--- a/quinceslip/coordination/jobs/persistence.py
+++ b/quinceslip/coordination/jobs/persistence.py
@@ -71,9 +71,9 @@
             self.urgency_changed(job_id)
         self.results.write_due()
 
-    def movable(self, partition: JobPartition) -> list[int]:
-        """Tasks that may be moved to another shard (`PartitionMover.movable`)."""
-        return self.mover.movable(partition)
+    def movable_tasks(self, partition: JobPartition) -> list[int]:
+        """Tasks that may be moved to another shard (`PartitionMover.movable_tasks`)."""
+        return self.mover.movable_tasks(partition)
 
     def split_zones(self, partition: JobPartition) -> ZoneSplit | None:
         """How a spread service may be split between two shards (`PartitionMover.split_zones`)."""
--- a/quinceslip/coordination/load_balancing/load_balancer.py
+++ b/quinceslip/coordination/load_balancing/load_balancer.py
@@ -88,7 +88,7 @@
     def job_ready(self, shard: Shard, partition: JobPartition) -> None:
         """Take a job whose dependencies are done as an arrival at its shard, which forwards it as in the paper."""
         self.tasks_arrived(partition.spec)
-        indices = shard.persistence.movable(partition)
+        indices = shard.persistence.movable_tasks(partition)
         if not indices or not self.election.may_launch(shard.index):
             return
         loads = self.load_collector.collect()
--- a/quinceslip/coordination/load_balancing/service_moves.py
+++ b/quinceslip/coordination/load_balancing/service_moves.py
@@ -51,7 +51,7 @@
         """Move what waits of a service to the shard with the most room for it, if one has enough."""
         allowed_zones = partition.zones or set(self.ctx.settings.facts.zones)
         split = None
-        if not shard.persistence.movable(partition):
+        if not shard.persistence.movable_tasks(partition):
             split = shard.persistence.split_zones(partition)
             if split is None:
                 return
--- a/quinceslip/coordination/load_balancing/task_moves.py
+++ b/quinceslip/coordination/load_balancing/task_moves.py
@@ -50,7 +50,7 @@
     """
     if partition.on_hold:
         return []
-    return shard.persistence.movable(partition)
+    return shard.persistence.movable_tasks(partition)
 
 
 def _tasks_that_fit(partition: JobPartition, indices: list[int], free_slots: int) -> list[int]:
--- a/quinceslip/coordination/scheduling/ageing.py
+++ b/quinceslip/coordination/scheduling/ageing.py
@@ -12,7 +12,7 @@
 
 from quinceslip.coordination.actor.context import Context
 from quinceslip.coordination.actor.timing import SECOND, micros
-from quinceslip.coordination.shard_state.partition import NOT, OLD, ONE, WHOLE, JobPartition
+from quinceslip.coordination.shard_state.partition import NORMAL, AGED, FIRST_TASK, WHOLE_JOB, JobPartition
 
 #: users: the largest jobs of a class too begin within this long of their submission
 START_BOUND_US = 240 * SECOND
@@ -48,7 +48,7 @@
         boot_times_us = [micros(machine_type.boot_s) for machine_type in self.ctx.types.values()]
         bound_us = starvation_bound_us(max(boot_times_us, default=0), micros(run_s))
         for partition in queue:
-            precedence = self._precedence(partition, bound_us) if self.ctx.tuning.bound_waits else NOT
+            precedence = self._precedence(partition, bound_us) if self.ctx.tuning.bound_waits else NORMAL
             if not partition.precedence:
                 partition.precedence_since_us = self.ctx.now_us
             partition.precedence = precedence
@@ -60,12 +60,12 @@
         waited_us = self.ctx.wall_us - partition.submitted_us
         # What failed has begun, and a suspected job is tried one task at a time: neither is passed over.
         if waited_us < bound_us or not partition.startable() or partition.crash_loop.suspected:
-            return NOT
+            return NORMAL
         if partition.spec.service or partition.spec.gang:
-            return WHOLE
+            return WHOLE_JOB
         if not (partition.attempts or partition.done or partition.unrecorded_done or partition.failures):
-            return ONE
-        return OLD if waited_us >= START_BOUND_US else NOT
+            return FIRST_TASK
+        return AGED if waited_us >= START_BOUND_US else NORMAL
 
     def _grant_starts(self, queue: list[JobPartition], starts_per_s: float) -> None:
         """Grant starts that do not depend on what the teams have: to the largest jobs first.
--- a/quinceslip/coordination/scheduling/independent_tasks.py
+++ b/quinceslip/coordination/scheduling/independent_tasks.py
@@ -7,7 +7,7 @@
 from quinceslip.coordination.scheduling.preemption import Preemption
 from quinceslip.coordination.scheduling.quota_gate import QuotaGate
 from quinceslip.coordination.scheduling.task_launcher import TaskLauncher
-from quinceslip.coordination.shard_state.partition import ONE, JobPartition
+from quinceslip.coordination.shard_state.partition import FIRST_TASK, JobPartition
 from quinceslip.coordination.shard_state.state import ShardState
 from quinceslip.coordination.shard_state.worker import Worker, fits
 
@@ -92,4 +92,4 @@
 
     def _single_start_made(self, turn: _Turn) -> bool:
         """Whether the partition goes before others with one task only, and that one has started."""
-        return turn.partition.precedence == ONE and self.launcher.launched > turn.launched_before
+        return turn.partition.precedence == FIRST_TASK and self.launcher.launched > turn.launched_before
--- a/quinceslip/coordination/scheduling/machine_preference.py
+++ b/quinceslip/coordination/scheduling/machine_preference.py
@@ -67,13 +67,13 @@
         )
         return min(suitable, key=lambda worker: self._sort_key(partition, worker), default=None)
 
-    def slow_fetch(self, worker: Worker, spec: m.JobSpec) -> bool:
+    def fetch_too_slow(self, worker: Worker, spec: m.JobSpec) -> bool:
         """Whether the fetch of its image alone takes longer than users want to wait for a start."""
         if worker.type is None or spec.image in worker.images:
             return False
-        return not self.quick_type(worker.type, spec)
+        return not self.fetches_in_time(worker.type, spec)
 
-    def quick_type(self, machine_type: m.MachineType, spec: m.JobSpec) -> bool:
+    def fetches_in_time(self, machine_type: m.MachineType, spec: m.JobSpec) -> bool:
         """Whether a machine of that type fetches the image of the task within the wait that users accept."""
         max_wait_s = self._max_wait_s.get(spec.job_class)
         return max_wait_s is None or spec.image_gb <= USABLE_FETCH_FRACTION * max_wait_s * machine_type.fetch_gb_per_s
@@ -111,7 +111,7 @@
             # takes longer than users want to wait.
             size = worker.type.cpus if worker.type else 0.0
             return (
-                float(self.slow_fetch(worker, spec)),
+                float(self.fetch_too_slow(worker, spec)),
                 uncached,
                 float(size > OVERSIZED_FACTOR * (service_cpus + spec.cpus)),
                 size - service_cpus - spec.cpus,
--- a/quinceslip/coordination/scheduling/placement.py
+++ b/quinceslip/coordination/scheduling/placement.py
@@ -42,13 +42,13 @@
         """Zones in which more machines are of use to the job, once the tasks that are kept wait as well; None: any."""
         return zone_constraints.eligible_zones(self.state, partition, count_kept=False)
 
-    def slow_fetch(self, worker: Worker, spec: m.JobSpec) -> bool:
+    def fetch_too_slow(self, worker: Worker, spec: m.JobSpec) -> bool:
         """Whether the fetch of the image there takes too long: see `machine_preference`."""
-        return self.preference.slow_fetch(worker, spec)
+        return self.preference.fetch_too_slow(worker, spec)
 
-    def quick_type(self, machine_type: m.MachineType, spec: m.JobSpec) -> bool:
+    def fetches_in_time(self, machine_type: m.MachineType, spec: m.JobSpec) -> bool:
         """Whether machines of that type fetch the image in time: see `machine_preference`."""
-        return self.preference.quick_type(machine_type, spec)
+        return self.preference.fetches_in_time(machine_type, spec)
 
     def place_waiting(self) -> None:
         """Place waiting tasks: priority first, then first come, first served."""
@@ -67,7 +67,7 @@
         for round_queue in [queue] if quota is None else quota.fair_share_rounds(queue, machines.all()):
             self.passes.run(round_queue, machines, whole_shard=True)
 
-    def place_on(self, worker: Worker) -> None:
+    def place_on_worker(self, worker: Worker) -> None:
         """Place waiting tasks on one worker that has room again."""
         state = self.state
         if state.needs_placement or not state.election.may_launch(state.index) or not self.usable(worker):
--- a/quinceslip/coordination/scheduling/placement_pass.py
+++ b/quinceslip/coordination/scheduling/placement_pass.py
@@ -16,7 +16,7 @@
 from quinceslip.coordination.scheduling.task_launcher import TaskLauncher
 from quinceslip.coordination.scheduling.zone_bound_tasks import ZoneBoundTaskPlacer
 from quinceslip.coordination.scheduling.zone_constraints import eligible_zones
-from quinceslip.coordination.shard_state.partition import NOT, ONE, JobPartition
+from quinceslip.coordination.shard_state.partition import NORMAL, FIRST_TASK, JobPartition
 from quinceslip.coordination.shard_state.state import ShardState
 from quinceslip.coordination.shard_state.worker import EPSILON, Worker
 
@@ -98,9 +98,9 @@
 
     def _after_precedence(self, context: PassContext, partition: JobPartition, started: bool) -> None:
         """What went first has begun, or machines are reserved for it."""
-        if partition.precedence == ONE and started:
+        if partition.precedence == FIRST_TASK and started:
             # The others of its tasks wait their turn again, in the next pass.
-            partition.precedence = NOT
+            partition.precedence = NORMAL
             self.state.reorder()
             self.state.needs_placement = True
         elif not started and partition.startable() and not partition.on_hold and self.quota_gate.allows_one(partition):
--- a/quinceslip/coordination/scheduling/preemption.py
+++ b/quinceslip/coordination/scheduling/preemption.py
@@ -87,7 +87,7 @@
         return (
             self.eligibility.usable(worker)
             and satisfies_constraints(worker, spec, zones)
-            and not (quick_only and self.preference.slow_fetch(worker, spec))
+            and not (quick_only and self.preference.fetch_too_slow(worker, spec))
         )
 
     def _plan(self, partition: JobPartition, worker: Worker) -> PreemptionPlan | None:
@@ -109,7 +109,7 @@
         if not room.has_room_for(spec):
             return None
         uncached_cost = UNCACHED_COST * (spec.image not in worker.images)
-        slow_fetch_cost = SLOW_FETCH_COST * self.preference.slow_fetch(worker, spec)
+        slow_fetch_cost = SLOW_FETCH_COST * self.preference.fetch_too_slow(worker, spec)
         return PreemptionPlan(lost_cpu_s + uncached_cost + slow_fetch_cost, worker, victims)
 
     def _policy(self, partition: JobPartition) -> PreemptionPolicy:
--- a/quinceslip/coordination/scheduling/reservation.py
+++ b/quinceslip/coordination/scheduling/reservation.py
@@ -15,7 +15,7 @@
 from quinceslip.coordination.scheduling.ageing import Ageing
 from quinceslip.coordination.scheduling.machine_room import MachineRoom
 from quinceslip.coordination.scheduling.zone_constraints import max_tasks_per_zone
-from quinceslip.coordination.shard_state.partition import OLD, JobPartition
+from quinceslip.coordination.shard_state.partition import AGED, JobPartition
 from quinceslip.coordination.shard_state.worker import Worker
 from quinceslip.protocol import messages as m
 
@@ -78,7 +78,7 @@
         """
         # Guard: only for what has a start granted or is old, or a flood of single tasks would keep machines from other
         # teams.
-        if not partition.start_due and partition.precedence != OLD:
+        if not partition.start_due and partition.precedence != AGED:
             return
         # What goes first takes the next place that is large enough; within a usual run each place comes free once.
         if self.ctx.now_us < partition.precedence_since_us + self.ageing.typical_run_us:
--- a/quinceslip/coordination/scheduling/zone_bound_tasks.py
+++ b/quinceslip/coordination/scheduling/zone_bound_tasks.py
@@ -61,7 +61,7 @@
         free = self.preference.best(partition, offered, zones, index)
         if not context.whole_shard:
             return free
-        if free is not None and not (spec.service and self.preference.slow_fetch(free, spec)):
+        if free is not None and not (spec.service and self.preference.fetch_too_slow(free, spec)):
             return free
         # Room that is free but slow to fetch is only second to room that can be made.
         return self.preemption.make_room(partition, context.machines, zones, quick_only=free is not None) or free
--- a/quinceslip/coordination/shard/heartbeats.py
+++ b/quinceslip/coordination/shard/heartbeats.py
@@ -89,7 +89,7 @@
         worker.lease_renewed_us = max(worker.lease_renewed_us, shard.ctx.now_us)
         if not worker.registered:
             shard.registration.to_register.add(worker.name)
-        shard.placement.place_on(worker)
+        shard.placement.place_on_worker(worker)
         may_launch = shard.election.may_launch(shard.index)
         reply = m.CommandReply(shard.term, shard.command_sender.commands_for(worker, may_launch))
         worker.delivery.answer_sent(heartbeat, shard.term, reply.commands)
--- a/quinceslip/coordination/shard_state/partition.py
+++ b/quinceslip/coordination/shard_state/partition.py
@@ -18,8 +18,8 @@
     AGED = 3  # it has begun, but has been waiting for longer than the starvation bound
 
 
-# Names that ageing and placement still use.
-NOT, ONE, WHOLE, OLD = Precedence.NORMAL, Precedence.FIRST_TASK, Precedence.WHOLE_JOB, Precedence.AGED
+# Short names for ageing and placement.
+NORMAL, FIRST_TASK, WHOLE_JOB, AGED = Precedence.NORMAL, Precedence.FIRST_TASK, Precedence.WHOLE_JOB, Precedence.AGED
 
 _AWAITING_START = (Precedence.FIRST_TASK, Precedence.WHOLE_JOB)
 
