--- a/quinceslip/coordination/autoscaling/absorption.py
+++ b/quinceslip/coordination/autoscaling/absorption.py
@@ -16,7 +16,7 @@
     capacity = sum(s.capacity for r in loads if credible(s := Station(r.slots, r.rate)))
     if capacity <= 0:
         return MAX_ABSORBED_PART
-    arrivals: float = sum(r.arrivals for r in loads if credible_rate(r.arrivals))
+    arrivals: float = sum(r.arrival_rate for r in loads if credible_rate(r.arrival_rate))
     return min(MAX_ABSORBED_PART, max(MIN_ABSORBED_PART, 1.0 - arrivals / capacity))
 
 
--- a/quinceslip/coordination/controller/record_changes.py
+++ b/quinceslip/coordination/controller/record_changes.py
@@ -53,7 +53,7 @@
         Dependencies come first: whether a job may start rests on the records of others in the same batch. Jobs that
         became ready or more urgent by it come last.
         """
-        keys = [StoreCache.split(key) for key in changed_keys]
+        keys = [StoreCache.split_key(key) for key in changed_keys]
         pipelines = self.ctx.graph.records_changed([name for kind, name in keys if kind == JOB_KIND])
         for kind, name in keys:
             self.ctx.records_applied += 1
--- a/quinceslip/coordination/reconciliation/address_probes.py
+++ b/quinceslip/coordination/reconciliation/address_probes.py
@@ -72,4 +72,4 @@
             check.probing = False
             check.next_probe_us = self.ctx.now_us  # its tasks after the command settle the address, or another does
 
-        self.ctx.call(check.endpoint, "POST", m.PATH_DO, commands, on_reply)
+        self.ctx.call(check.endpoint, "POST", m.PATH_COMMANDS, commands, on_reply)
--- a/quinceslip/coordination/reconciliation/attempt_outcomes.py
+++ b/quinceslip/coordination/reconciliation/attempt_outcomes.py
@@ -45,7 +45,7 @@
                 self._clear_suspicion_of_service(attempt)
         attempt.state = status.state
         if status.state == m.EXITED:
-            self._exited(worker, attempt, status.why or m.CAUSE_ERROR)
+            self._exited(worker, attempt, status.exit_cause or m.CAUSE_ERROR)
 
     def _clear_suspicion_of_service(self, attempt: Attempt) -> None:
         """Take a replica that runs long enough as proof that its job is in no crash loop."""
@@ -65,7 +65,7 @@
             partition.unreconciled.discard(attempt.index)  # final, whatever the other workers report
             self.on_completed(worker, attempt, partition)
             return
-        if cause in m.CAUSES_GANG:
+        if cause in m.GANG_EXIT_CAUSES:
             self._pause(partition, attempt.index, GANG_RETRY_US)
         elif cause != m.CAUSE_HALTED:
             self._failed(worker, attempt, partition)
--- a/quinceslip/liveness/stall_records.py
+++ b/quinceslip/liveness/stall_records.py
@@ -28,14 +28,14 @@
 
 def next_exit_us(record: StallRecord | None, lease_us: int) -> int:
     """Wall clock before which this controller does not end itself again; 0 where it never did."""
-    return record.at_us + pause_us(record.times, lease_us) if record is not None else 0
+    return record.at_us + pause_us(record.stalls, lease_us) if record is not None else 0
 
 
 def next_record(record: StallRecord | None, part: str, wall_us: int, lease_us: int) -> StallRecord:
     """The record of one more end, in `part`; ends are in a row while the last pause is not twice over."""
-    if record is None or wall_us >= record.at_us + 2 * pause_us(record.times, lease_us):
+    if record is None or wall_us >= record.at_us + 2 * pause_us(record.stalls, lease_us):
         return StallRecord(part, 1, wall_us)
-    return StallRecord(part, record.times + 1, wall_us)
+    return StallRecord(part, record.stalls + 1, wall_us)
 
 
 def rests(record: StallRecord | None, part: str, wall_us: int, lease_us: int) -> bool:
--- a/quinceslip/plotting.py
+++ b/quinceslip/plotting.py
@@ -24,7 +24,7 @@
     return module
 
 
-def rows(count: int, width: float) -> tuple[Any, Any]:
+def stacked_plots(count: int, width: float) -> tuple[Any, Any]:
     """Create a figure of `count` stacked plots that share the x axis; returns it and its plots, top to bottom.
 
     `width` is in inches. Raises SettingsError if matplotlib is not installed.
--- a/quinceslip/protocol/frames.py
+++ b/quinceslip/protocol/frames.py
@@ -33,7 +33,7 @@
 MAX_MISROUTED_ENTRIES = 64
 MAX_U16 = 2**16 - 1
 #: bytes
-MAX_PAYLOAD = 4096
+MAX_PAYLOAD_BYTES = 4096
 LABEL_BYTES = 16
 NAME_BYTES = 32
 
@@ -110,7 +110,7 @@
     magic, version, kind, length = HEADER.unpack(data)
     if magic != MAGIC or version != VERSION:
         raise FrameError(f"bad magic or version: {data[:3]!r}")
-    if length > MAX_PAYLOAD:
+    if length > MAX_PAYLOAD_BYTES:
         raise FrameError(f"payload of {length} bytes")
     return kind, length
 
@@ -189,7 +189,7 @@
     Also drops observations whose names are too long for their fields.
     """
     fitting = [observation for observation in message.observations if _names_fit(observation)]
-    fitting = fitting[: (MAX_PAYLOAD - OBSERVATIONS.size) // OBSERVATION.size]
+    fitting = fitting[: (MAX_PAYLOAD_BYTES - OBSERVATIONS.size) // OBSERVATION.size]
     started_ms = fitting[0].process_started_ms if fitting else 0
     payload = OBSERVATIONS.pack(message.label.encode()[:LABEL_BYTES], started_ms, len(fitting))
     payload += b"".join(map(_pack_observation, fitting))
--- a/quinceslip/protocol/messages/users.py
+++ b/quinceslip/protocol/messages/users.py
@@ -13,7 +13,7 @@
 PATH_JOBS = "/v1/jobs"
 PATH_READY = "/ready"
 #: suffix of the path that cancels a job
-CANCEL_END = "/cancel"
+CANCEL_SUFFIX = "/cancel"
 
 #: priority of each priority class on the wire; jobs with lower numbers go first
 PRIORITY_CLASSES = {"production": 0, "urgent": 1, "normal": 2, "low": 3}
@@ -90,7 +90,7 @@
     return msgspec.structs.replace(spec, priority_class=_PRIORITY_CLASS_NAMES[priority])
 
 
-def waiting_on(spec: JobSpec, job_ids: list[str]) -> JobSpec:
+def with_dependencies(spec: JobSpec, job_ids: list[str]) -> JobSpec:
     """Return the job with its dependencies changed to these jobs."""
     return spec if spec.dependencies == job_ids else msgspec.structs.replace(spec, dependencies=job_ids)
 
@@ -102,11 +102,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Malformed:
+class MalformedSubmission:
     """A submission that can't be decoded; `job_id` is empty if it has no valid job id."""
 
     job_id: str
-    why: str
+    reason: str
 
 
 _spec_decoder = msgspec.json.Decoder(JobSpec)
@@ -124,18 +124,18 @@
 _WIRE_NAMES = {f.name: f.encode_name for f in msgspec.structs.fields(JobSpec)}
 
 
-def read_submission(body: bytes) -> JobSpec | Malformed:
+def read_submission(body: bytes) -> JobSpec | MalformedSubmission:
     """Decode a submission. A malformed one is returned with its job id, which may be that of an accepted job."""
     try:
         spec = _spec_decoder.decode(body)
         _require_finite_amounts(spec)
         return spec
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        why = str(error)
+        reason = str(error)
     try:
-        return Malformed(_identity_decoder.decode(body).job_id, why)
+        return MalformedSubmission(_identity_decoder.decode(body).job_id, reason)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-        return Malformed("", why)
+        return MalformedSubmission("", reason)
 
 
 def _require_finite_amounts(spec: JobSpec) -> None:
--- a/quinceslip/protocol/messages/workers.py
+++ b/quinceslip/protocol/messages/workers.py
@@ -10,7 +10,7 @@
 
 PATH_HEARTBEAT = "/hello"
 PATH_INSPECT = "/inspect"
-PATH_DO = "/do"
+PATH_COMMANDS = "/do"
 
 
 class TaskState(StrEnum):
@@ -41,16 +41,16 @@
 PULLING, FLUSHING, EXITED = TaskState.PULLING, TaskState.FLUSHING, TaskState.EXITED
 CAUSE_DONE, CAUSE_HALTED, CAUSE_ERROR = ExitCause.DONE, ExitCause.HALTED, ExitCause.ERROR
 #: exit causes of a gang's task that ended because other tasks of the gang ended or never started
-CAUSES_GANG = ("peers", "incomplete")
+GANG_EXIT_CAUSES = ("peers", "incomplete")
 
 
 class TaskStatus(Struct):
-    """The status of one attempt of a task on its worker; `why` is the exit cause once it has exited."""
+    """The status of one attempt of a task on its worker; `exit_cause` is set once it has exited."""
 
     task: str = field(name="pick")
     attempt: UnsignedInteger = field(name="try")
     state: str = field(name="status")
-    why: str | None = field(name="cause", default=None)
+    exit_cause: str | None = field(name="cause", default=None)
     saved: bool | None = None
 
 
@@ -73,7 +73,7 @@
     tasks: list[TaskStatus] = field(name="picks", default_factory=list)
 
 
-def names(body: bytes, worker: str) -> bool:
+def is_heartbeat_of(body: bytes, worker: str) -> bool:
     """Return whether the answer to `PATH_INSPECT` is a heartbeat of the given worker."""
     try:
         return msgspec.json.decode(body, type=WorkerHeartbeat).worker == worker
--- a/quinceslip/protocol/settings.py
+++ b/quinceslip/protocol/settings.py
@@ -88,7 +88,7 @@
     txn_ops: Annotated[int, Meta(ge=1)]
     next: StateNext = StateNext()
 
-    def lasting(self) -> "StateFacts":
+    def lowest_limits(self) -> "StateFacts":
         """Return limits that hold before and after the announced change; the program relies on no others."""
 
         def lower(current: float, announced: float | None) -> float:
--- a/quinceslip/service.py
+++ b/quinceslip/service.py
@@ -69,7 +69,7 @@
             settings.outside.state,
             self.actor.post_always,
             min(timing.leader_lease_us // 4, SECOND),
-            pause_us=int(SECOND * facts.size * 4 / facts.state.lasting().rps),
+            pause_us=int(SECOND * facts.size * 4 / facts.state.lowest_limits().rps),
         )
 
     def run(self) -> None:
@@ -80,7 +80,7 @@
     def _create_clients(self) -> None:
         """Create a client pool per target, each with its own threads, so that no call waits for another target."""
         facts, post = self.settings.facts, self.actor.post_always
-        limits = facts.state.lasting()
+        limits = facts.state.lowest_limits()
         self.state = Pool("state", STATE_THREADS, post, Budget(limits.rps, limits.write_rps, facts.size))
         self.leases = Pool("lease", LEASE_THREADS, post)  # separate, so that lease renewals never wait
         self.cloud = Pool("cloud", CLOUD_THREADS, post, Budget(facts.cloud.rps, facts.cloud.rps, facts.size))
--- a/quinceslip/storage/records.py
+++ b/quinceslip/storage/records.py
@@ -27,7 +27,7 @@
 rollout               `LevelRecord`           `feature_gate`; the level never decreases
 ====================  ======================  ==================================================================
 
-<label> is a controller's label in its settings. Subsystems add their own kinds (`StoreCache.register_kind`): the
+<label> is a controller's label in its settings. Subsystems add their own kinds (`StoreCache.register_kinds`): the
 quotas add `grant`, `want` and `tree` (`quota.allocations`).
 
 Other versions read and write the stored records, so the stored field names (those of `msgspec.field(name=...)`, if
@@ -61,13 +61,13 @@
 
 PREFIX = "q/"
 #: key of the counter from which all terms are taken
-TERM = PREFIX + RecordKind.TERM
+TERM_KEY = PREFIX + RecordKind.TERM
 #: key of the machine types that the cloud offers
-TYPES = PREFIX + RecordKind.MACHINE_TYPES
+MACHINE_TYPES_KEY = PREFIX + RecordKind.MACHINE_TYPES
 #: key of the feature level that is active on all controllers
-ROLLOUT = PREFIX + RecordKind.ACTIVE_LEVEL
+ACTIVE_LEVEL_KEY = PREFIX + RecordKind.ACTIVE_LEVEL
 #: a key that is never written: reading it returns only the store revision
-NOTHING = "none"
+UNUSED_KEY = "none"
 
 
 def shard_key(shard: int) -> str:
@@ -155,7 +155,7 @@
     #: wall clock time when the job was accepted, or ended if it is final; used only for ordering and deadlines
     at_us: int = 0
     #: shards other than the home shard that have a partition of the job
-    parts: list[int] = []
+    other_shards: list[int] = msgspec.field(name="parts", default=[])
     #: number of tasks done when the job ended
     done: int = 0
 
@@ -185,22 +185,22 @@
 class LoadRecord(msgspec.Struct):
     """The load of a shard.
 
-    `rate` is the number of tasks that a slot completes per second, `arrivals` the number of tasks that arrive at the
-    shard per second, and `room` the number of free slots.
+    `rate` is the number of tasks that a slot completes per second, `arrival_rate` the number of tasks that arrive at
+    the shard per second.
     """
 
     waiting: int
     slots: int
     rate: float
-    arrivals: float
-    room: int = 0
+    arrival_rate: float = msgspec.field(name="arrivals")
+    free_slots: int = msgspec.field(name="room", default=0)
 
 
 class StallRecord(msgspec.Struct):
-    """The latest stall of a controller: the stalled part, the number of consecutive stalls, and the wall clock time."""
+    """The latest stall of a controller: the stalled part, the number of stalls in a row, and the wall clock time."""
 
     part: str
-    times: int
+    stalls: int = msgspec.field(name="times")
     at_us: int
 
 
