--- a/quinceslip/bench/capacity.py
+++ b/quinceslip/bench/capacity.py
@@ -50,7 +50,7 @@
 
 def write_page(runs: Sequence[Run], target: Path) -> str:
     """Plot both figures over the number of controllers, with and without sharing; returns a summary line."""
-    figure, axes = plotting.rows(2, 8)
+    figure, axes = plotting.stacked_plots(2, 8)
     for sharing, name in ((True, "shared"), (False, "not shared")):
         _draw_runs(axes, name, [run for run in runs if run["told"] == sharing])
     axes[0].set_title("refused requests per minute and exhausted pool", loc="left", fontsize=9)
--- a/quinceslip/bench/fleet/machines.py
+++ b/quinceslip/bench/fleet/machines.py
@@ -117,7 +117,7 @@
     def answer(self, call: fx.Call) -> Answer:
         """Handle a direct call; the answer is a heartbeat."""
         machine = self._by_endpoint[call.target]
-        if call.path == m.PATH_DO:
+        if call.path == m.PATH_COMMANDS:
             self._execute_commands(machine, call.body.fencing_token, call.body.commands)
         return Answer(OK, machine.heartbeat())
 
