--- a/tests/simulation/checker.py
+++ b/tests/simulation/checker.py
@@ -1,4 +1,4 @@
-"""Judges a run by the rules of the protocol, from what machines did and what users were answered."""
+"""Checks a run against the rules of the protocol, from what machines did and the answers that users got."""
 
 from typing import TYPE_CHECKING
 
@@ -15,7 +15,7 @@
 
 
 class Checker:
-    """The face of all rules: the world reports what happens, scenarios read what was observed and what was broken."""
+    """Entry point of all rules: the world reports events to it, scenarios read its observations and breaches."""
 
     def __init__(self, world: "World") -> None:
         self.observed = Observations(world)
@@ -28,28 +28,28 @@
 
     @property
     def breaches(self) -> list[str]:
-        """What was broken so far: each as `SECONDS RULE: what happened`."""
+        """The breaches found so far, each as `SECONDS RULE: what happened`."""
         return self.observed.breaches
 
     def submission_attempted(self, job_id: str) -> None:
-        """A user's attempt to submit a job; the first one counts."""
+        """Record the first time that a user tries to submit a job; later attempts change nothing."""
         self.observed.first_submitted_us.setdefault(job_id, self.observed.now_us)
 
     def cancellation_requested(self, job_id: str) -> None:
-        """A user's wish to cancel a job, whether or not it reaches a controller."""
+        """Record that a user wants to cancel a job, whether or not the request reaches a controller."""
         self.observed.cancel_requested.add(job_id)
 
     def task_completed(self, task: str) -> None:
-        """A task has done all its work; a worker may say so later, or never."""
+        """Record that a task has finished its work; its worker may report that later, or never."""
         self.observed.completed.add(task)
         self.observed.completed_us.setdefault(task, self.observed.now_us)
 
     def sample(self) -> None:
-        """What is judged at regular moments: who waits beside room."""
+        """Run the periodic check: does a job wait although there is room for it?"""
         self.starvation.sample()
 
     def finish(self, judge_served: bool = True) -> None:
-        """What is judged at the end of a run; without `judge_served`, not what was served by then."""
+        """Run the checks at the end of a run; `judge_served=False` omits the check that accepted work was served."""
         self.machines.check_nothing_cancelled_runs()
         for job_id in self.observed.last_answer_us:
             self.answers.check_silence(job_id)
--- a/tests/simulation/checks/__init__.py
+++ b/tests/simulation/checks/__init__.py
@@ -1,1 +1,1 @@
-"""The checker's rules by concern: what machines do, what users are answered, waiting beside room, the end of a run."""
+"""The checker's rules by subject: task execution, answers to users, starvation, quota, and the end of a run."""
--- a/tests/simulation/checks/controllers.py
+++ b/tests/simulation/checks/controllers.py
@@ -1,4 +1,4 @@
-"""Rules about the insides of controllers, judged at each of their ticks: no task is lost, no hearsay made younger."""
+"""Rules about the internal state of controllers, checked at each tick: no lost task, no falsified peer observation."""
 
 from typing import TYPE_CHECKING
 
@@ -9,7 +9,8 @@
 if TYPE_CHECKING:
     from tests.simulation.controller import SimulatedController
 
-#: what frames of this network's latency and their milliseconds may make of a moment, beside slow links
+#: how much later a peer may date an observation than its origin: network latency without slow links, and the
+#: rounding of times in frames to milliseconds
 MAX_FRAME_DELAY_US = 10_000
 
 
@@ -20,14 +21,14 @@
         self.observed = observed
 
     def check(self, controller: "SimulatedController", actor: Controller) -> None:
-        """Judge one controller that is up."""
+        """Check one running controller."""
         for shard in actor.shards.values():
             for partition in shard.partitions.values():
                 self._check_no_task_lost(controller.label, partition)
         self._check_observations(controller.label, actor)
 
     def _check_no_task_lost(self, label: str, partition: JobPartition) -> None:
-        """Each unfinished task waits, runs, or is known to be in doubt: none that nobody will start."""
+        """Check that each unfinished task is pending, running or known to be in doubt; any other would never start."""
         on_hold = partition.crash_loop.on_hold
         lost = (
             partition.assigned
@@ -43,21 +44,21 @@
             self.observed.breach("stuck", f"{label} has lost {sorted(lost)[:3]} of {partition.job_id}")
         is_started = partition.attempts or partition.indeterminate or partition.unreconciled
         if on_hold and not partition.pending and not is_started:
-            self.observed.breach("stuck", f"{label} tries nothing of {partition.job_id}")
+            self.observed.breach("stuck", f"{label} tries no task of {partition.job_id}")
 
     def _check_observations(self, label: str, actor: Controller) -> None:
-        """What is known of a peer's capacity observations is one of its own, and as old as it is."""
+        """Check that each copy of a peer's capacity observation has the version and the age of the peer's own."""
         for origin, observations in actor.autoscaler.capacity.all_observations().items():
             peer = self.observed.world.controllers[origin].actor
             own = {} if peer is None else peer.autoscaler.capacity.all_observations().get(origin, {})
-            for kind, known in observations.items():
+            for kind, copy in observations.items():
                 original = own.get(kind)
-                known_version = (known.observation.process_started_ms, known.observation.number)
-                is_wrong = known.at_us > self.observed.now_us
+                copy_version = (copy.observation.process_started_ms, copy.observation.number)
+                is_wrong = copy.at_us > self.observed.now_us
                 if original is not None:
                     original_version = (original.observation.process_started_ms, original.observation.number)
                     latest_us = original.at_us + MAX_FRAME_DELAY_US + self.observed.world.link_delay_us
-                    is_wrong |= known_version > original_version
-                    is_wrong |= known_version == original_version and not original.at_us <= known.at_us <= latest_us
+                    is_wrong |= copy_version > original_version
+                    is_wrong |= copy_version == original_version and not original.at_us <= copy.at_us <= latest_us
                 if is_wrong:
-                    self.observed.breach("hearsay", f"{label} knows more of {kind} than {origin} saw")
+                    self.observed.breach("hearsay", f"{label} has an observation of {kind} that {origin} never made")
--- a/tests/simulation/checks/end_of_run.py
+++ b/tests/simulation/checks/end_of_run.py
@@ -1,12 +1,12 @@
-"""Rules for the end of a run: accepted work was served, in time and in every class and team (docs/end-of-day.md)."""
+"""Rules for the end of a run: accepted work was served in time, in every class and team (docs/end-of-day.md)."""
 
 from collections import defaultdict
 
 from tests.simulation.checks.observations import Observations
 from tests.simulation.clock import US
 
-#: the largest jobs of a class begin within this long of the first attempt to submit them
-BEGIN_S = 240
+#: the largest jobs of a class must start within this time of the moment that they are ready
+MAX_START_DELAY_S = 240
 
 
 class EndOfRunChecks:
@@ -16,41 +16,49 @@
         self.observed = observed
 
     def check_served(self) -> None:
-        """Half of each group, and all work once troubles are long over, of what is older than the bound."""
+        """Check the jobs that have been ready for longer than the completion bound.
+
+        Half of each group must be served; all of them once the bound has passed since the last fault.
+        """
         groups = self._class_and_team_groups()
-        groups_of_largest = self._largest_of_classes(groups)
-        for name, job_ids in {**groups, **groups_of_largest}.items():
+        largest_groups = self._largest_by_class(groups)
+        for name, job_ids in {**groups, **largest_groups}.items():
             self._check_group(name, job_ids)
-            if name in groups_of_largest:
-                self._check_begun(name, job_ids)
+            if name in largest_groups:
+                self._check_started(name, job_ids)
 
     def check_anything_ran(self) -> None:
-        """Something was started if anything was accepted."""
+        """Check that some task started if any job was accepted."""
         if self.observed.accepted and not self.observed.starts:
             self.observed.breach("nothing_ran", "no task was started")
 
     def _check_group(self, name: str, job_ids: list[str]) -> None:
         observed, bound_us = self.observed, self.observed.world.bound_us()
-        old = [job_id for job_id in job_ids if observed.ready_us(job_id) + bound_us < observed.now_us]
-        left = [job_id for job_id in old if not self._is_served(job_id)]
-        if 2 * len(left) > len(old):
-            observed.breach("starved", f"{name}: {len(left)} of {len(old)} not served, as {left[:3]}")
-        if left and observed.now_us > observed.world.calm_us + bound_us:
-            observed.breach("lost_work", f"{left[:3]} of {name}, {bound_us / US:.0f} s after all troubles")
-
-    def _check_begun(self, name: str, job_ids: list[str]) -> None:
+        overdue = [job_id for job_id in job_ids if observed.ready_us(job_id) + bound_us < observed.now_us]
+        unserved = [job_id for job_id in overdue if not self._is_served(job_id)]
+        if 2 * len(unserved) > len(overdue):
+            observed.breach("starved", f"{name}: {len(unserved)} of {len(overdue)} not served, such as {unserved[:3]}")
+        if unserved and observed.now_us > observed.world.calm_us + bound_us:
+            observed.breach(
+                "lost_work", f"{unserved[:3]} of {name} not served {bound_us / US:.0f} s after the last fault"
+            )
+
+    def _check_started(self, name: str, job_ids: list[str]) -> None:
         for job_id in job_ids:
-            if self._begun_us(job_id) - self.observed.ready_us(job_id) > BEGIN_S * US:
-                self.observed.breach("starved", f"{job_id}, of the {name}, had not begun after {BEGIN_S} s")
+            if self._started_us(job_id) - self.observed.ready_us(job_id) > MAX_START_DELAY_S * US:
+                self.observed.breach("starved", f"{job_id}, of the {name}, had not started after {MAX_START_DELAY_S} s")
 
     def _is_served(self, job_id: str) -> bool:
-        """Whether all replicas of a service run, or the user of another job was answered that it is done."""
+        """Whether all replicas of a service run, or, for any other job, its user was told that it is done."""
         if self.observed.spec(job_id)["shape"] == "standing":
             return all(self.observed.running_on[task] for task in self.observed.tasks(job_id))
         return self.observed.last_status.get(job_id) == "done"
 
-    def _begun_us(self, job_id: str) -> int:
-        """When it began: the first task of an array, all of a gang or of a service; now if it has not."""
+    def _started_us(self, job_id: str) -> int:
+        """When a job started, or now if it hasn't.
+
+        An array has started once its first task has, a gang or a service once all its tasks have.
+        """
         observed = self.observed
         first_starts_us = [(observed.starts.get(task) or [observed.now_us])[0] for task in observed.tasks(job_id)]
         if observed.spec(job_id)["shape"] == "array":
@@ -58,7 +66,7 @@
         return max(first_starts_us)
 
     def _class_and_team_groups(self) -> dict[str, list[str]]:
-        """Jobs that are to be served, by class and by team."""
+        """Accepted jobs that must be served, grouped by class and by team."""
         observed = self.observed
         groups: dict[str, list[str]] = defaultdict(list)
         for job_id in observed.accepted:
@@ -67,18 +75,18 @@
                 groups[f"team {observed.spec(job_id)['crew']}"].append(job_id)
         return groups
 
-    def _largest_of_classes(self, groups: dict[str, list[str]]) -> dict[str, list[str]]:
-        """The largest tenth of each class, by its tasks, and by its tasks times their CPUs."""
-        found: dict[str, list[str]] = {}
+    def _largest_by_class(self, groups: dict[str, list[str]]) -> dict[str, list[str]]:
+        """The largest tenth of each class, once by number of tasks and once by total CPUs."""
+        largest: dict[str, list[str]] = {}
         for name, job_ids in groups.items():
             if name.startswith("class"):
                 count = max(1, len(job_ids) // 10)
-                found[f"largest by tasks of {name}"] = sorted(job_ids, key=self._tasks, reverse=True)[:count]
-                found[f"largest by CPUs of {name}"] = sorted(job_ids, key=self._cpus, reverse=True)[:count]
-        return found
+                largest[f"largest by tasks of {name}"] = sorted(job_ids, key=self._task_count, reverse=True)[:count]
+                largest[f"largest by CPUs of {name}"] = sorted(job_ids, key=self._total_cpus, reverse=True)[:count]
+        return largest
 
-    def _tasks(self, job_id: str) -> int:
+    def _task_count(self, job_id: str) -> int:
         return int(self.observed.spec(job_id)["picks"])
 
-    def _cpus(self, job_id: str) -> float:
-        return float(self.observed.spec(job_id)["vcpus"]) * self._tasks(job_id)
+    def _total_cpus(self, job_id: str) -> float:
+        return float(self.observed.spec(job_id)["vcpus"]) * self._task_count(job_id)
--- a/tests/simulation/checks/starvation.py
+++ b/tests/simulation/checks/starvation.py
@@ -1,47 +1,56 @@
-"""No job waits for long beside room that it could have, once troubles are over."""
+"""Rule that no job waits for long while there is room for it, once all faults are over."""
 
 from collections import defaultdict
 from dataclasses import dataclass
 from typing import Any
 
 from tests.simulation.checks.observations import FINAL_STATUSES, Observations
-from tests.simulation.checks.quota import RESOURCE_FIELDS, ROUNDING, QuotaChecks, level_of_section, need_of
+from tests.simulation.checks.quota import (
+    RESOURCE_FIELDS,
+    ROUNDING_TOLERANCE,
+    QuotaChecks,
+    level_of_section,
+    need_per_task,
+)
 from tests.simulation.clock import US
 from tests.simulation.task_runner import TaskStatus
 from tests.simulation.tasks import job_of
 from tests.simulation.worker import SimulatedWorker
 
-#: no job waits for so long while a machine that fits has room and its team is under its limit
+#: the longest time that a job may wait while an eligible machine has room and its team is under its limit
 WAIT_S = 90
 
 
 @dataclass
 class Machine:
-    """A worker that may take tasks, its unfinished tasks, and what those that fetch their image leave free as well."""
+    """A worker that accepts tasks, its unfinished tasks, and its free resources.
+
+    Tasks that still fetch their image count as placed.
+    """
 
     worker: SimulatedWorker
     tasks: list[str]
     free: list[float]  # by resource, in the order of `RESOURCE_FIELDS`
 
     @classmethod
-    def of(cls, worker: SimulatedWorker) -> "Machine":
-        """What a worker has at this moment."""
+    def from_worker(cls, worker: SimulatedWorker) -> "Machine":
+        """The present state of a worker."""
         tasks = {name: task.spec for name, task in worker.tasks.items() if task.status != TaskStatus.EXITED}
         specs = [spec for spec in tasks.values() if spec is not None]
         free = [worker.type[field] - sum(spec[field] for spec in specs) for field in RESOURCE_FIELDS.values()]
         return cls(worker, list(tasks), free)
 
-    def suits(self, spec: dict[str, Any]) -> bool:
-        """Whether a job may run on it by its type, its zone and whether it is a spot instance."""
+    def is_eligible(self, spec: dict[str, Any]) -> bool:
+        """Whether the job may run on a machine of this type and zone, and on a spot instance if it is one."""
         host = self.worker.host
         type_allowed = spec["builds"] is None or host["build"] in spec["builds"]
         zone_allowed = spec["yard"] in (None, host["yard"])
         return bool(type_allowed and zone_allowed and (spec["loaners"] or not host["loaners"]))
 
-    def room_for(self, spec: dict[str, Any], unlimited: int) -> int:
-        """Tasks of a job that fit into what is free; `unlimited` where they need nothing."""
+    def task_capacity(self, spec: dict[str, Any], unlimited: int) -> int:
+        """How many tasks of a job fit into the free resources; `unlimited` if they need none."""
         needs = [spec[field] for field in RESOURCE_FIELDS.values()]
-        fits = [int((free + ROUNDING) // need) for free, need in zip(self.free, needs, strict=True) if need]
+        fits = [int((free + ROUNDING_TOLERANCE) // need) for free, need in zip(self.free, needs, strict=True) if need]
         return max(0, min(fits, default=unlimited))
 
 
@@ -50,16 +59,16 @@
 
     def __init__(self, observed: Observations, quota: QuotaChecks) -> None:
         self.observed, self.quota = observed, quota
-        self.waiting_since_us: dict[str, int] = {}  # since when a job has waited beside room that it could have
+        self.waiting_since_us: dict[str, int] = {}  # since when each job has waited although there is room for it
 
     def sample(self) -> None:
-        """Judge the jobs that wait at this moment; asked for every second or two, and passed over in troubles."""
+        """Check the jobs that wait now; called every second or two, and skipped while a fault lasts."""
         observed = self.observed
         if observed.now_us < observed.world.calm_us:
             self.waiting_since_us.clear()
             return
         machines = [
-            Machine.of(worker)
+            Machine.from_worker(worker)
             for worker in observed.world.workers.values()
             if isinstance(worker, SimulatedWorker) and worker.notice_us is None
         ]
@@ -67,22 +76,22 @@
         self.quota.check()
         waiting: dict[str, int] = {}
         for job_id in filter(self._is_startable, observed.accepted):
-            left = self._tasks_left(job_id, on_machines)
-            if left and self._has_room(job_id, left, machines):
-                waiting[job_id] = self._judge_wait(job_id, left)
+            remaining = self._remaining_task_count(job_id, on_machines)
+            if remaining and self._has_room(job_id, remaining, machines):
+                waiting[job_id] = self._check_wait(job_id, remaining)
         self.waiting_since_us = waiting
 
-    def _judge_wait(self, job_id: str, left: int) -> int:
-        """Since when a job has waited, in µs: anew after a breach."""
+    def _check_wait(self, job_id: str, remaining: int) -> int:
+        """Since when a job has waited, in µs; after a breach the time starts again."""
         now_us = self.observed.now_us
         since_us = self.waiting_since_us.get(job_id, now_us)
         if now_us - since_us <= WAIT_S * US:
             return since_us
-        self.observed.breach("left_waiting", f"{job_id}: {left} tasks, beside room for {WAIT_S} s")
+        self.observed.breach("left_waiting", f"{job_id}: {remaining} tasks wait although there was room for {WAIT_S} s")
         return now_us
 
     def _is_startable(self, job_id: str) -> bool:
-        """Whether a job is to be served, doesn't fail by itself, and waits for no other."""
+        """Whether a job must be served, has no simulated failures remaining, and all its dependencies are complete."""
         observed = self.observed
         if observed.last_status.get(job_id) in FINAL_STATUSES or observed.is_cancelled(job_id):
             return False
@@ -90,65 +99,68 @@
             return False
         return all(map(observed.is_complete, observed.spec(job_id)["waitsOn"]))
 
-    def _tasks_left(self, job_id: str, on_machines: set[str]) -> int:
-        """Tasks of a job that are on no machine and not complete."""
+    def _remaining_task_count(self, job_id: str, on_machines: set[str]) -> int:
+        """Number of tasks of a job that are on no machine and not complete."""
         observed = self.observed
         return sum(
             task not in on_machines and task not in observed.completed and not observed.running_on.get(task)
             for task in observed.tasks(job_id)
         )
 
-    def _has_room(self, job_id: str, left: int, machines: list[Machine]) -> bool:
-        """Whether machines and limits would have one more task, or all that are left of what starts together."""
+    def _has_room(self, job_id: str, remaining: int, machines: list[Machine]) -> bool:
+        """Whether machines and limits admit one more task, or all the remaining ones if they must start together."""
         spec = self.observed.spec(job_id)
-        has_begun = left < spec["picks"]
-        starts_together = spec["shape"] == "group" or (spec["shape"] == "standing" and not has_begun)
-        count = left if starts_together else 1
+        has_started = remaining < spec["picks"]
+        starts_together = spec["shape"] == "group" or (spec["shape"] == "standing" and not has_started)
+        count = remaining if starts_together else 1
         return self._is_under_limits(spec, count, machines) and _fits_zones(spec, count, machines)
 
     def _is_under_limits(self, spec: dict[str, Any], count: int, machines: list[Machine]) -> bool:
-        """Whether so many more tasks stay under each cap above a job, by the lowest in any controller's file.
+        """Whether `count` more tasks stay under each cap of the job's levels.
 
-        What fetches its image counts as used.
+        The lowest cap in any controller's file applies. Tasks that still fetch their image count as used.
         """
         tree = self.quota.tree()
         for controller in self.observed.world.controllers.values():
             for section in controller.operators.sections():
-                tree.lower_caps(level_of_section(section), controller.operators[section])
-        for level in tree.levels_above(spec["crew"]):
+                tree.apply_lower_caps(level_of_section(section), controller.operators[section])
+        for level in tree.levels_to_root(spec["crew"]):
             caps = tree.caps.get(level)
             if not caps:
                 continue
-            there = [
+            placed = [
                 self.observed.spec(job_of(task))
                 for machine in machines
                 for task in machine.tasks
-                if level in tree.levels_above(self._team_of(task))
+                if level in tree.levels_to_root(self._team_of(task))
             ]
-            for kind, cap in caps.items():
-                if sum(need_of(each, kind) for each in [spec] * count + there) > cap + ROUNDING:
+            for resource, cap in caps.items():
+                if (
+                    sum(need_per_task(spec_on_level, resource) for spec_on_level in [spec] * count + placed)
+                    > cap + ROUNDING_TOLERANCE
+                ):
                     return False
         return True
 
     def _team_of(self, task: str) -> str:
-        """The team of a task's job; empty for one that no user of this world has submitted."""
+        """The team of a task's job; empty for a job that no user of this world has submitted."""
         spec = self.observed.world.jobs.get(job_of(task))
         return spec["crew"] if spec is not None else ""
 
 
 def _fits_zones(spec: dict[str, Any], count: int, machines: list[Machine]) -> bool:
-    """Whether so many tasks of a job have room on machines that suit it, by its rules for zones."""
-    running: dict[str, int] = defaultdict(int)  # its tasks, by zone
-    room: dict[str, int] = defaultdict(int)  # for its tasks, by zone
+    """Whether `count` tasks of a job fit on eligible machines under its zone constraints."""
+    running: dict[str, int] = defaultdict(int)  # number of tasks of the job by zone
+    room: dict[str, int] = defaultdict(int)  # number of its tasks that fit, by zone
     for machine in machines:
         zone = machine.worker.host["yard"]
         running[zone] += sum(job_of(task) == spec["uid"] for task in machine.tasks)
-        if machine.suits(spec):
-            room[zone] += machine.room_for(spec, unlimited=count)
+        if machine.is_eligible(spec):
+            room[zone] += machine.task_capacity(spec, unlimited=count)
     if spec["together"]:
         used = {zone for zone, number in running.items() if number}
         return any(number >= count for zone, number in room.items() if not used or used == {zone})
     if spec["spread"]:
-        most = (int(spec["picks"]) + 1) // 2
-        return sum(min(number, max(0, most - running[zone])) for zone, number in room.items()) >= count
+        max_per_zone = (int(spec["picks"]) + 1) // 2
+        return sum(min(number, max(0, max_per_zone - running[zone])) for zone, number in room.items()) >= count
     return sum(room.values()) >= count
