--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -1,10 +1,10 @@
-"""Interruptions that a scenario asks for; each lasts until a moment of the virtual time, in µs."""
+"""Faults that a scenario injects; each ends at a virtual time `until_us`, in µs."""
 
 from typing import NamedTuple
 
 
 class HeartbeatCopies(NamedTuple):
-    """A worker's heartbeats arrive again, at any controller."""
+    """Each heartbeat of a worker is delivered again, `times` times, to random controllers."""
 
     until_us: int = 0
     times: int = 0
@@ -12,15 +12,15 @@
 
 
 class SlowCommands(NamedTuple):
-    """Direct commands to a worker, or their answers, are held up by themselves, while all else passes."""
+    """Direct commands to a worker, or their answers, are delayed; all other messages pass normally."""
 
     until_us: int = 0
-    max_there_us: int = 0
-    max_back_us: int = 0
+    max_request_delay_us: int = 0
+    max_answer_delay_us: int = 0
 
 
 class LateTransactions(NamedTuple):
-    """A share of a controller's transactions is carried out late, and never answered."""
+    """A share of a controller's transactions is executed late, and never answered."""
 
     until_us: int = 0
     min_delay_us: int = 0
@@ -29,42 +29,47 @@
 
 
 class LostAnswers(NamedTuple):
-    """A share of a controller's transactions is carried out at once, and the answer is lost."""
+    """A share of a controller's transactions is executed without delay, but the answer is lost."""
 
     until_us: int = 0
     share: float = 0.0
 
 
 class SlowAnswers(NamedTuple):
-    """The key-value store takes up to so long to answer a controller."""
+    """The key-value store takes up to `max_us` to answer a controller."""
 
     until_us: int = 0
     max_us: int = 0
 
 
 class LostHandOver(NamedTuple):
-    """A controller's next hand-over of a shard gets no answer, and its watch hangs; `is_dropped`: it isn't carried out
-    either."""
+    """A controller's next hand-over of a shard gets no answer, and its watch hangs for `watch_hung_us`.
+
+    With `is_dropped` the hand-over isn't executed either.
+    """
 
     watch_hung_us: int
     is_dropped: bool
 
 
 class StoreCut(NamedTuple):
-    """A controller loses the key-value store: what it sends is `held` until the end, or the connection is `reset`."""
+    """A controller can't reach the key-value store.
+
+    Mode `held` delays its requests until the fault ends, mode `reset` breaks the connection.
+    """
 
     until_us: int = 0
     mode: str = ""
 
 
 class WorkerCut(NamedTuple):
-    """A controller is cut off from the workers of a zone, with `!` from all others, without a zone from all."""
+    """A controller can't reach the workers of a zone (`!ZONE`: those of all other zones; empty: all workers)."""
 
     until_us: int = 0
     zone: str = ""
 
-    def separates(self, now_us: int, worker_zone: str | None) -> bool:
-        """Whether nothing passes now to or from a worker in that zone (None: a machine that is gone)."""
+    def blocks(self, now_us: int, worker_zone: str | None) -> bool:
+        """Whether messages to and from workers of that zone are blocked now (None: a removed machine)."""
         if now_us >= self.until_us:
             return False
         if not self.zone:
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -1,4 +1,4 @@
-"""A simulated key-value store: compare-and-swap, leases, watches, outages, writes that are carried out late."""
+"""A simulated key-value store: compare-and-swap transactions, leases, watch events, outages and late writes."""
 
 import json
 from collections import Counter
@@ -10,9 +10,9 @@
 if TYPE_CHECKING:
     from tests.simulation.world import World
 
-#: how often leases that have expired are looked for
+#: interval between searches for expired leases
 EXPIRY_PERIOD_US = 20_000
-#: a transaction may have so many conditions for each change that it may have
+#: maximum number of conditions of a transaction, per change that it may have
 CONDITIONS_PER_CHANGE = 4
 
 QUOTA_KINDS = ("grant", "want", "tree")
@@ -20,7 +20,7 @@
 
 
 class Record(NamedTuple):
-    """The value of one key; it is dropped when its lease expires."""
+    """The value of one key; the key is dropped when its lease expires."""
 
     value: Any
     mod_revision: int
@@ -28,14 +28,14 @@
 
 
 class Lease(NamedTuple):
-    """How long a lease lasts after each renewal, and when it expires."""
+    """The time to live of a lease after each renewal, and its expiry."""
 
     ttl_us: int
     expires_us: int
 
 
 class SimulatedStore:
-    """The key-value service, and the faults in it that scenarios ask for."""
+    """The key-value service, with the faults that scenarios inject."""
 
     def __init__(self, world: "World") -> None:
         self.world = world
@@ -43,40 +43,40 @@
         self.data: dict[str, Record] = {}
         self.leases: dict[int, Lease] = {}
         self.next_lease = 1
-        self.history: list[dict[str, Any]] = []  # events of the watch
+        self.history: list[dict[str, Any]] = []  # all events that a watch can deliver
         self.down_until_us = 0
-        self.page_gap_us = 0  # a listing comes in pages, with so long between two of them
-        self.limits: dict[str, float] = {}  # lower ones than the settings', since some moment
-        # Faults by the controller that they meet.
-        self.refused: dict[str, int] = {}  # until when it is answered 503
+        self.page_gap_us = 0  # time between two pages of a listing; 0: one page
+        self.limits: dict[str, float] = {}  # overrides that are lower than the settings' limits
+        # Faults by the controller that they affect.
+        self.refused: dict[str, int] = {}  # until when it gets only 503 answers
         self.late: dict[str, LateTransactions] = {}
         self.unanswered: dict[str, LostAnswers] = {}
         self.hand_over_lost: dict[str, LostHandOver] = {}
         self.slow: dict[str, SlowAnswers] = {}
-        # What scenarios ask for.
+        # Counters that scenarios check.
         self.answers_lost = 0
-        self.refused_changes: list[str] = []  # changes of transactions that were over the limits
-        self.change_requests: Counter[str] = Counter()  # by key, whatever came of them
-        self.job_writes = 0  # changes of records of jobs and their partitions
+        self.refused_changes: list[str] = []  # changes of transactions rejected for exceeding the limits
+        self.change_requests: Counter[str] = Counter()  # requested changes by key, executed or not
+        self.job_writes = 0  # number of changes to records of jobs and their partitions
         self.job_writes_in_second: Counter[int] = Counter()
         self.quota_writes = 0
         self.quota_writes_in_second: Counter[int] = Counter()
         world.after(EXPIRY_PERIOD_US, self._expire_leases)
 
     def outage(self, length_us: int) -> None:
-        """Answer nobody for so long; leases last as long after it as after a renewal."""
+        """Answer no call for `length_us`; every lease then lasts its full time to live after the outage."""
         self.down_until_us = self.world.now_us + length_us
         self.leases = {lease: Lease(ttl_us, self.down_until_us + ttl_us) for lease, (ttl_us, _) in self.leases.items()}
 
-    def reachable(self, controller: str) -> bool:
+    def is_reachable(self, controller: str) -> bool:
         """Whether the store answers this controller now."""
         return self.world.now_us >= max(self.down_until_us, self.refused.get(controller, 0))
 
     def answer(self, controller: str, method: str, path: str, body: Any) -> tuple[int, Any]:
-        """Carry a call out; its status and body. `controller` is empty for one that no refusal stops."""
+        """Execute a call and return its status and body; an empty `controller` is exempt from refusals."""
         if path == "/txn":
             self.change_requests.update(_key(change) for change in body.get("then", []))
-        if not self.reachable(controller):
+        if not self.is_reachable(controller):
             return 503, {"error": "unavailable"}
         if path == "/txn":
             return self._transact(body)
@@ -111,11 +111,11 @@
         now_us = self.world.now_us
         if now_us >= self.down_until_us:
             for lease in [lease for lease, (_, expires_us) in self.leases.items() if expires_us < now_us]:
-                self._expire(lease)
+                self._expire_lease(lease)
         self.world.after(EXPIRY_PERIOD_US, self._expire_leases)
 
-    def _expire(self, lease: int) -> None:
-        """Drop the records of a lease, each with a revision of its own."""
+    def _expire_lease(self, lease: int) -> None:
+        """Drop the records of a lease, each in its own revision."""
         del self.leases[lease]
         for key in [key for key, record in self.data.items() if record.lease == lease]:
             self.revision += 1
@@ -124,7 +124,7 @@
     # Transactions.
 
     def _transact(self, body: Any) -> tuple[int, Any]:
-        """Carry all changes out if each condition is met; 409 names the keys whose conditions fail."""
+        """Apply all changes if every condition holds; otherwise answer 409 with the keys whose conditions failed."""
         failed = [c["k"] for c in body["if"] if self._mod_revision(c["k"]) != c["stamp"]]
         if failed:
             return 409, {"failed": failed, "ledger": self.revision}
@@ -136,9 +136,9 @@
             return 400, {"error": "over the limits"}
         if changes:
             self.revision += 1
-        self._count(changes)
+        self._count_writes(changes)
         if any(_claims_shard(change) for change in changes):
-            self.world.shard_claimed()
+            self.world.on_shard_claimed()
         for change in changes:
             self._apply(change)
         return 200, {"ledger": self.revision}
@@ -148,19 +148,22 @@
         return 0 if record is None else record.mod_revision
 
     def _is_over_limits(self, conditions: int, changes: list[dict[str, Any]]) -> bool:
-        """Whether a transaction is over the present limits; one over those of the settings fails the run."""
+        """Whether a transaction exceeds the present limits.
+
+        Raises AssertionError, which fails the run, if it exceeds those of the settings.
+        """
         sizes = [len(json.dumps(c["v"], separators=(",", ":")).encode()) for c in changes if "write" in c]
         largest = max(sizes, default=0)
         facts = self.world.facts["state"]
-        assert len(changes) <= facts["txn_ops"], "too many changes"
-        assert largest <= facts["value_kb"] * 1024, "too large a value"
+        assert len(changes) <= facts["txn_ops"], "transaction has too many changes"
+        assert largest <= facts["value_kb"] * 1024, "transaction has too large a value"
         max_changes = self.limits.get("txn_ops", facts["txn_ops"])
         max_value = 1024 * self.limits.get("value_kb", facts["value_kb"])
         return bool(
             len(changes) > max_changes or conditions > CONDITIONS_PER_CHANGE * max_changes or largest > max_value
         )
 
-    def _count(self, changes: list[dict[str, Any]]) -> None:
+    def _count_writes(self, changes: list[dict[str, Any]]) -> None:
         second = self.world.now_us // US
         kinds = [_kind(change) for change in changes]
         job_writes = sum(kind in JOB_KINDS for kind in kinds)
@@ -189,10 +192,10 @@
 
 
 def _kind(change: dict[str, Any]) -> str:
-    """The kind of record that a change is about: the second part of its key."""
+    """The kind of the changed record: the second part of its key."""
     return _key(change).split("/")[1]
 
 
 def _claims_shard(change: dict[str, Any]) -> bool:
-    """Whether a change makes a controller the leader of a shard: such records have a lease."""
+    """Whether a change makes a controller the leader of a shard; such a record is bound to a lease."""
     return "write" in change and "hold" in change and _kind(change) == "shard"
--- a/tests/simulation/worker_connection.py
+++ b/tests/simulation/worker_connection.py
@@ -1,4 +1,4 @@
-"""A controller's direct calls to simulated workers, with what the network makes of them."""
+"""A controller's direct calls to simulated workers, subject to network faults."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
@@ -15,24 +15,24 @@
 
 
 class WorkerConnection:
-    """What passes from one controller to the workers."""
+    """All calls from one controller to workers."""
 
     def __init__(self, controller: "SimulatedController") -> None:
         self.world = controller.world
         self.cut = WorkerCut()
 
     def is_cut_from(self, worker: SimulatedWorker | None) -> bool:
-        """Whether nothing passes now between the controller and a worker (None: a machine that is gone)."""
-        return self.cut.separates(self.world.now_us, None if worker is None else worker.host["yard"])
+        """Whether traffic between the controller and the worker is blocked now (None: a removed machine)."""
+        return self.cut.blocks(self.world.now_us, None if worker is None else worker.host["yard"])
 
     def call(self, call: fx.Call, body: Any, respond: Respond) -> None:
-        """Carry a command or a question to the worker at the call's target."""
+        """Deliver a command message or an inspection to the worker at the call's target."""
         world = self.world
         worker = self._worker_at(call.target)
         if worker is None:
             world.after(call.timeout_us, lambda: respond(fx.NOT_SENT, {}))
         elif self.is_cut_from(worker) or worker.is_unreachable():
-            # Held back by the network, delivered when the interruption ends.
+            # The network holds the commands back, and delivers them when the fault ends.
             if call.path == m.PATH_DO and not worker.drops:
                 worker.undelivered.append(body)
             world.after(call.timeout_us, lambda: respond(fx.UNKNOWN, {}))
@@ -47,16 +47,16 @@
         return next((worker for worker in self.world.workers.values() if worker.host["endpoint"] == endpoint), None)
 
     def _call_slowly(self, call: fx.Call, body: Any, worker: SimulatedWorker, respond: Respond) -> None:
-        """A command held up by itself, while all else passes: on the way there, or the answer on its way back."""
+        """Delay a command and its answer at random, while other messages pass normally."""
         world, slow = self.world, worker.slow_commands
-        there_us = world.random.randint(0, slow.max_there_us)
-        back_us = world.random.randint(0, slow.max_back_us)
+        request_delay_us = world.random.randint(0, slow.max_request_delay_us)
+        answer_delay_us = world.random.randint(0, slow.max_answer_delay_us)
 
-        def arrives() -> None:
-            present = self._worker_at(call.target)  # another machine may have its address by then
-            if present is not None:
-                answer = present.receive_commands(body)
-                world.after(back_us + world.latency(), lambda: respond(*answer))
+        def deliver() -> None:
+            current_worker = self._worker_at(call.target)  # by then another machine may have the address
+            if current_worker is not None:
+                answer = current_worker.receive_commands(body)
+                world.after(answer_delay_us + world.latency(), lambda: respond(*answer))
 
-        world.after(there_us + world.latency(), arrives)
+        world.after(request_delay_us + world.latency(), deliver)
         world.after(call.timeout_us, lambda: respond(fx.UNKNOWN, {}))
