--- a/tests/simulation/task_runner.py
+++ b/tests/simulation/task_runner.py
@@ -1,4 +1,4 @@
-"""The tasks of one simulated worker: what commands make of them, and when they start and end."""
+"""The tasks of one simulated worker: how they react to commands, and when they start and end."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,16 +12,16 @@
 if TYPE_CHECKING:
     from tests.simulation.worker import SimulatedWorker
 
-#: a task fetches its image for so long before it starts
-PULL_US = 300_000
-#: what falls into a hang happens so long after it
-RESUME_US = 100_000
-#: sums of fractions of CPUs may be off by so much
-ROUNDING = 1e-6
+#: time to fetch the image of a task before it starts
+IMAGE_FETCH_US = 300_000
+#: delay after the end of a hang until events that it held up take place
+RESUME_DELAY_US = 100_000
+#: tolerance for rounding errors in sums of fractional CPUs
+ROUNDING_TOLERANCE = 1e-6
 
 
 class TaskStatus(StrEnum):
-    """The state of a task on its worker, as heartbeats say it."""
+    """The state of a task on its worker, as reported in heartbeats."""
 
     PULLING = "pulling"
     RUNNING = "running"
@@ -31,52 +31,52 @@
 
 @dataclass
 class SimulatedTask:
-    """One attempt of a task on a worker; `spec` is None where no user of this world submitted its job."""
+    """One attempt of a task on a worker; `spec` is None if no user of this world submitted its job."""
 
     name: str
     attempt: int
     spec: Any
     status: TaskStatus = TaskStatus.PULLING
     cause: str | None = None  # why it exited
-    is_running: bool = False  # as the checker counts: from its start to its exit, saving included
+    is_running: bool = False  # for the checker: from its start to its exit, including the time to save its state
 
     def to_wire(self) -> dict[str, Any]:
-        """Its part of a heartbeat."""
-        said: dict[str, Any] = {"pick": self.name, "try": self.attempt, "status": self.status}
+        """The entry of this task in a heartbeat."""
+        entry: dict[str, Any] = {"pick": self.name, "try": self.attempt, "status": self.status}
         if self.cause is not None:
-            said["cause"] = self.cause
-        return said
+            entry["cause"] = self.cause
+        return entry
 
     def exit(self, cause: str) -> None:
-        """It has ended, and is reported until a command acknowledges that."""
+        """Mark the task as exited; heartbeats report it until a command acknowledges the result."""
         self.status, self.cause = TaskStatus.EXITED, cause
 
 
 class TaskRunner:
-    """Carries commands out, and runs tasks in virtual time."""
+    """Executes commands and runs tasks in virtual time."""
 
     def __init__(self, worker: "SimulatedWorker") -> None:
         self.worker, self.world = worker, worker.world
         self.tasks: dict[str, SimulatedTask] = {}
 
     def execute(self, commands: list[dict[str, Any]]) -> None:
-        """Carry out the commands of one message, in their order."""
+        """Execute the commands of one message in order."""
         handlers = {"launch": self._launch, "halt": self._stop, "reap": self._acknowledge_result}
         for command in commands:
             handlers[command["verb"]](command)
             self.worker.has_changed = True
 
     def end_all(self) -> None:
-        """No task runs any more; what is reported of them stays."""
+        """End all running tasks; heartbeats still report their last status."""
         for name in list(self.tasks):
-            self._ended(self.tasks[name])
+            self._record_stop(self.tasks[name])
 
     def running_count(self) -> int:
-        """Tasks that run or save their state."""
+        """Number of tasks that run or save their state."""
         return sum(task.is_running for task in self.tasks.values())
 
-    def _attempt(self, name: str, attempt: int) -> SimulatedTask | None:
-        """A task under this attempt, if it is there and the machine is alive."""
+    def _live_attempt(self, name: str, attempt: int) -> SimulatedTask | None:
+        """The task if it exists under this attempt and the machine is alive, else None."""
         task = self.tasks.get(name)
         if task is None or task.attempt != attempt or self.worker.is_dead:
             return None
@@ -90,16 +90,16 @@
         task = self.tasks[name] = SimulatedTask(name, attempt, spec)
         if spec is None:
             task.exit("unknown")
-        elif self._cpus_used() > self.worker.type["vcpus"] + ROUNDING:
+        elif self._cpus_used() > self.worker.type["vcpus"] + ROUNDING_TOLERANCE:
             task.exit("no_room")
         else:
-            self.world.after(PULL_US, partial(self._start, name, attempt))
+            self.world.after(IMAGE_FETCH_US, partial(self._start, name, attempt))
 
     def _cpus_used(self) -> float:
         return sum(float(task.spec["vcpus"]) for task in self.tasks.values() if task.status != TaskStatus.EXITED)
 
     def _stop(self, command: dict[str, Any]) -> None:
-        """Stop a task; one that keeps checkpoints saves its state first where the command leaves time for that."""
+        """Stop a task; one with checkpoints saves its state first if the command allows enough time."""
         name, attempt = command["pick"], command["try"]
         task = self.tasks.get(name)
         if task is None or task.attempt != attempt or task.status == TaskStatus.EXITED:
@@ -118,7 +118,7 @@
             del self.tasks[task.name]
 
     def _start(self, name: str, attempt: int) -> None:
-        task = self._attempt(name, attempt)
+        task = self._live_attempt(name, attempt)
         if task is None or task.status != TaskStatus.PULLING:
             return
         if self._postponed_by_hang(partial(self._start, name, attempt)):
@@ -135,7 +135,7 @@
             world.after(run_s * US, partial(self._complete, name, attempt))
 
     def _complete(self, name: str, attempt: int) -> None:
-        task = self._attempt(name, attempt)
+        task = self._live_attempt(name, attempt)
         if task is None or task.status != TaskStatus.RUNNING:
             return
         if self._postponed_by_hang(partial(self._complete, name, attempt)):
@@ -148,21 +148,21 @@
                 listener(job_id)
 
     def _postponed_by_hang(self, action: Callable[[], None]) -> bool:
-        """Whether the machine hangs; the action then comes shortly after."""
+        """Whether the machine hangs; if so, schedule the action shortly after the hang."""
         hang_left_us = self.worker.hung_until_us - self.world.now_us
         if hang_left_us <= 0:
             return False
-        self.world.after(hang_left_us + RESUME_US, action)
+        self.world.after(hang_left_us + RESUME_DELAY_US, action)
         return True
 
     def _exit(self, name: str, attempt: int, cause: str) -> None:
-        task = self._attempt(name, attempt)
+        task = self._live_attempt(name, attempt)
         if task is not None and task.status != TaskStatus.EXITED:
-            self._ended(task)
+            self._record_stop(task)
             task.exit(cause)
             self.worker.has_changed = True
 
-    def _ended(self, task: SimulatedTask) -> None:
+    def _record_stop(self, task: SimulatedTask) -> None:
         if task.is_running:
             task.is_running = False
             self.world.checker.machines.task_stopped(task.name, self.worker.name)
--- a/tests/simulation/tasks.py
+++ b/tests/simulation/tasks.py
@@ -1,4 +1,4 @@
-"""Names of tasks: a task is called `JOB/INDEX`, on the wire as well."""
+"""Task names, which have the form `JOB/INDEX`, on the wire as well."""
 
 from typing import Any
 
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -1,4 +1,4 @@
-"""A simulated machine with its worker: keeps fencing tokens, leases and agent epochs as the protocol says."""
+"""A simulated machine with its worker, which follows the protocol for fencing tokens, leases and agent epochs."""
 
 from dataclasses import dataclass
 from functools import partial
@@ -11,28 +11,28 @@
 if TYPE_CHECKING:
     from tests.simulation.world import World
 
-#: a worker looks so often whether its lease has expired and a heartbeat is due
+#: interval at which a worker checks whether its lease has expired or a heartbeat is due
 TICK_US = 50_000
-#: a worker gives up on the answer to a heartbeat after so long
+#: how long a worker waits for the answer to a heartbeat
 HEARTBEAT_TIMEOUT_US = 4 * US
-#: what has changed is reported before the period is over, but not sooner than so long after the last heartbeat
+#: changes are reported before the heartbeat period ends, but at least this long after the last heartbeat
 MIN_HEARTBEAT_GAP_US = US // 2
-#: a worker waits so long before it turns to another controller
+#: delay before a worker contacts another controller
 NEXT_CONTROLLER_DELAY_US = US
 
 
 @dataclass
 class HeartbeatExchange:
-    """A heartbeat that waits for its answer."""
+    """A heartbeat and the state of the wait for its answer."""
 
     sent_us: int
     epoch: int
     life: int
-    is_settled: bool = False  # answered or given up
+    is_closed: bool = False  # answered or timed out
 
 
 class SimulatedWorker:
-    """One machine: its lease and its heartbeats; its tasks are run by `TaskRunner`."""
+    """One machine with its lease and heartbeats; a `TaskRunner` runs its tasks."""
 
     def __init__(self, world: "World", name: str, host: dict[str, Any]) -> None:
         self.world, self.name, self.host = world, name, host
@@ -43,35 +43,36 @@
         self.runner = TaskRunner(self)
         self.tasks = self.runner.tasks
         self.lease_renewed_us = world.now_us
-        self.controller = world.random.choice(sorted(world.controllers))  # label of the one that gets its heartbeats
+        self.controller = world.random.choice(sorted(world.controllers))  # label of the one that it sends heartbeats to
         self.is_dead = False
         self.life = 0  # counts reboots
         self.cut_until_us = 0
         self.hung_until_us = 0
-        self.mute_until_us = 0  # it reaches no controller, while direct commands reach it
-        self.mute_refused = False  # its connections are refused, so it goes on to the next at once; else they hang
+        self.mute_until_us = 0  # until then, it reaches no controller, but direct commands reach it
+        # While mute, its connections are refused, so it tries the next controller at once; else they hang.
+        self.mute_refused = False
         self.slow_commands = SlowCommands()
-        self.drops = False  # what does not reach it is lost, not delivered later
-        self.unheard_until_us = 0  # its heartbeats arrive; no answer, command or question reaches it
+        self.drops = False  # commands that can't reach it are lost, not delivered later
+        self.unheard_until_us = 0  # until then, its heartbeats arrive, but nothing reaches it
         self.copies = HeartbeatCopies()
-        self.for_next_until_us = 0  # a copy of its latest heartbeat is kept until a shard has a new leader
+        self.for_next_until_us = 0  # until then, a copy of its latest heartbeat is kept for the next claim of a shard
         self.is_awaiting_answer = False
-        self.has_changed = True  # something is to be reported before the period is over
+        self.has_changed = True  # there is a change to report before the heartbeat period ends
         self.last_heartbeat_us = 0
-        self.notice_us: int | None = None  # when the cloud takes the machine
-        self.not_before_us = 0  # no heartbeat is sent until then
-        self.undelivered: list[Any] = []  # commands that arrive when the interruption ends
+        self.notice_us: int | None = None  # when the cloud will reclaim the machine
+        self.next_heartbeat_after_us = 0  # earliest time of the next heartbeat
+        self.undelivered: list[Any] = []  # commands that arrive when the network fault ends
         self._tick()
 
     # Liveness.
 
     def die(self) -> None:
-        """The machine is gone."""
+        """Remove the machine at once; its tasks end."""
         self.is_dead = True
         self.runner.end_all()
 
     def reboot(self) -> None:
-        """Back at once, with nothing, in a new agent epoch, and knowing no fencing token."""
+        """Restart at once in a new agent epoch, without tasks and without a known fencing token."""
         self.runner.end_all()
         self.tasks.clear()
         self.epoch += 1
@@ -82,7 +83,7 @@
         self.undelivered.clear()
 
     def is_unreachable(self) -> bool:
-        """Whether no command, question or answer reaches it now."""
+        """Whether no command, inspection or answer can reach the worker now."""
         return self.world.now_us < max(self.cut_until_us, self.hung_until_us, self.unheard_until_us)
 
     def _tick(self) -> None:
@@ -92,14 +93,14 @@
         self.world.after(TICK_US, self._tick)
         lease_expired = now_us - self.lease_renewed_us > self.world.facts["workers"]["lease_s"] * US
         if lease_expired:
-            # Also on a machine that hangs: it may resume within its lease, not after it.
+            # Applies to a machine that hangs, too: its tasks may resume only while its lease lasts.
             self.world.killed += self.runner.running_count()
             self.runner.end_all()
         if now_us < self.hung_until_us:
             return
         if lease_expired:
             self._begin_epoch()
-        self._take_undelivered()
+        self._process_undelivered()
         if self._is_heartbeat_due():
             self._send_heartbeat()
 
@@ -109,7 +110,7 @@
         self.lease_renewed_us = self.world.now_us
         self.has_changed = True
 
-    def _take_undelivered(self) -> None:
+    def _process_undelivered(self) -> None:
         if self.undelivered and self.world.now_us >= max(self.cut_until_us, self.unheard_until_us):
             undelivered, self.undelivered = self.undelivered, []
             for body in undelivered:
@@ -118,14 +119,14 @@
     # Heartbeats.
 
     def _is_heartbeat_due(self) -> bool:
-        if self.is_awaiting_answer or self.world.now_us < self.not_before_us:
+        if self.is_awaiting_answer or self.world.now_us < self.next_heartbeat_after_us:
             return False
         gap_us = self.world.now_us - self.last_heartbeat_us
         period_us = self.world.facts["workers"]["report_s"] * US
         return bool(gap_us >= period_us or (self.has_changed and gap_us >= MIN_HEARTBEAT_GAP_US))
 
     def heartbeat(self) -> dict[str, Any]:
-        """The next heartbeat, as on the wire."""
+        """Build the next heartbeat in wire format."""
         self.seq += 1
         notice_s = None if self.notice_us is None else max(0.0, (self.notice_us - self.world.now_us) / US)
         return {
@@ -147,20 +148,20 @@
         exchange = HeartbeatExchange(now_us, self.epoch, self.life)
         heartbeat = self.heartbeat()
         if now_us < self.mute_until_us and self.mute_refused:
-            world.after(world.latency(), partial(self._give_up, exchange))
+            world.after(world.latency(), partial(self._time_out_heartbeat, exchange))
             return
-        world.after(HEARTBEAT_TIMEOUT_US, partial(self._give_up, exchange))
+        world.after(HEARTBEAT_TIMEOUT_US, partial(self._time_out_heartbeat, exchange))
         if now_us < self.for_next_until_us:
-            others = [kept for kept in world.for_next if kept["berth"] != self.name]
-            world.for_next = [*others, heartbeat]
+            other_copies = [copy for copy in world.for_next if copy["berth"] != self.name]
+            world.for_next = [*other_copies, heartbeat]
         if now_us >= max(self.cut_until_us, self.mute_until_us):
             controller = world.controllers[self.controller]
-            answered = partial(self._answer_received, exchange)
-            world.after(world.latency(), partial(controller.receive_heartbeat, heartbeat, answered))
+            on_answer = partial(self._receive_answer, exchange)
+            world.after(world.latency(), partial(controller.receive_heartbeat, heartbeat, on_answer))
             self._send_copies(heartbeat)
 
     def _send_copies(self, heartbeat: dict[str, Any]) -> None:
-        """Copies come by other connections: whatever they are answered, nobody takes it."""
+        """Send delayed copies of a heartbeat over other connections; their answers are ignored."""
         world = self.world
         if world.now_us >= self.copies.until_us:
             return
@@ -172,37 +173,40 @@
             )
 
     def _is_open(self, exchange: HeartbeatExchange) -> bool:
-        return not exchange.is_settled and not self.is_dead and exchange.life == self.life
+        return not exchange.is_closed and not self.is_dead and exchange.life == self.life
 
-    def _answer_received(self, exchange: HeartbeatExchange, status: int, body: Any) -> None:
+    def _receive_answer(self, exchange: HeartbeatExchange, status: int, body: Any) -> None:
         if not self._is_open(exchange) or self.is_unreachable():
             return
-        exchange.is_settled = True
+        exchange.is_closed = True
         self.is_awaiting_answer = False
         if status == 200:
-            self._take_answer(exchange, body)
+            self._apply_answer(exchange, body)
         elif status == 421 and body.get("foreman") in self.world.controllers and body["foreman"] != self.controller:
             self.controller, self.has_changed = body["foreman"], True
         else:
-            self._turn_to_next_controller()
+            self._switch_to_next_controller()
 
-    def _take_answer(self, exchange: HeartbeatExchange, body: Any) -> None:
-        """An answer renews the lease from the moment its heartbeat was sent; one of an earlier leader does nothing."""
+    def _apply_answer(self, exchange: HeartbeatExchange, body: Any) -> None:
+        """Renew the lease as of the time the heartbeat was sent, and execute the commands.
+
+        Ignores an answer from an earlier leader or to an earlier epoch.
+        """
         if exchange.epoch == self.epoch and body.get("baton", 0) >= self.fencing_token:
             self._observe_token(body["baton"])
             self.lease_renewed_us = max(self.lease_renewed_us, exchange.sent_us)
             self.runner.execute(body["orders"])
 
-    def _give_up(self, exchange: HeartbeatExchange) -> None:
+    def _time_out_heartbeat(self, exchange: HeartbeatExchange) -> None:
         if self._is_open(exchange):
-            exchange.is_settled = True
+            exchange.is_closed = True
             self.is_awaiting_answer = False
-            self._turn_to_next_controller()
+            self._switch_to_next_controller()
 
-    def _turn_to_next_controller(self) -> None:
+    def _switch_to_next_controller(self) -> None:
         labels = sorted(self.world.controllers)
         self.controller = labels[(labels.index(self.controller) + 1) % len(labels)]
-        self.not_before_us = self.world.now_us + NEXT_CONTROLLER_DELAY_US
+        self.next_heartbeat_after_us = self.world.now_us + NEXT_CONTROLLER_DELAY_US
 
     def _observe_token(self, fencing_token: int) -> None:
         if fencing_token > self.fencing_token:
@@ -211,7 +215,7 @@
     # Direct commands.
 
     def receive_commands(self, body: Any) -> tuple[int, Any]:
-        """Carry out a direct command message; 409 to an earlier leader, or for another agent epoch."""
+        """Execute a direct command message; answers 409 to an earlier leader or for another agent epoch."""
         if body["baton"] < self.fencing_token or body["stint"] != self.epoch:
             return 409, self.heartbeat()
         self._observe_token(body["baton"])
