--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A simulated cluster in virtual time: the real controller actors among stand-ins for everything they talk to."""
+"""A simulated cluster in virtual time: real controller actors, with stand-ins for every service they talk to."""
--- a/tests/simulation/clock.py
+++ b/tests/simulation/clock.py
@@ -1,4 +1,4 @@
-"""The unit of virtual time."""
+"""The unit of virtual time: microseconds in one second."""
 
 from quinceslip.coordination.actor.timing import SECOND
 
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -1,4 +1,4 @@
-"""A simulated cloud: starts machines, lists them late; can be down, full, or answer nothing."""
+"""A simulated cloud: starts machines and lists them with a delay; it can be down, full, or lose its answers."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -12,24 +12,24 @@
 
 
 class SimulatedCloud:
-    """Rents machines out and takes them back; its list of them lags behind."""
+    """The cloud service, which starts, removes and lists machines; the list lags behind."""
 
     def __init__(self, world: "World") -> None:
         self.world = world
         self.next_number = 1
-        self.requests: dict[str, list[str]] = {}  # machines of each rental request: a repeated one gets the same
+        self.requests: dict[str, list[str]] = {}  # machines by rental request: a repeated request gets the same ones
         self.machines: dict[str, dict[str, Any]] = {}
         self.down_until_us = 0
         self.capacity = UNLIMITED
-        self.never_boot = 0  # so many of the next machines never boot
-        self.boot_us: int | None = None  # None: as the type of machine says
-        self.lost_answers = 0  # answers to so many of the next rental requests are lost
+        self.never_boot = 0  # number of upcoming machines that never boot
+        self.boot_us: int | None = None  # None: the boot time of the machine type
+        self.lost_answers = 0  # number of upcoming rental requests whose answers are lost
         self.rental_requests = 0
-        self.extra_lag_us = 0  # the list goes back by so much
-        self.past: dict[str, tuple[dict[str, Any], int]] = {}  # machines that are gone, and since when
+        self.extra_lag_us = 0  # additional delay of the list
+        self.removed_machines: dict[str, tuple[dict[str, Any], int]] = {}  # with the time of removal
 
     def start(self, kind: str, zone: str, spot: bool, boot_us: int) -> str:
-        """Start a machine that runs after `boot_us`; its name."""
+        """Start a machine that runs after `boot_us`, and return its name."""
         name = f"n-{self.next_number:06d}"
         self.next_number += 1
         self.machines[name] = {
@@ -54,17 +54,17 @@
             self.world.workers[name] = SimulatedWorker(self.world, name, self.machines[name])
 
     def remove(self, name: str) -> None:
-        """End a machine and its worker, if it is there."""
+        """Remove a machine and its worker, if it exists."""
         host = self.machines.pop(name, None)
         if host is None:
             return
-        self.past[name] = (host, self.world.now_us)
+        self.removed_machines[name] = (host, self.world.now_us)
         worker = self.world.workers.pop(name, None)
         if worker is not None:
             worker.die()
 
     def answer(self, method: str, path: str, body: Any) -> tuple[int, Any]:
-        """Carry a call out; its status and body. Status 0: the answer is lost."""
+        """Execute a call and return its status and body; status 0 means that the answer is lost."""
         if self.world.now_us < self.down_until_us:
             return 503, {"error": "trouble"}
         if path == "/flavors":
@@ -94,9 +94,12 @@
         return 200, {"berths": self.requests[request]}
 
     def _listing(self) -> list[dict[str, Any]]:
-        """Machines as they were some seconds ago, by name, with their age at that time."""
+        """The machines of some seconds ago, sorted by name, with their age at that time."""
         lag_us = int(self.world.facts["cloud"]["list_lag_s"] * US)
         at_us = self.world.now_us - lag_us - self.extra_lag_us
-        hosts = [*self.machines.values(), *(host for host, gone_us in self.past.values() if gone_us > at_us)]
+        hosts = [
+            *self.machines.values(),
+            *(host for host, removed_us in self.removed_machines.values() if removed_us > at_us),
+        ]
         hosts.sort(key=lambda host: str(host["uid"]))
         return [{**host, "ageS": (at_us - host["born"]) / US} for host in hosts if host["born"] <= at_us]
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -1,4 +1,4 @@
-"""Runs one real controller actor: carries its effects out over the simulated cluster."""
+"""Runs one real controller actor and executes its effects in the simulated cluster."""
 
 import configparser
 import json
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from tests.simulation.world import World
 
-#: takes the status and the decoded body of an answer
+#: receives the status and the decoded body of an answer
 AnswerHandler = Callable[[int, Any], None]
 
 START_DELAY_US = 10_000
@@ -30,17 +30,17 @@
 
 
 class SimulatedController:
-    """One controller process: starts and crashes; its actor is None while it is down."""
+    """One controller process, which can crash and restart; its actor is None while it is down."""
 
     def __init__(self, world: "World", label: str) -> None:
         self.world, self.label = world, label
         self.actor: Controller | None = None
-        self.runs_previous_version = False  # one that says nothing of the level that it supports
+        self.runs_previous_version = False  # a version that announces no supported feature level
         self.life = 0  # counts starts and crashes
-        self.answer_handlers: dict[int, AnswerHandler] = {}  # of requests that wait for a reply
-        self.last_request = 0
-        self.peers_cut_until_us = 0  # no frames to or from its peers
-        self.peers_unheard_until_us = 0  # its peers' frames do not reach it, its own reach them
+        self.answer_handlers: dict[int, AnswerHandler] = {}  # by id of the request that waits for a reply
+        self.last_request_id = 0
+        self.peers_cut_until_us = 0  # until then, no frames pass to or from its peers
+        self.peers_unheard_until_us = 0  # until then, its peers' frames don't reach it, but its own reach them
         self.store = StoreConnection(self)
         self.workers = WorkerConnection(self)
         self.operators = configparser.ConfigParser(interpolation=None)  # its own copy of the operators' file
@@ -61,32 +61,32 @@
         self.store.list_all(self.life)
 
     def crash(self) -> None:
-        """End the process at once; what was on its way to it is lost."""
+        """End the process at once; messages in flight to it are lost."""
         self.actor = None
         self.life += 1
 
-    def write_trace(self, direction: str, other: str, *said: Any) -> None:
-        """Write down what came (`in`) or went (`out`), and its other end."""
+    def write_trace(self, direction: str, other: str, *contents: Any) -> None:
+        """Trace a received (`in`) or sent (`out`) message and its other end."""
         if self.world.trace is not None:
-            self.world.trace.write(self.world.now_us, self.label, direction, other, *said)
+            self.world.trace.write(self.world.now_us, self.label, direction, other, *contents)
 
-    def deliver(self, message: Any, life: int | None = None) -> None:
-        """Hand a message to the actor; one that belongs to an earlier life of the process is lost."""
-        if self.actor is None or (life is not None and life != self.life):
+    def deliver(self, message: Any, incarnation: int | None = None) -> None:
+        """Pass a message to the actor; one for an earlier incarnation of the process is lost."""
+        if self.actor is None or (incarnation is not None and incarnation != self.life):
             return
         for step in (message, fx.BatchEnd()):
             for effect in self.actor.handle(step, self.world.now_us):
-                self._carry_out(effect)
+                self._execute_effect(effect)
 
-    def _tick(self, life: int) -> None:
-        if life == self.life and self.actor is not None:
+    def _tick(self, incarnation: int) -> None:
+        if incarnation == self.life and self.actor is not None:
             self.deliver(fx.Tick())
             self.world.checker.controllers.check(self, self.actor)
-            self.world.after(TICK_US, lambda: self._tick(life))
+            self.world.after(TICK_US, lambda: self._tick(incarnation))
 
     # Effects.
 
-    def _carry_out(self, effect: Any) -> None:
+    def _execute_effect(self, effect: Any) -> None:
         if isinstance(effect, fx.Reply):
             self._reply(effect)
         elif isinstance(effect, fx.ToPeers):
@@ -126,51 +126,51 @@
         else:
             self.workers.call(call, body, respond)
 
-    def _respond(self, call: fx.Call, life: int, status: int, answer: Any) -> None:
-        """An answer to a call sets out on its way back."""
+    def _respond(self, call: fx.Call, incarnation: int, status: int, answer: Any) -> None:
+        """Send the answer to a call back to the actor."""
         data = json.dumps(answer).encode()
         self.write_trace("in", call.target, call.path, status, answer)
-        self.world.after(self.world.latency(), lambda: self.deliver(fx.CallResult(call.id, status, data), life))
+        self.world.after(self.world.latency(), lambda: self.deliver(fx.CallResult(call.id, status, data), incarnation))
 
     # Requests.
 
-    def _request(self, make: Callable[[int], Any], answered: AnswerHandler) -> None:
+    def _request(self, make_event: Callable[[int], Any], on_answer: AnswerHandler) -> None:
         if self.actor is None:
             return
-        self.last_request += 1
-        self.answer_handlers[self.last_request] = answered
-        self.deliver(make(self.last_request))
+        self.last_request_id += 1
+        self.answer_handlers[self.last_request_id] = on_answer
+        self.deliver(make_event(self.last_request_id))
 
-    def receive_heartbeat(self, heartbeat: dict[str, Any], answered: AnswerHandler, is_copy: bool = False) -> None:
-        """A worker's heartbeat arrives; a copy comes by another connection, which no cut from the worker stops."""
+    def receive_heartbeat(self, heartbeat: dict[str, Any], on_answer: AnswerHandler, is_copy: bool = False) -> None:
+        """Receive a worker's heartbeat; a copy uses another connection, which a cut from the worker doesn't affect."""
         if not is_copy and self.workers.is_cut_from(self.world.workers.get(heartbeat["berth"])):
             return
         self.world.heartbeats += 1
         self.write_trace("in", "worker", heartbeat)
         decoded = msgspec.json.decode(json.dumps(heartbeat), type=m.WorkerHeartbeat)
-        self._request(lambda request: fx.HeartbeatReceived(request, decoded), answered)
+        self._request(lambda request: fx.HeartbeatReceived(request, decoded), on_answer)
 
-    def receive_user_request(self, verb: str, job_id: str, answered: AnswerHandler, spec: Any = None) -> None:
-        """A user's request arrives: `submit` with a description, `poll` or `cancel`."""
+    def receive_user_request(self, verb: str, job_id: str, on_answer: AnswerHandler, spec: Any = None) -> None:
+        """Receive a user's request: `submit` with a description, `poll` or `cancel`."""
         decoded = None if spec is None else m.read_submission(json.dumps(spec).encode())
         if isinstance(decoded, m.Malformed):
             verb = "malformed"
         self.write_trace("in", "user", verb, job_id, spec)
-        self._request(lambda request: fx.UserRequest(request, verb, job_id, decoded), answered)
+        self._request(lambda request: fx.UserRequest(request, verb, job_id, decoded), on_answer)
 
-    def receive_query(self, question: str, answered: AnswerHandler) -> None:
-        """An operator's question to a subsystem arrives."""
+    def receive_query(self, question: str, on_answer: AnswerHandler) -> None:
+        """Receive an operator's query to a subsystem."""
         self.write_trace("in", "question", question)
-        self._request(lambda request: fx.SubsystemQuery(request, question), answered)
+        self._request(lambda request: fx.SubsystemQuery(request, question), on_answer)
 
 
 def read_frames(data: bytes) -> list[Any]:
-    """What the frames of one message say, as a peer's thread reads them."""
-    found = []
-    # Bound: each turn takes a header off what is left.
+    """Decode the frames of one message as a peer's connection thread does."""
+    decoded = []
+    # Bound: each pass removes at least a header from the data.
     while data:
         kind, length = frames.read_header(data[: frames.HEADER.size])
         end = frames.HEADER.size + length
-        found.append(frames.read_frame(kind, data[frames.HEADER.size : end]))
+        decoded.append(frames.read_frame(kind, data[frames.HEADER.size : end]))
         data = data[end:]
-    return [frame for frame in found if frame is not None]
+    return [frame for frame in decoded if frame is not None]
--- a/tests/simulation/inputs.py
+++ b/tests/simulation/inputs.py
@@ -1,4 +1,4 @@
-"""Settings and job descriptions as the platform and its users write them."""
+"""Settings and job descriptions in the form that the platform and its users provide them."""
 
 from typing import Any
 
@@ -8,11 +8,11 @@
 
 
 def settings_of(facts: dict[str, Any], label: str = "berth-0") -> Settings:
-    """What the platform hands over to one controller of such a site."""
+    """The settings that the platform gives one controller of a site with these facts."""
     others = [
-        {"label": n, "location": "z", "endpoint": "10.0.0.9:1"}
-        for n in (f"berth-{i}" for i in range(facts["size"]))
-        if n != label
+        {"label": other, "location": "z", "endpoint": "10.0.0.9:1"}
+        for other in (f"berth-{i}" for i in range(facts["size"]))
+        if other != label
     ]
     return msgspec.convert(
         {
@@ -29,7 +29,10 @@
 
 
 def job_spec(job_id: str, **changes: Any) -> dict[str, Any]:
-    """A job's description as its user submits it; AssertionError for a field that there is not."""
+    """A job's description as its user submits it, with `changes` to the defaults.
+
+    Raises AssertionError for an unknown field.
+    """
     spec = {
         "uid": job_id,
         "lane": "batch",
@@ -53,5 +56,5 @@
         "dueS": None,
         "waitsOn": [],
     }
-    assert changes.keys() <= spec.keys(), f"no such field of a job: {sorted(changes.keys() - spec.keys())}"
+    assert changes.keys() <= spec.keys(), f"unknown fields of a job: {sorted(changes.keys() - spec.keys())}"
     return {**spec, **changes}
--- a/tests/simulation/tracing.py
+++ b/tests/simulation/tracing.py
@@ -1,10 +1,9 @@
-"""Traces of everything that reaches or leaves a controller, to compare two versions of the source.
+"""Traces of all messages to and from controllers, to compare the behaviour of two versions of the source.
 
-The simulated world runs in virtual time from a seed, so equal behaviour is equal bytes. With the environment variable
-`QUINCESLIP_TRACES` naming a folder, every scenario and every example of a random day writes a digest there, and with
-`QUINCESLIP_TRACES_FULL=1` its whole text as well. `python -m
-tests.simulation.tracing BEFORE AFTER` compares two such folders.
-Record both with `PYTHONHASHSEED=0`. Only what is on the wire is traced, so a trace outlives renames in the source.
+The simulated world runs in virtual time from a seed, so equal behaviour gives byte-identical traces. If the environment
+variable `QUINCESLIP_TRACES` names a folder, every scenario and every example of a random day writes a digest there, and
+with `QUINCESLIP_TRACES_FULL=1` the full text as well. `python -m tests.simulation.tracing BEFORE AFTER` compares two
+folders; record both with `PYTHONHASHSEED=0`. Only data on the wire is traced, so renames in the source don't affect it.
 """
 
 import hashlib
@@ -19,23 +18,23 @@
 
 import msgspec
 
-FOLDER_VARIABLE = "QUINCESLIP_TRACES"
-FULL_VARIABLE = "QUINCESLIP_TRACES_FULL"
+FOLDER_ENV = "QUINCESLIP_TRACES"
+FULL_TEXT_ENV = "QUINCESLIP_TRACES_FULL"
 
-_played: Counter[str] = Counter()
+_worlds_by_test: Counter[str] = Counter()
 
 
 class Trace:
-    """A running digest over all messages of one world, and their text where that is asked for."""
+    """A running digest over all messages of one world, and optionally their text."""
 
     def __init__(self, text: IO[str] | None = None) -> None:
         self.digest = hashlib.sha256()
         self.messages = 0
         self._text = text
 
-    def write(self, now_us: int, controller: str, direction: str, other: str, *said: Any) -> None:
-        """Add one message: when, at which controller, whether it came or went, the other end, and what was said."""
-        line = msgspec.json.encode([now_us, controller, direction, other, *said]) + b"\n"
+    def write(self, now_us: int, controller: str, direction: str, other: str, *contents: Any) -> None:
+        """Add one message: its time, the controller, the direction, the other end, and the contents."""
+        line = msgspec.json.encode([now_us, controller, direction, other, *contents]) + b"\n"
         self.digest.update(line)
         self.messages += 1
         if self._text is not None:
@@ -44,17 +43,17 @@
 
 @contextmanager
 def open_trace() -> Iterator[Trace | None]:
-    """The trace of one world, named after the test that runs and how many worlds it has had before."""
-    folder = os.environ.get(FOLDER_VARIABLE)
+    """Open the trace of one world, named after the running test and the number of the world within it."""
+    folder = os.environ.get(FOLDER_ENV)
     if not folder:
         yield None
         return
     test = re.sub(r"[^A-Za-z0-9_.-]+", "-", os.environ.get("PYTEST_CURRENT_TEST", "none").rpartition(" ")[0])
     test = test.rpartition("py-")[2]
-    _played[test] += 1
-    path = Path(folder) / f"{test.strip('-')}.{_played[test]}"
+    _worlds_by_test[test] += 1
+    path = Path(folder) / f"{test.strip('-')}.{_worlds_by_test[test]}"
     path.parent.mkdir(parents=True, exist_ok=True)
-    text = path.with_name(path.name + ".jsonl").open("w") if os.environ.get(FULL_VARIABLE) else None
+    text = path.with_name(path.name + ".jsonl").open("w") if os.environ.get(FULL_TEXT_ENV) else None
     trace = Trace(text)
     try:
         yield trace
@@ -66,7 +65,7 @@
 
 
 def differences(before: Path, after: Path) -> list[str]:
-    """Names of traces that both folders have and whose digests differ, and of those that only `before` has."""
+    """List the traces whose digests differ between the folders, and those that are missing in `after`."""
     found = []
     for path in sorted(before.glob("*.digest")):
         other = after / path.name
@@ -78,7 +77,7 @@
 
 
 def main() -> int:
-    """Print the differences between two folders of traces; the exit status is 1 where there are any."""
+    """Print the differences between two folders of traces; the exit status is 1 if there are any."""
     before, after = map(Path, sys.argv[1:3])
     found = differences(before, after)
     compared = len(list(before.glob("*.digest")))
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -1,7 +1,7 @@
-"""A small world in virtual time: stand-ins for the key-value store, the cloud, workers and users.
+"""A small site in virtual time, with stand-ins for the key-value store, the cloud, workers and users.
 
-They speak the protocol's JSON and know nothing of the program's insides; the controllers in it are
-the real actors. The checker sees what truly happens on the machines and what users are answered.
+The stand-ins speak the protocol's JSON and don't depend on the program's internals; the controllers are the real
+actors. The checker sees what actually happens on the machines and how users are answered.
 """
 
 import heapq
@@ -18,18 +18,18 @@
 from tests.simulation.tracing import Trace
 from tests.simulation.worker import SimulatedWorker
 
-#: what a message takes at the most, unless links are slow
+#: maximum latency of a message, unless links are slow
 MAX_LATENCY_US = 4000
-#: how often the checker looks who waits
+#: interval of the checker's search for jobs that wait too long
 SAMPLE_PERIOD_US = 2 * US
-#: CPUs that are assumed where no machine is there
+#: CPUs assumed for the completion bound if there is no machine
 DEFAULT_CPUS = 16.0
-#: from the end of a job to the start of one that waits for it, at the most
+#: maximum time from the end of a job to the start of one that depends on it
 CHAIN_GAP_S = 3
 
 
 class World:
-    """A site, the events that are to come in it, and what scenarios set and ask for."""
+    """A site with its scheduled events, and the state that scenarios set and check."""
 
     def __init__(
         self,
@@ -39,35 +39,35 @@
         operators: dict[str, dict[str, str]] | None = None,
     ) -> None:
         self.now_us = 0
-        self.calm_us = 0  # when the last trouble is over
+        self.calm_us = 0  # when the last fault ends
         self.operators = operators or {}  # sections of the operators' INI file
-        self.events: list[tuple[int, int, Callable[[], object]]] = []  # (when, number, what): a heap
-        self.last_event = 0
+        self.events: list[tuple[int, int, Callable[[], object]]] = []  # heap of (time, number, action)
+        self.last_event_number = 0
         self.random = random.Random(seed)
         self.facts = facts
         self.types = {kind["label"]: kind for kind in types}
-        # Jobs by their id.
+        # By job id.
         self.jobs: dict[str, dict[str, Any]] = {}
         self.run_s: dict[str, float] = {}
-        self.apart_s: dict[str, float] = {}  # each task of a job runs so much longer than the one before
-        self.failing: dict[str, int] = {}  # so many more starts of its tasks fail
-        self.odd: dict[str, dict[str, Any]] = {}  # submissions that can never run or lack a field
+        self.apart_s: dict[str, float] = {}  # by how much each task of a job runs longer than the one before
+        self.failing: dict[str, int] = {}  # number of starts of its tasks that will still fail
+        self.odd: dict[str, dict[str, Any]] = {}  # submissions that can never run or lack a field, so must be refused
         # Listeners.
-        self.on_news: list[Callable[[str, str], None]] = []  # an answer brings the first news of its kind about a job
-        self.on_end: list[Callable[[str], None]] = []  # a job's last task has completed
-        # Interruptions, and what they met.
-        self.link_delay_us, self.links_slow_until_us = 0, 0  # what a message takes at the most until then
-        self.for_next: list[dict[str, Any]] = []  # copies of heartbeats that wait for the next claim of a shard
-        self.kept_delivered = 0  # copies that arrived as a shard got a leader
-        self.handed_over_us = 0  # a hand-over was carried out, and its answer lost
-        self.killed = 0  # tasks that a worker's own lease ended
+        self.on_news: list[Callable[[str, str], None]] = []  # called when a user is first told of acceptance or end
+        self.on_end: list[Callable[[str], None]] = []  # called when the last task of a job has completed
+        # Faults, and counters of their effects.
+        self.link_delay_us, self.links_slow_until_us = 0, 0  # maximum latency of a message until then
+        self.for_next: list[dict[str, Any]] = []  # copies of heartbeats, delivered at the next claim of a shard
+        self.kept_delivered = 0  # number of copies delivered when a shard was claimed
+        self.handed_over_us = 0  # when the answer to a hand-over was last lost
+        self.killed = 0  # number of tasks ended by the expiry of their worker's lease
         self.heartbeats = 0
         self.store = SimulatedStore(self)
         self.cloud = SimulatedCloud(self)
         self.workers: dict[str, SimulatedWorker] = {}
         self.checker = Checker(self)
         self.controllers = {f"berth-{i}": SimulatedController(self, f"berth-{i}") for i in range(facts["size"])}
-        self.trace: Trace | None = None  # where what reaches and leaves the controllers is written down
+        self.trace: Trace | None = None  # records the messages to and from the controllers
         self._sample()
 
     def _sample(self) -> None:
@@ -75,53 +75,55 @@
         self.after(SAMPLE_PERIOD_US, self._sample)
 
     def after(self, delay_us: float, action: Callable[[], object]) -> None:
-        """Let an action happen so long from now; of two at one moment the first that was asked for comes first."""
-        self.last_event += 1
-        heapq.heappush(self.events, (self.now_us + max(1, int(delay_us)), self.last_event, action))
+        """Schedule an action after `delay_us`; actions due at the same time run in the order they were scheduled."""
+        self.last_event_number += 1
+        heapq.heappush(self.events, (self.now_us + max(1, int(delay_us)), self.last_event_number, action))
 
     def run(self, until_us: int) -> None:
-        """Play all events up to a moment."""
-        # Bound: the moment; each event that follows another comes later.
+        """Run all events up to a time."""
+        # Bound: `until_us`; every newly scheduled event is later than the present one.
         while self.events and self.events[0][0] <= until_us:
             self.now_us, _, action = heapq.heappop(self.events)
             action()
         self.now_us = until_us
 
     def latency(self) -> int:
-        """Draw what a message takes, in µs."""
+        """Draw the latency of a message, in µs."""
         max_us = self.link_delay_us if self.now_us < self.links_slow_until_us else MAX_LATENCY_US
         return self.random.randint(max_us // 4, max_us)
 
-    def shard_claimed(self) -> None:
-        """A shard has a new leader: old heartbeats that were kept for this arrive at every controller now."""
+    def on_shard_claimed(self) -> None:
+        """Deliver the kept heartbeat copies to every controller, as a shard has a new leader."""
         heartbeats, self.for_next = self.for_next, []
         self.kept_delivered += len(heartbeats) * len(self.controllers)
         for heartbeat in heartbeats:
             for controller in self.controllers.values():
-                arrives = partial(controller.receive_heartbeat, heartbeat, lambda status, body: None, is_copy=True)
-                self.after(self.latency(), arrives)
+                deliver = partial(controller.receive_heartbeat, heartbeat, lambda status, body: None, is_copy=True)
+                self.after(self.latency(), deliver)
 
     def trouble(self, seconds: float) -> int:
-        """A trouble begins now and lasts so long; returns its end, in µs."""
+        """Record that a fault begins now and lasts `seconds`; returns its end, in µs."""
         end_us = self.now_us + int(seconds * US)
         self.calm_us = max(self.calm_us, end_us)
         return end_us
 
     def bound_us(self) -> int:
-        """How long what was accepted may take without trouble: leases and boots first, then twice its work."""
+        """How long accepted work may take without faults: several leases and boots, and twice its work and chains."""
         machines = [worker for worker in self.workers.values() if isinstance(worker, SimulatedWorker)]
         cpus = sum(worker.type["vcpus"] for worker in machines) or DEFAULT_CPUS
-        ending = {job_id: spec for job_id, spec in self.jobs.items() if spec["shape"] != "standing"}
+        finite_jobs = {job_id: spec for job_id, spec in self.jobs.items() if spec["shape"] != "standing"}
         work_s = (
-            sum(spec["picks"] * spec["vcpus"] * self.run_s.get(job_id, 0) for job_id, spec in ending.items()) / cpus
+            sum(spec["picks"] * spec["vcpus"] * self.run_s.get(job_id, 0) for job_id, spec in finite_jobs.items())
+            / cpus
         )
         boot_s = max(kind["startupS"] for kind in self.types.values())
         lease_s = self.facts["workers"]["lease_s"]
-        return int((4 * lease_s + 3 * boot_s + 2 * (work_s + self._longest_chain_s(ending)) + 20) * US)
+        return int((4 * lease_s + 3 * boot_s + 2 * (work_s + self._longest_chain_s(finite_jobs)) + 20) * US)
 
     def _longest_chain_s(self, jobs: dict[str, dict[str, Any]]) -> float:
-        """How long the longest chain of jobs runs that wait for each other."""
-        chain_s: dict[str, float] = {}  # of the longest that ends with a job; what it names was submitted before
+        """The run time of the longest chain of dependent jobs."""
+        # Run time of the longest chain that ends with each job; dependencies are submitted earlier.
+        chain_s: dict[str, float] = {}
         for job_id, spec in jobs.items():
             own_s = self.run_s.get(job_id, 0) + spec["picks"] * self.apart_s.get(job_id, 0)
             before_s = max((chain_s.get(other, 0) + CHAIN_GAP_S for other in spec["waitsOn"]), default=0)
