--- a/quinceslip/bench/capacity_simulation.py
+++ b/quinceslip/bench/capacity_simulation.py
@@ -81,13 +81,13 @@
             return
         self.next_request_us = now_us + REQUEST_INTERVAL_US
         for pool in pools.pools:
-            if not self.observations.backs_off(pool, now_us):
+            if not self.observations.is_backing_off(pool, now_us):
                 granted = pools.request(pool, now_us)
                 self.observations.request_answered(pool, MACHINES_PER_REQUEST, granted, now_us)
 
     def heartbeat_due(self, now_us: int) -> bool:
         """Whether a heartbeat is to be sent; news is sent early."""
-        early_us = MAX_EARLY_US if self.observations.has_news else 0
+        early_us = MAX_EARLY_US if self.observations.has_unsent_observations else 0
         return now_us >= self.next_heartbeat_us - early_us
 
 
--- a/quinceslip/coordination/actor/context.py
+++ b/quinceslip/coordination/actor/context.py
@@ -65,8 +65,8 @@
 
         Of its due times, only those that count from its submission: the others start with the job.
         """
-        dues_us = tuple(at_us + micros(due_s) for due_s in self._due_times_s(spec))
-        return JobUrgency(spec.priority, dues_us)
+        due_times_us = tuple(at_us + micros(due_s) for due_s in self._due_times_s(spec))
+        return JobUrgency(spec.priority, due_times_us)
 
     def _due_times_s(self, spec: messages.JobSpec) -> list[float]:
         """The deadline of a job and its multiples that service-level objectives name, in order."""
@@ -92,7 +92,7 @@
     def is_suspended(self, part: str) -> bool:
         """Whether this controller stalled in that part so lately that it is left out (`liveness.stall_records`)."""
         note = self.cache.by_kind["standstill"].get(self.settings.label)
-        return stall_records.rests(note, part, self.wall_us, self.timing.worker_lease_us)
+        return stall_records.is_suspended(note, part, self.wall_us, self.timing.worker_lease_us)
 
     def progress(self) -> int:
         """Grows while a long message is handled: a listing of all records is no stall."""
--- a/quinceslip/coordination/autoscaling/capacity.py
+++ b/quinceslip/coordination/autoscaling/capacity.py
@@ -27,7 +27,7 @@
 #: pools that are kept of one peer: more than a frame carries, so that a faulty peer takes no memory
 MAX_POOLS_PER_PEER = 64
 #: between the turns of two controllers: time for the first one's answer, and for the others to receive it
-TURN_US = SECOND
+RETRY_STAGGER_US = SECOND
 
 
 class ObservationVersion(NamedTuple):
@@ -65,7 +65,7 @@
 
 
 class CapacityObservations:
-    """Owns what is known of the cloud's capacity; `backs_off` says whether a pool may be asked for."""
+    """Owns what is known of the cloud's capacity; `is_backing_off` says whether a pool may be asked for."""
 
     def __init__(
         self, label: str, labels: list[str], calls_per_s: float, process_started_ms: int, sharing: bool = True
@@ -79,7 +79,7 @@
         #: by controller, by pool: the newest observation of each
         self.by_origin: dict[str, dict[MachinePool, DatedObservation]] = {}
         self.backoffs: dict[MachinePool, Backoff] = {}
-        self.has_news = False  # something was observed that was not sent to peers yet
+        self.has_unsent_observations = False  # something was observed that was not sent to peers yet
 
     # Observed here.
 
@@ -93,7 +93,7 @@
 
     def own_observations(self, now_us: int) -> list[Observation]:
         """What this controller observed itself, each with its age; newest first."""
-        self.has_news = False
+        self.has_unsent_observations = False
         if not self.sharing:
             return []
         own = self.by_origin.get(self.label, {})
@@ -111,7 +111,7 @@
         self.count += 1
         observation = Observation(pool, self.process_started_ms, self.count, 0, asked, granted)
         own[pool] = DatedObservation(observation, now_us)
-        self.has_news = True
+        self.has_unsent_observations = True
         self._update_backoff(pool, now_us)
 
     # Received from peers.
@@ -132,7 +132,7 @@
 
     # Decisions.
 
-    def backs_off(self, pool: MachinePool, now_us: int) -> bool:
+    def is_backing_off(self, pool: MachinePool, now_us: int) -> bool:
         """Whether the pool should not be asked for yet."""
         backoff = self.backoffs.get(pool)
         if backoff is None:
@@ -151,7 +151,7 @@
         """The controllers ask one after the other, so that one answer serves all; the origin of a stockout is last."""
         size = len(self.labels)
         place = (self.labels.index(self.label) - self.labels.index(origin) - 1) % size
-        return place * min(TURN_US, MAX_BACKOFF_US // 4 // size)
+        return place * min(RETRY_STAGGER_US, MAX_BACKOFF_US // 4 // size)
 
     def all_observations(self) -> Mapping[str, Mapping[MachinePool, DatedObservation]]:
         """What is known, by controller: for tests, logs and whoever asks."""
--- a/quinceslip/coordination/autoscaling/machine_choice.py
+++ b/quinceslip/coordination/autoscaling/machine_choice.py
@@ -91,7 +91,7 @@
         for spot in [True, False] if demand.spot else [False]:
             if not spot and counts.on_demand <= 0:
                 continue
-            if self.capacity.backs_off((machine_type.label, zone, spot), self.ctx.now_us):
+            if self.capacity.is_backing_off((machine_type.label, zone, spot), self.ctx.now_us):
                 continue
             price = machine_type.spot_price if spot else machine_type.price
             machines = counts.spot if spot else counts.on_demand
--- a/quinceslip/coordination/jobs/urgency.py
+++ b/quinceslip/coordination/jobs/urgency.py
@@ -60,9 +60,9 @@
         if inherited is None or not self.ctx.tuning.urge_ancestors:
             return EffectiveUrgency(spec, sorted(due_times))
         priority = inherited.priority
-        if priority < spec.priority and inherited.dues_us:
-            priority = self._current_priority(job_id, spec, priority, inherited.dues_us[0])
-        due_times.update(inherited.dues_us)
+        if priority < spec.priority and inherited.due_times_us:
+            priority = self._current_priority(job_id, spec, priority, inherited.due_times_us[0])
+        due_times.update(inherited.due_times_us)
         return EffectiveUrgency(m.with_priority(spec, min(spec.priority, priority)), sorted(due_times))
 
     def _current_priority(self, job_id: str, spec: m.JobSpec, inherited: int, first_due_us: int) -> int:
--- a/quinceslip/coordination/reconciliation/attempt_outcomes.py
+++ b/quinceslip/coordination/reconciliation/attempt_outcomes.py
@@ -84,7 +84,7 @@
     def _blame(self, worker: Worker, attempt: Attempt, partition: JobPartition, failures: int) -> None:
         """Count an error against the machine or the job; a job that is suspected of a crash loop is put on hold."""
         crash_loop = partition.crash_loop
-        if crash_loop.cleared and worker.name in crash_loop.blamed_machines:
+        if crash_loop.cleared and worker.name in crash_loop.failure_workers:
             worker.task_failures += 1
         ran_us = self.ctx.now_us - attempt.running_us if attempt.running_us else 0
         if crash_loop.task_failed(worker.name, failures, ran_us) and not partition.spec.gang:
--- a/quinceslip/coordination/scheduling/machine_preference.py
+++ b/quinceslip/coordination/scheduling/machine_preference.py
@@ -42,7 +42,7 @@
         With quotas, many teams get a few tasks each, so the order is sorted once a pass for all partitions of one
         shape: the best machine stays the best as it fills up, and the others keep the order they were first sorted in.
         """
-        if self.state.quota is None or partition.crash_loop.blamed_machines:
+        if self.state.quota is None or partition.crash_loop.failure_workers:
             return self._sorted(partition, workers)
         shape = _task_shape(partition.spec)
         order = self._order_by_task_shape.get(shape)
@@ -95,7 +95,7 @@
         free_cpus, _, free_memory_gb = worker.free()
         return (
             worker.task_failures > MAX_TRUSTED_FAILURES,
-            worker.name in partition.crash_loop.blamed_machines,
+            worker.name in partition.crash_loop.failure_workers,
             *self._keys_before_best_fit(worker, spec),
             free_cpus - spec.cpus,
             free_memory_gb - spec.memory_gb,
--- a/quinceslip/coordination/shard/shard.py
+++ b/quinceslip/coordination/shard/shard.py
@@ -86,10 +86,10 @@
         self.persistence.task_completed(partition)
         # The job is sound, so the workers on which it failed are not.
         self.release_from_hold(partition)
-        for name in partition.crash_loop.blamed_machines - {worker.name}:
+        for name in partition.crash_loop.failure_workers - {worker.name}:
             if name in self.workers:
                 self.workers[name].task_failures += 1
-        partition.crash_loop.blamed_machines -= {worker.name}
+        partition.crash_loop.failure_workers -= {worker.name}
         log.debug(
             "task done task=%s worker=%s since_sent_s=%.1f since_running_s=%.1f",
             attempt.name,
--- a/quinceslip/crash_loops/detector.py
+++ b/quinceslip/crash_loops/detector.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 #: a job that failed on so many machines, and never completed a task, is suspected
-MIN_BLAMED_MACHINES = 3
+MIN_FAILURE_WORKERS = 3
 #: the same where there are fewer machines: one task that failed so often
 MIN_TASK_FAILURES = 4
 #: a replica that runs so many times as long as the longest that failed did, and this much longer, clears the job
@@ -25,7 +25,7 @@
 
     enabled: bool = True  # whether jobs are suspected at all
     cleared: bool = False  # cleared for ever: some task of it has completed, or ran for long
-    blamed_machines: set[str] = field(default_factory=set)  # workers on which tasks of it failed
+    failure_workers: set[str] = field(default_factory=set)  # workers on which tasks of it failed
     failures: int = 0
     most_task_failures: int = 0  # most failures of one task
     longest_us: int = 0  # the longest that a task ran before it failed
@@ -36,13 +36,13 @@
         """Whether one task is tried at a time."""
         if not self.enabled or self.cleared:
             return False
-        return len(self.blamed_machines) >= MIN_BLAMED_MACHINES or self.most_task_failures >= MIN_TASK_FAILURES
+        return len(self.failure_workers) >= MIN_FAILURE_WORKERS or self.most_task_failures >= MIN_TASK_FAILURES
 
     def task_failed(self, worker: str, times: int, ran_us: int) -> bool:
         """A task failed on that worker, `times` times in all; returns whether the job is suspected from now on."""
         was_suspected = self.suspected
         self.failures += 1
-        self.blamed_machines.add(worker)
+        self.failure_workers.add(worker)
         self.most_task_failures = max(self.most_task_failures, times)
         self.longest_us = max(self.longest_us, ran_us)
         return self.suspected and not was_suspected
@@ -60,5 +60,5 @@
     def reason(self) -> str:
         """For the job's user."""
         return (
-            f"all {self.failures} attempts failed, on {len(self.blamed_machines)} machines: one task is tried at a time"
+            f"all {self.failures} attempts failed, on {len(self.failure_workers)} machines: one task is tried at a time"
         )
--- a/quinceslip/dependencies/urgency.py
+++ b/quinceslip/dependencies/urgency.py
@@ -15,18 +15,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Urgency:
-    """How a job is to be treated; `dues_us` are the moments by which it should be done, earliest first."""
+    """How a job is to be treated; `due_times_us` are the moments by which it should be done, earliest first."""
 
     priority: int
-    dues_us: tuple[int, ...] = ()
+    due_times_us: tuple[int, ...] = ()
 
     def before(self, run_us: int) -> "Urgency":
         """What a job of that urgency and duration asks of those that it needs."""
-        return Urgency(self.priority, tuple(due_us - run_us for due_us in self.dues_us))
+        return Urgency(self.priority, tuple(due_us - run_us for due_us in self.due_times_us))
 
     def merged(self, other: "Urgency") -> "Urgency":
         """The more urgent of both, due time by due time."""
-        longer, shorter = sorted((self.dues_us, other.dues_us), key=len, reverse=True)
+        longer, shorter = sorted((self.due_times_us, other.due_times_us), key=len, reverse=True)
         common = len(shorter)
         earlier = tuple(min(pair) for pair in zip(longer[:common], shorter, strict=True))
         return Urgency(min(self.priority, other.priority), earlier + longer[common:])
@@ -77,7 +77,7 @@
         if node is None:
             return
         asked = dependent.asked_of_needs()
-        same_due = any(own == due for own, due in zip(node.urgency.dues_us, asked.dues_us, strict=False))
+        same_due = any(own == due for own, due in zip(node.urgency.due_times_us, asked.due_times_us, strict=False))
         if asked.priority <= node.urgency.priority or same_due:
             self._stale.add(job_id)
 
--- a/quinceslip/liveness/stall_records.py
+++ b/quinceslip/liveness/stall_records.py
@@ -38,7 +38,7 @@
     return StallRecord(part, record.times + 1, wall_us)
 
 
-def rests(record: StallRecord | None, part: str, wall_us: int, lease_us: int) -> bool:
+def is_suspended(record: StallRecord | None, part: str, wall_us: int, lease_us: int) -> bool:
     """Whether a part is suspended for now, since this controller was stalled in it."""
     if record is None or part not in SUSPENDABLE_PARTS or record.part != part:
         return False
--- a/tests/scenario/controllers.py
+++ b/tests/scenario/controllers.py
@@ -138,7 +138,7 @@
             assert node is not None
             supply = node.autoscaler.capacity
             assert not supply.own_observations(world.now_us)
-            assert not any(supply.backs_off(kind, world.now_us) for kind in list(supply.backoffs))
+            assert not any(supply.is_backing_off(kind, world.now_us) for kind in list(supply.backoffs))
             assert not node.connectivity.misrouted.counts() and not any(
                 node.connectivity.misrouted.recorded_by_peers(s) for s in range(self.facts["size"])
             )
--- a/tests/scenario/liveness_checks.py
+++ b/tests/scenario/liveness_checks.py
@@ -52,11 +52,11 @@
             plain[0]
         ) * 3600 * US:
             note, ends = stall_records.next_record(note, "levels", now_us, lease_us), ends + 1
-            assert stall_records.rests(note, "levels", now_us + lease_us, lease_us)
-            assert not stall_records.rests(note, "moves", now_us, lease_us)
+            assert stall_records.is_suspended(note, "levels", now_us + lease_us, lease_us)
+            assert not stall_records.is_suspended(note, "moves", now_us, lease_us)
             for part in ("moves", "rights", "machines", "Tick"):
                 other = StallRecord(part, 1, now_us)
-                assert stall_records.rests(other, part, now_us, lease_us) == (part == "moves")
+                assert stall_records.is_suspended(other, part, now_us, lease_us) == (part == "moves")
         assert ends <= named["ends"], ends
         assert note is not None and note.times == ends
         later_us = now_us + 3 * stall_records.pause_us(ends, lease_us)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -82,7 +82,7 @@
             if specs[job_id].deadline_s is None
             else (node.records[job_id].at_us + int(specs[job_id].deadline_s or 0),),
         )
-        assert (found.priority, min(found.dues_us, default=10**9)) == (priority_class, due), job_id
+        assert (found.priority, min(found.due_times_us, default=10**9)) == (priority_class, due), job_id
     assert set(node.graph.cancelled) <= {u for u, r in node.records.items() if r.state == m.QUEUED}
 
 
--- a/tests/test_supply_properties.py
+++ b/tests/test_supply_properties.py
@@ -13,7 +13,7 @@
 from quinceslip.coordination.autoscaling.capacity import (
     MAX_BACKOFF_US,
     MIN_BACKOFF_US,
-    TURN_US,
+    RETRY_STAGGER_US,
     CapacityObservations,
     MachinePool,
 )
@@ -100,7 +100,7 @@
                 fleet.hear(other, data)
         fleet.now_us += 3 * SECOND
     for node in fleet.nodes:
-        assert not any(node.backs_off(kind, fleet.now_us) for kind in KINDS)
+        assert not any(node.is_backing_off(kind, fleet.now_us) for kind in KINDS)
         assert not node.own_observations(fleet.now_us), "told without anything seen for longer than any rest"
 
 
@@ -134,7 +134,7 @@
     end_us = fleet.now_us + 60 * SECOND + seconds * SECOND
     while fleet.now_us < end_us:
         for one, node in enumerate(fleet.nodes):
-            if not node.backs_off(kind, fleet.now_us):
+            if not node.is_backing_off(kind, fleet.now_us):
                 asks.append(fleet.now_us)
                 node.request_answered(kind, 3, 0, fleet.now_us)
                 data = fleet.heartbeat(one)
@@ -143,7 +143,7 @@
         fleet.now_us += SECOND // 5
     assert len(asks) <= 1 + (end_us - asks[0]) // MIN_BACKOFF_US
     # And room that comes back is asked for within a rest and the turns of those who come first.
-    assert max(b - a for a, b in pairwise(asks)) <= MIN_BACKOFF_US + 2 * TURN_US
+    assert max(b - a for a, b in pairwise(asks)) <= MIN_BACKOFF_US + 2 * RETRY_STAGGER_US
 
 
 @given(st.integers(2, 64), st.integers(0, 63), st.integers(0, 63))
@@ -154,10 +154,10 @@
     fleet.nodes[one].request_answered(kind, 5, 1, fleet.now_us)
     for node in range(size):
         fleet.hear(node, fleet.heartbeat(one))
-    assert all(node.backs_off(kind, fleet.now_us) for node in fleet.nodes)
+    assert all(node.is_backing_off(kind, fleet.now_us) for node in fleet.nodes)
     fleet.now_us += SECOND
     fleet.nodes[other].machines_returned(kind, 1, fleet.now_us)
     for node in range(size):
         fleet.hear(node, fleet.heartbeat(other))
         fleet.hear(node, fleet.heartbeat(one))  # what was seen before is told on, and changes nothing
-    assert not any(node.backs_off(kind, fleet.now_us) for node in fleet.nodes)
+    assert not any(node.is_backing_off(kind, fleet.now_us) for node in fleet.nodes)
