--- a/quinceslip/bench/capacity_simulation.py
+++ b/quinceslip/bench/capacity_simulation.py
@@ -11,7 +11,7 @@
 
 from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.autoscaling.capacity import CapacityObservations, MachinePool
-from quinceslip.coordination.controller.peer_heartbeats import MAX_EARLY_US
+from quinceslip.coordination.controller.peer_heartbeats import MAX_HEARTBEAT_ADVANCE_US
 from quinceslip.protocol import frames
 
 STEP_US = SECOND // 10
@@ -87,7 +87,7 @@
 
     def heartbeat_due(self, now_us: int) -> bool:
         """Whether a heartbeat is to be sent; news is sent early."""
-        early_us = MAX_EARLY_US if self.observations.has_unsent_observations else 0
+        early_us = MAX_HEARTBEAT_ADVANCE_US if self.observations.has_unsent_observations else 0
         return now_us >= self.next_heartbeat_us - early_us
 
 
--- a/quinceslip/coordination/autoscaling/absorption.py
+++ b/quinceslip/coordination/autoscaling/absorption.py
@@ -1,7 +1,7 @@
 """How much waiting work the present machines get to before a new machine could boot: nothing is rented for that."""
 
 from quinceslip.coordination.actor.context import Context
-from quinceslip.coordination.load_balancing.mmm_queue import Station, credible, credible_rate
+from quinceslip.coordination.load_balancing.mmm_queue import Station, is_plausible, is_plausible_rate
 from quinceslip.coordination.shard.shard import Shard
 
 #: part of the work that would be served during a boot which no machine is rented for
@@ -13,10 +13,10 @@
 def unclaimed_part(ctx: Context) -> float:
     """The part of what slots set free that new arrivals will not take themselves: 1 - rate / total m u."""
     loads = ctx.cache.by_kind["load"].values()
-    capacity = sum(s.capacity for r in loads if credible(s := Station(r.slots, r.rate)))
+    capacity = sum(s.capacity for r in loads if is_plausible(s := Station(r.slots, r.rate)))
     if capacity <= 0:
         return MAX_ABSORBED_PART
-    arrivals: float = sum(r.arrivals for r in loads if credible_rate(r.arrivals))
+    arrivals: float = sum(r.arrivals for r in loads if is_plausible_rate(r.arrivals))
     return min(MAX_ABSORBED_PART, max(MIN_ABSORBED_PART, 1.0 - arrivals / capacity))
 
 
--- a/quinceslip/coordination/controller/peer_heartbeats.py
+++ b/quinceslip/coordination/controller/peer_heartbeats.py
@@ -10,7 +10,7 @@
 
 HEARTBEAT_PERIOD_US = SECOND
 #: with new observations of the cloud's capacity, a heartbeat may be sent this much before it is due
-MAX_EARLY_US = 3 * SECOND // 4
+MAX_HEARTBEAT_ADVANCE_US = 3 * SECOND // 4
 
 
 class PeerHeartbeats:
@@ -31,7 +31,7 @@
 
     def tick(self) -> None:
         """Send a heartbeat when it is due, or early where peers are about to ask the cloud for the same."""
-        early_us = MAX_EARLY_US if self.capacity.has_unsent_observations else 0
+        early_us = MAX_HEARTBEAT_ADVANCE_US if self.capacity.has_unsent_observations else 0
         if self.ctx.now_us >= self.next_heartbeat_us - early_us:
             self.next_heartbeat_us = self.ctx.now_us + HEARTBEAT_PERIOD_US
             self._send()
--- a/quinceslip/coordination/controller/submission_checks.py
+++ b/quinceslip/coordination/controller/submission_checks.py
@@ -17,7 +17,7 @@
         self.status = status
         self.subsystems = subsystems
 
-    def never_runs_reason(self, job: records.JobRecord, spec: m.JobSpec) -> str | None:
+    def rejection_reason(self, job: records.JobRecord, spec: m.JobSpec) -> str | None:
         """Why a job can never run, shown to its user; None if it can."""
         if not self.ctx.fits_record(job):
             return "its description is larger than a record may be"
@@ -27,7 +27,7 @@
         if reason is not None:
             return reason
         for subsystem in self.subsystems:
-            reason = subsystem.never_runs_reason(spec)
+            reason = subsystem.rejection_reason(spec)
             if reason is not None:
                 return reason
         return None
--- a/quinceslip/coordination/controller/submissions.py
+++ b/quinceslip/coordination/controller/submissions.py
@@ -49,7 +49,7 @@
             return
         spec = m.waiting_on(spec, list(dict.fromkeys(spec.dependencies)))  # each dependency once
         job = self._new_record(spec)
-        reason = self.checks.never_runs_reason(job, spec)
+        reason = self.checks.rejection_reason(job, spec)
         if reason is not None:
             self.polls.poll_or_error(request, spec.job_id, 422, reason)
             return
@@ -91,7 +91,7 @@
 
     def _accept(self, request: int, spec: m.JobSpec, job: records.JobRecord) -> None:
         """Write the record at the shard that the load balancer chooses; the answer follows the write."""
-        shard = self.load_balancer.shard_for()
+        shard = self.load_balancer.shard_for_new_job()
         if shard is None:
             reply_unavailable(self.ctx, request)
             return
--- a/quinceslip/coordination/controller/subsystem.py
+++ b/quinceslip/coordination/controller/subsystem.py
@@ -39,7 +39,7 @@
     def batch_ended(self) -> None:
         """A batch of messages was handled and every shard has placed what it can."""
 
-    def never_runs_reason(self, spec: m.JobSpec) -> str | None:
+    def rejection_reason(self, spec: m.JobSpec) -> str | None:
         """Why a job can never run, for the 422 to its user; None if it may run."""
         return None
 
--- a/quinceslip/coordination/load_balancing/load_balancer.py
+++ b/quinceslip/coordination/load_balancing/load_balancer.py
@@ -74,7 +74,7 @@
             cpus.setdefault(load.shard, load.quick_service_cpus)
         return list(cpus.values())
 
-    def shard_for(self) -> int | None:
+    def shard_for_new_job(self) -> int | None:
         """The shard for a new job: home below its level, else as the paper forwards; None where none has a leader."""
         loads = self.load_collector.collect()
         led = {shard for shard in range(self.election.size) if self.election.leader(shard)}
--- a/quinceslip/coordination/load_balancing/mmm_queue.py
+++ b/quinceslip/coordination/load_balancing/mmm_queue.py
@@ -45,12 +45,12 @@
     slope: float
 
 
-def credible_rate(arrivals: float) -> bool:
+def is_plausible_rate(arrivals: float) -> bool:
     """Whether so many tasks a second can come; False of what is no number."""
     return 0.0 <= arrivals <= MAX_RATE
 
 
-def credible(station: Station) -> bool:
+def is_plausible(station: Station) -> bool:
     """Whether a shard's load can have been measured, and it has anything to serve tasks with."""
     return 0 < station.slots <= MAX_SLOTS and MIN_RATE <= station.rate <= MAX_RATE
 
--- a/quinceslip/coordination/load_balancing/queueing_model.py
+++ b/quinceslip/coordination/load_balancing/queueing_model.py
@@ -12,7 +12,7 @@
 from quinceslip.coordination.load_balancing.mmm_queue import (
     MAX_LOG_ODDS,
     Station,
-    credible,
+    is_plausible,
     mean_queue_length_at,
     taken_part,
 )
@@ -33,14 +33,16 @@
     points = _solve(stations, total)
     if points is None:
         raise ValueError(f"no shares of {total} tasks a second among {len(stations)} shards")
-    return [s.capacity * taken_part(z) / total if credible(s) else 0.0 for s, z in zip(stations, points, strict=True)]
+    return [
+        s.capacity * taken_part(z) / total if is_plausible(s) else 0.0 for s, z in zip(stations, points, strict=True)
+    ]
 
 
 def fair_levels(stations: Sequence[Station], total: float) -> list[int]:
     """Fair workload level of each shard; m where the model has no answer, 0 where a record is not credible."""
     points = _solve(stations, total)
     if points is None:
-        return [s.slots if credible(s) else 0 for s in stations]
+        return [s.slots if is_plausible(s) else 0 for s in stations]
     return [_fair_level(s, z) for s, z in zip(stations, points, strict=True)]
 
 
@@ -71,13 +73,13 @@
 
     None where the rate is nothing, or all that the credible ones can serve.
     """
-    usable = [s for s in stations if credible(s)]
+    usable = [s for s in stations if is_plausible(s)]
     capacity = math.fsum(s.capacity for s in usable)
     # Rates are sums of quotients: what differs by their rounding is the same (docs/incidents/endless-levels.md).
     if not capacity * ROUNDING < total < capacity * (1.0 - ROUNDING):
         return None
     points = iter(ShareSearch(usable, total).run())
-    return [next(points) if credible(s) else -MAX_LOG_ODDS for s in stations]
+    return [next(points) if is_plausible(s) else -MAX_LOG_ODDS for s in stations]
 
 
 def _fair_level(station: Station, log_odds: float) -> int:
--- a/quinceslip/coordination/load_balancing/shard_loads.py
+++ b/quinceslip/coordination/load_balancing/shard_loads.py
@@ -57,7 +57,7 @@
         if not 0 <= shard < self.election.size:
             return False
         station = mmm_queue.Station(reported.slots, reported.rate)
-        credible = reported.slots == 0 or mmm_queue.credible(station)
+        credible = reported.slots == 0 or mmm_queue.is_plausible(station)
         loads.stations[shard] = station if credible else mmm_queue.EMPTY_STATION
         loads.waiting_tasks[shard] = max(0, reported.waiting) if credible else 0
         return credible
--- a/quinceslip/coordination/load_balancing/share_search.py
+++ b/quinceslip/coordination/load_balancing/share_search.py
@@ -16,8 +16,8 @@
 #: bisections end where the bounds differ by less than this part
 TOLERANCE = 1e-8
 #: halvings of the multiplier, and of every share in each of them: what is left of a range is below rounding
-HALVINGS = 128
-NARROWINGS = 64
+MAX_MULTIPLIER_BISECTIONS = 128
+MAX_SHARE_BISECTIONS = 64
 #: terms of sums that one solution may take (about half a second): what is found by then is used
 MAX_SERIES_TERMS = 2_000_000
 
@@ -68,7 +68,7 @@
 
     def run(self) -> list[float]:
         """Log-odds of each shard."""
-        for _ in range(HALVINGS):
+        for _ in range(MAX_MULTIPLIER_BISECTIONS):
             v = math.sqrt(self.low_v) * math.sqrt(self.high_v)
             if not self.low_v < v < self.high_v or self.terms >= MAX_SERIES_TERMS:
                 break
@@ -80,7 +80,7 @@
     def _halve(self, v: float) -> None:
         """Take v as the upper or the lower bound of the multiplier, with the points of the shards at that v."""
         bounds = self.bounds.copied()
-        for _ in range(NARROWINGS):
+        for _ in range(MAX_SHARE_BISECTIONS):
             if self._reached(bounds.low) or not self._reached(bounds.high) or not self._narrow(bounds, v):
                 break
         if self._reached(bounds.middle()):
@@ -97,7 +97,7 @@
         """
         at_low_v = self.bounds.copied()
         at_high_v = self.bounds.copied()
-        for _ in range(NARROWINGS):
+        for _ in range(MAX_SHARE_BISECTIONS):
             narrowed_low = self._narrow(at_low_v, self.low_v)
             narrowed_high = self._narrow(at_high_v, self.high_v, largest=True)
             if not narrowed_low and not narrowed_high:
@@ -138,7 +138,7 @@
     def _divided(self, bounds: Bounds) -> list[float]:
         """The point between these bounds, equally far for all shards, at which the total is reached."""
         least, most = 0.0, 1.0
-        for _ in range(NARROWINGS):
+        for _ in range(MAX_SHARE_BISECTIONS):
             middle = (least + most) / 2
             if self._reached(_between(bounds, middle)):
                 most = middle
--- a/quinceslip/coordination/load_balancing/workload_levels.py
+++ b/quinceslip/coordination/load_balancing/workload_levels.py
@@ -46,5 +46,5 @@
     def _total_arrival_rate(self) -> float:
         """Tasks a second that arrive at all controllers, by the load records that are credible."""
         load_records = self.ctx.cache.by_kind["load"].values()
-        rates: list[float] = [r.arrivals for r in load_records if mmm_queue.credible_rate(r.arrivals)]
+        rates: list[float] = [r.arrivals for r in load_records if mmm_queue.is_plausible_rate(r.arrivals)]
         return sum(rates)
--- a/quinceslip/quota/allocation_manager.py
+++ b/quinceslip/quota/allocation_manager.py
@@ -69,7 +69,7 @@
         elif kind == TREE:
             self._tree_updater.tree_record_changed()
 
-    def never_runs_reason(self, spec: m.JobSpec) -> str | None:
+    def rejection_reason(self, spec: m.JobSpec) -> str | None:
         """The level whose cap a job can never fit, for the 422 of its user."""
         return self.tree.never_fits(spec)
 
--- a/tests/scenario/controllers.py
+++ b/tests/scenario/controllers.py
@@ -98,7 +98,7 @@
         node = self.w().controllers[args[0]].actor
         assert node is not None
         node.load_balancer.levels = {}
-        assert node.load_balancer.shard_for() not in (None, int(args[2]))
+        assert node.load_balancer.shard_for_new_job() not in (None, int(args[2]))
 
     def check_gate(self, args: list[str], named: dict[str, Any]) -> None:
         """gate open|shut: at all controllers of this version that are up"""
--- a/tests/scenario/queueing_checks.py
+++ b/tests/scenario/queueing_checks.py
@@ -7,7 +7,7 @@
 
 from quinceslip.coordination.load_balancing.mmm_queue import (
     Station,
-    credible,
+    is_plausible,
     marginal_cost,
     mean_wait,
     wait_probability,
@@ -65,7 +65,7 @@
             assert shares(stations, total) == pytest.approx(wanted, abs=1e-4)
         if "levels" in named:
             assert fair_levels(stations, total) == [int(x) for x in str(named["levels"]).split(",")]
-        if 0 < total < sum(s.capacity for s in stations) * (1 - 1e-9) and all(map(credible, stations)):
+        if 0 < total < sum(s.capacity for s in stations) * (1 - 1e-9) and all(map(is_plausible, stations)):
             found = shares(stations, total)
             assert sum(found) == pytest.approx(1.0, abs=1e-6)
             slopes = [marginal_cost(s, f * total) for s, f in zip(stations, found, strict=True) if f > 1e-9]
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -10,9 +10,14 @@
 from hypothesis import assume, given, settings
 from hypothesis import strategies as st
 
-from quinceslip.coordination.load_balancing.mmm_queue import Station, credible, marginal_cost
+from quinceslip.coordination.load_balancing.mmm_queue import Station, is_plausible, marginal_cost
 from quinceslip.coordination.load_balancing.queueing_model import ROUNDING, fair_levels, shares
-from quinceslip.coordination.load_balancing.share_search import HALVINGS, MAX_SERIES_TERMS, NARROWINGS, ShareSearch
+from quinceslip.coordination.load_balancing.share_search import (
+    MAX_MULTIPLIER_BISECTIONS,
+    MAX_SERIES_TERMS,
+    MAX_SHARE_BISECTIONS,
+    ShareSearch,
+)
 
 settings.register_profile("levels-ci", max_examples=40, derandomize=True)
 settings.register_profile("levels-long", max_examples=20_000)
@@ -37,13 +42,13 @@
 
 
 def capacity(of: list[Station]) -> float:
-    return math.fsum(s.capacity for s in of if credible(s))
+    return math.fsum(s.capacity for s in of if is_plausible(s))
 
 
 @given(stations, wild, st.one_of(st.floats(), measured))
 @drawn
 def test_wrong_records_cost_themselves(good: list[Station], wrong: list[Station], total: float) -> None:
-    wrong = [s for s in wrong if not credible(s)]
+    wrong = [s for s in wrong if not is_plausible(s)]
     levels = fair_levels([*wrong, *good], total)
     assert levels == [0] * len(wrong) + fair_levels(good, total)
     assert all(isinstance(level, int) and level >= 0 for level in levels)
@@ -61,7 +66,7 @@
         return
     search = ShareSearch(of, total)
     search.run()
-    assert search.evaluations <= min(USUAL_STEPS, (HALVINGS + 2) * NARROWINGS) * len(of)
+    assert search.evaluations <= min(USUAL_STEPS, (MAX_MULTIPLIER_BISECTIONS + 2) * MAX_SHARE_BISECTIONS) * len(of)
     assert search.terms <= MAX_SERIES_TERMS + 10_000
     found = shares(of, total)
     assert abs(math.fsum(found) - 1.0) < 1e-8
