--- a/quinceslip/coordination/autoscaling/consolidation.py
+++ b/quinceslip/coordination/autoscaling/consolidation.py
@@ -126,7 +126,7 @@
             attempt.spec.service
             and not attempt.stopping
             and attempt.observed
-            and self.ctx.now_us - attempt.running_us >= SETTLED_US
+            and self.ctx.now_us - attempt.running_since_us >= SETTLED_US
         )
 
 
@@ -134,7 +134,7 @@
     """Whether the other machines have room for what runs on one: enough for its services near by, for all anywhere."""
     others = [worker for worker in workers if worker is not chosen]
     spare_cpus = sum(worker.free()[0] for worker in others)
-    nearby_cpus = sum(worker.free()[0] for worker in others if worker.zone == chosen.zone and worker.running)
+    nearby_cpus = sum(worker.free()[0] for worker in others if worker.zone == chosen.zone and worker.live_attempt_count)
     has_nearby_room = nearby_cpus >= NEARBY_ROOM_FACTOR * chosen.service_cpus
     return has_nearby_room and spare_cpus >= chosen.used_cpus + reserve_cpus
 
@@ -146,7 +146,7 @@
         free = targets.free.get(worker.name)
         if (
             free is None
-            or not worker.running
+            or not worker.live_attempt_count
             or not fits(free, spec)
             or not shard.placement.satisfies_constraints(worker, spec, None)
         ):
--- a/quinceslip/coordination/autoscaling/inventory.py
+++ b/quinceslip/coordination/autoscaling/inventory.py
@@ -40,7 +40,7 @@
     def list_if_due(self) -> None:
         """Ask for the list when it is due."""
         if self.shards:
-            wanted = (shard.addresses.wanted_list_us() for shard in self.shards.values())
+            wanted = (shard.addresses.next_conclusive_list_us() for shard in self.shards.values())
             self.lister.request_if_due(min((at_us for at_us in wanted if at_us is not None), default=None))
 
     def reconcile(self) -> None:
--- a/quinceslip/coordination/autoscaling/reachability.py
+++ b/quinceslip/coordination/autoscaling/reachability.py
@@ -24,7 +24,7 @@
 
     expected: int = 0  # workers that are probed when they are silent
     silent: int = 0  # those of them that did not answer
-    first_missed_us: int = 0  # when the last of the silent ones was first probed without an answer
+    first_missed_probe_us: int = 0  # when the last of the silent ones was first probed without an answer
     last_contact_us: int = 0  # when any other was heard
 
     def is_unreachable(self) -> bool:
@@ -32,7 +32,7 @@
         return (
             self.silent >= MIN_UNREACHABLE_MACHINES
             and 2 * self.silent >= self.expected
-            and self.last_contact_us <= self.first_missed_us + FAILED_PROBE_US
+            and self.last_contact_us <= self.first_missed_probe_us + FAILED_PROBE_US
         )
 
 
@@ -57,8 +57,8 @@
             return False
         if worker.zone in self.unreachable_zones:
             return False
-        first_missed_us = max(delivery.first_missed_us, self.led_since_us)
-        return self.known_workers <= FEW_WORKERS or self.newest_contact_us > first_missed_us + PROBE_DELAY_US
+        first_missed_probe_us = max(delivery.first_missed_probe_us, self.led_since_us)
+        return self.known_workers <= FEW_WORKERS or self.newest_contact_us > first_missed_probe_us + PROBE_DELAY_US
 
 
 def shard_reachability(shard: Shard, may_launch: bool) -> ShardReachability:
@@ -93,7 +93,9 @@
         zone = zones[worker.zone]
         is_silent = worker.delivery.unanswered_probes > 0
         if is_silent:
-            zone.first_missed_us = max(zone.first_missed_us, worker.delivery.first_missed_us, shard.led_since_us)
+            zone.first_missed_probe_us = max(
+                zone.first_missed_probe_us, worker.delivery.first_missed_probe_us, shard.led_since_us
+            )
         else:
             zone.last_contact_us = max(zone.last_contact_us, worker.last_contact_us)
         if worker.service_tasks or worker.name in shard.unreconciled:
--- a/quinceslip/coordination/autoscaling/scale_in.py
+++ b/quinceslip/coordination/autoscaling/scale_in.py
@@ -66,7 +66,7 @@
         scale_in = ScaleInPass(shard, shard_reachability(shard, self.election.may_launch()))
         names = [
             worker.name
-            for worker in sorted(shard.workers.values(), key=lambda worker: worker.idle_us)
+            for worker in sorted(shard.workers.values(), key=lambda worker: worker.idle_since_us)
             if self._is_to_return(scale_in, worker)
         ]
         if names:
@@ -116,7 +116,7 @@
 
         Like one that is silent for so long it holds nothing, so a zone that is cut off loses nothing by it.
         """
-        missed_us = self.ctx.now_us - worker.delivery.first_missed_us
+        missed_us = self.ctx.now_us - worker.delivery.first_missed_probe_us
         return not worker.attempts and missed_us > self.ctx.timing.lease_expiry_us
 
     def _is_dispensable(self, scale_in: ScaleInPass, worker: Worker, boot_us: int) -> bool:
@@ -133,7 +133,7 @@
             return False
         scale_in.idle_rank[worker.spot] += 1
         idle_limit_us = self._idle_limit_us(boot_us) // scale_in.idle_rank[worker.spot]
-        if self.ctx.now_us - worker.idle_us <= idle_limit_us or self._is_awaited_by_gang(shard, worker):
+        if self.ctx.now_us - worker.idle_since_us <= idle_limit_us or self._is_awaited_by_gang(shard, worker):
             return False
         if scale_in.spare_slots is None:
             scale_in.spare_slots = self.headroom.spare_slots(shard)
@@ -147,7 +147,7 @@
         """Whether a gang waits that this machine may be a part of: it starts on all of them at once or on none."""
         return any(
             partition.spec.gang
-            and partition.startable()
+            and partition.startable_task_count()
             and not partition.on_hold
             and fits(worker.free(), partition.spec)
             and shard.placement.satisfies_constraints(worker, partition.spec, None)
--- a/quinceslip/coordination/autoscaling/unmet_demand.py
+++ b/quinceslip/coordination/autoscaling/unmet_demand.py
@@ -102,7 +102,7 @@
     for partition in _partitions_in_order(shard, kept):
         spec = partition.spec
         # Tasks that pause after a failure need no machine: a job that crashes in a loop would rent many.
-        waiting = partition.startable()
+        waiting = partition.startable_task_count()
         if shard.quota is not None:
             waiting = shard.quota.startable(spec, waiting, claimed_quota)
         waiting += kept[partition.job_id]
--- a/quinceslip/coordination/controller/controller.py
+++ b/quinceslip/coordination/controller/controller.py
@@ -185,13 +185,13 @@
 
     # Leadership.
 
-    def _shard_gained(self, index: int, term: int, previous_own_term: int) -> None:
+    def _shard_gained(self, index: int, term: int, own_term_before_restart: int) -> None:
         """This controller leads a shard, or leads it under a higher term than before."""
         known = self.shards.get(index)
         if known is not None:
             known.term_raised(term)
             return
-        shard = Shard(self.ctx, self.election, index, term, previous_own_term)
+        shard = Shard(self.ctx, self.election, index, term, own_term_before_restart)
         self.shards[index] = shard
         for subsystem in self.subsystems:
             subsystem.shard_gained(shard)
--- a/quinceslip/coordination/jobs/persistence.py
+++ b/quinceslip/coordination/jobs/persistence.py
@@ -48,7 +48,7 @@
         if partition is not None and job is not None and job.spec is not None:
             urgency = self.urgency.calculate(job_id, job, job.spec)
             partition.set_urgency(urgency.spec, urgency.due_us)
-            self.state.reorder()
+            self.state.invalidate_queue_order()
             self.state.needs_placement = True
 
     def task_completed(self, partition: JobPartition) -> None:
--- a/quinceslip/coordination/leadership/claims.py
+++ b/quinceslip/coordination/leadership/claims.py
@@ -89,13 +89,13 @@
         term = self._next_term(above)
         key = records.shard_key(shard)
         conditions = {records.TERM: cache.mod_revision(records.TERM), key: cache.mod_revision(key)}
-        previous_own_term = self._previous_own_term(shard)
+        own_term_before_restart = self._own_term_before_restart(shard)
         self.led.write_pending = True
 
         def on_claimed(status: int, failed: list[str]) -> None:
             self.led.write_pending = False
             if status == 200 and self.lease.lease_id == lease_id:
-                self._claimed(shard, term, previous_own_term)
+                self._claimed(shard, term, own_term_before_restart)
             else:
                 self.next_claim_us = self.ctx.now_us + CLAIM_RETRY_US
 
@@ -109,13 +109,13 @@
         counter = self.ctx.cache.by_kind["term"].get("")
         return max(counter.term if counter else 0, above) + 1
 
-    def _previous_own_term(self, shard: int) -> int:
+    def _own_term_before_restart(self, shard: int) -> int:
         record = self.ctx.cache.shard(shard)
         return record.term if record is not None and record.leader == self.ctx.settings.label else 0
 
-    def _claimed(self, shard: int, term: int, previous_own_term: int) -> None:
+    def _claimed(self, shard: int, term: int, own_term_before_restart: int) -> None:
         raised = shard in self.led.mod_revisions
         self.led.mod_revisions[shard] = self.ctx.cache.mod_revision(records.shard_key(shard))
         self._leaderless_since_us.pop(shard, None)
         log.info("%s shard=%d term=%d", "term raised" if raised else "leadership gained", shard, term)
-        self.on_gained(shard, term, previous_own_term)
+        self.on_gained(shard, term, own_term_before_restart)
--- a/quinceslip/coordination/reconciliation/address_checks.py
+++ b/quinceslip/coordination/reconciliation/address_checks.py
@@ -70,11 +70,11 @@
 class AddressChecks:
     """The addresses of one shard that are not settled yet. Owned by its reconciler."""
 
-    def __init__(self, state: ShardState, first_own_term: int, on_reconciled: Callable[[Worker], None]) -> None:
+    def __init__(self, state: ShardState, takeover_term: int, on_reconciled: Callable[[Worker], None]) -> None:
         """`on_reconciled` takes an inherited worker once its address is settled."""
         self.state = state
         self.ctx = state.ctx
-        self.first_own_term = first_own_term
+        self.takeover_term = takeover_term
         self.on_reconciled = on_reconciled
         self.open: dict[str, AddressCheck] = {}  # by name of the lost worker
         self._listed: Mapping[str, m.CloudMachine] = {}
@@ -128,23 +128,23 @@
         """Whether another machine at the address of its worker may carry out its launch, or has done so."""
         if attempt.end_cause and not self.state.is_current(attempt):
             return False
-        return attempt.direct_call_open or attempt.unanswered_term > 0 or attempt.answered_by_other
+        return attempt.direct_call_open or attempt.unanswered_call_term > 0 or attempt.answered_by_other_machine
 
     def _make_check(self, worker: Worker, attempts: list[Attempt], is_inherited: bool) -> AddressCheck:
         timeout_us = self.ctx.timeout_us
         given_up_us = max((attempt.given_up_us for attempt in attempts), default=0)
         if any(attempt.direct_call_open for attempt in attempts):
             given_up_us = self.ctx.now_us + timeout_us
-        latest_term = max((attempt.unanswered_term for attempt in attempts), default=0)
+        latest_term = max((attempt.unanswered_call_term for attempt in attempts), default=0)
         if is_inherited:
             # An earlier leader may have launched until this one came, under any term before its first.
             given_up_us = max(given_up_us, self.state.led_since_us + timeout_us)
-            latest_term = max(latest_term, self.first_own_term - 1)
+            latest_term = max(latest_term, self.takeover_term - 1)
         return AddressCheck(worker, attempts, is_inherited, latest_term, given_up_us, self.ctx.now_us)
 
     # Evidence.
 
-    def review(self) -> None:
+    def close_cleared(self) -> None:
         """Settle what nothing is in doubt of any more, by what is known now."""
         for check in list(self.open.values()):
             self._drop_certain(check)
@@ -156,9 +156,9 @@
     def machines_listed(self, listed: Mapping[str, m.CloudMachine], asked_us: int) -> None:
         """Take a complete list of the cloud's machines that was asked for at `asked_us`."""
         self._listed, self._listed_us, self._listed_names = listed, asked_us, None
-        self.review()
+        self.close_cleared()
 
-    def wanted_list_us(self) -> int | None:
+    def next_conclusive_list_us(self) -> int | None:
         """The moment from which on the next list that is asked for may settle an address; None: none is waited for."""
         useful_us = [self._useful_list_us(check) for check in self.open.values()]
         return min((at_us for at_us in useful_us if at_us > self._listed_us), default=None)
@@ -219,7 +219,7 @@
                 check.attempts.remove(attempt)
                 self.state.release_attempt(attempt)
             else:
-                check.latest_term = max(check.latest_term, attempt.unanswered_term)
+                check.latest_term = max(check.latest_term, attempt.unanswered_call_term)
                 check.given_up_us = max(check.given_up_us, attempt.given_up_us)
 
     def _tasks_in_doubt(self, check: AddressCheck, heartbeat: m.WorkerHeartbeat) -> list[m.TaskStatus]:
--- a/quinceslip/coordination/reconciliation/adoption.py
+++ b/quinceslip/coordination/reconciliation/adoption.py
@@ -61,7 +61,7 @@
             return
         if len(worker.odd_task_names) < MAX_ODD_NAMES:
             worker.odd_task_names.add(name)
-            log.info("odd task name task=%r worker=%s", name[:MAX_LOGGED_NAME], worker.name)
+            log.info("invalid task name task=%r worker=%s", name[:MAX_LOGGED_NAME], worker.name)
 
     def _is_living_attempt(self, worker: Worker, task: LocalTask, known: Attempt | None, status: m.TaskStatus) -> bool:
         """Whether a reported attempt that is not done is the one to keep, beside or in place of the known one."""
--- a/quinceslip/coordination/reconciliation/attempt_outcomes.py
+++ b/quinceslip/coordination/reconciliation/attempt_outcomes.py
@@ -38,8 +38,8 @@
             self.state.release_if_settled(worker, attempt)
             return
         if status.state not in (m.PULLING, m.EXITED):
-            if not attempt.running_us:
-                attempt.running_us = self.ctx.now_us
+            if not attempt.running_since_us:
+                attempt.running_since_us = self.ctx.now_us
             self.on_started(worker, attempt)
             if attempt.spec.service:
                 self._clear_suspicion_of_service(attempt)
@@ -50,7 +50,7 @@
     def _clear_suspicion_of_service(self, attempt: Attempt) -> None:
         """Take a replica that runs long enough as proof that its job is in no crash loop."""
         partition = self.state.partitions.get(attempt.job_id)
-        ran_us = self.ctx.now_us - attempt.running_us
+        ran_us = self.ctx.now_us - attempt.running_since_us
         if partition is not None and partition.crash_loop.clears_by_running(ran_us):
             self.state.release_from_hold(partition)
 
@@ -86,7 +86,7 @@
         crash_loop = partition.crash_loop
         if crash_loop.cleared and worker.name in crash_loop.failure_workers:
             worker.task_failures += 1
-        ran_us = self.ctx.now_us - attempt.running_us if attempt.running_us else 0
+        ran_us = self.ctx.now_us - attempt.running_since_us if attempt.running_since_us else 0
         if crash_loop.task_failed(worker.name, failures, ran_us) and not partition.spec.gang:
             log.info("crash loop suspected job=%s reason=%r", partition.job_id, crash_loop.reason())
             self.state.put_on_hold(partition)
--- a/quinceslip/coordination/reconciliation/commands.py
+++ b/quinceslip/coordination/reconciliation/commands.py
@@ -25,7 +25,7 @@
         """The commands in the answer to a heartbeat (`HeartbeatCommands.build`)."""
         return self._heartbeat_commands.build(worker, may_launch)
 
-    def send_direct(self) -> None:
+    def send_direct_commands(self) -> None:
         """Send all workers what cannot wait for their next heartbeat (`DirectCommandSender.send_due`)."""
         self._direct_commands.send_due()
 
--- a/quinceslip/coordination/reconciliation/direct_commands.py
+++ b/quinceslip/coordination/reconciliation/direct_commands.py
@@ -54,7 +54,7 @@
                 attempt.direct_call_open = False
                 if status not in SETTLED_STATUSES:
                     # Our term of now, not of then: whoever shows a later one has seen it after the call was given up.
-                    attempt.unanswered_term = self.state.term
+                    attempt.unanswered_call_term = self.state.term
                     attempt.given_up_us = self.ctx.now_us
             if status in HEARTBEAT_STATUSES:
                 self._receive_reply(worker, launches, status, body)
@@ -94,7 +94,7 @@
     def _mark_answered_by_other(self, launches: list[Attempt]) -> None:
         """Note that somebody else than their worker has carried launches out."""
         for attempt in launches:
-            attempt.answered_by_other = True
+            attempt.answered_by_other_machine = True
             attempt.given_up_us = self.ctx.now_us
 
     def _revoke_launches(self, endpoint: str, launches: list[Attempt], heartbeat: m.WorkerHeartbeat) -> None:
--- a/quinceslip/coordination/reconciliation/inherited_workers.py
+++ b/quinceslip/coordination/reconciliation/inherited_workers.py
@@ -14,12 +14,12 @@
 class InheritedWorkers:
     """The workers of a shard that may hold tasks of an earlier leader (`ShardState.unreconciled`)."""
 
-    def __init__(self, state: ShardState, first_own_term: int) -> None:
+    def __init__(self, state: ShardState, takeover_term: int) -> None:
         self.state = state
         #: a worker that shows this term, or a later one, obeys no earlier leader any more
-        self.first_own_term = first_own_term
+        self.takeover_term = takeover_term
         #: the term of this controller before its restart, where nobody has led the shard since; else 0
-        self.previous_own_term = 0
+        self.own_term_before_restart = 0
 
     def inherit(self, worker: Worker) -> None:
         """Note that a worker may hold tasks of an earlier leader."""
@@ -27,9 +27,9 @@
 
     def fencing_token_shown(self, worker: Worker, fencing_token: int) -> None:
         """Take the fencing token that a worker has shown which had shown no term of this leader before."""
-        if self.previous_own_term and fencing_token >= self.previous_own_term:
+        if self.own_term_before_restart and fencing_token >= self.own_term_before_restart:
             self._limit_predecessor_lease(worker)
-        if fencing_token >= self.first_own_term or "term" not in self.state.guards:
+        if fencing_token >= self.takeover_term or "term" not in self.state.guards:
             self._fence(worker)
 
     def reconcile(self, worker: Worker) -> None:
--- a/quinceslip/coordination/reconciliation/launch_safety.py
+++ b/quinceslip/coordination/reconciliation/launch_safety.py
@@ -4,7 +4,7 @@
   registered durably (`Placement.usable`).
 - An inherited task waits until all inherited workers are reconciled (`inherited_workers`).
 - A launch that no heartbeat has shown is pinned to its worker until it is settled: no direct call with it is open, and
-  the worker has shown a later term than that of an unanswered call, so that it drops the call (`ShardState.settled`).
+  the worker has shown a later term than that of an unanswered call, so that it drops the call (`ShardState.launch_cannot_arrive`).
 - A result is acknowledged only once it is recorded, and not while a launch of its attempt may still arrive: the worker
   would have forgotten the attempt and would start it again.
 """
@@ -26,7 +26,7 @@
 
         Launches in answers to heartbeats are settled by the next heartbeat.
         """
-        return self.state.settled(worker, attempt) or "pinned" not in self.state.guards
+        return self.state.launch_cannot_arrive(worker, attempt) or "pinned" not in self.state.guards
 
     def is_recorded(self, attempt: Attempt) -> bool:
         """Whether the store keeps the result of an attempt that has ended, so that its worker need not."""
@@ -34,4 +34,4 @@
 
     def may_forget(self, worker: Worker, attempt: Attempt) -> bool:
         """Whether a worker that forgets an attempt can't be made to start it again by a launch still on its way."""
-        return self.state.settled(worker, attempt)
+        return self.state.launch_cannot_arrive(worker, attempt)
--- a/quinceslip/coordination/reconciliation/reconciler.py
+++ b/quinceslip/coordination/reconciliation/reconciler.py
@@ -47,18 +47,18 @@
         self.retrying = outcomes.retrying  # jobs with tasks that pause after a failure
 
     @property
-    def first_own_term(self) -> int:
+    def takeover_term(self) -> int:
         """The term under which this leader took the shard over."""
-        return self._inherited.first_own_term
+        return self._inherited.takeover_term
 
     @property
-    def previous_own_term(self) -> int:
+    def own_term_before_restart(self) -> int:
         """The term of this controller before its restart, where nobody has led the shard since; else 0."""
-        return self._inherited.previous_own_term
+        return self._inherited.own_term_before_restart
 
-    @previous_own_term.setter
-    def previous_own_term(self, term: int) -> None:
-        self._inherited.previous_own_term = term
+    @own_term_before_restart.setter
+    def own_term_before_restart(self, term: int) -> None:
+        self._inherited.own_term_before_restart = term
 
     # For the shard to override.
 
@@ -82,7 +82,7 @@
         """See `WorkerLeases.should_answer`."""
         return self._leases.should_answer(worker, heartbeat)
 
-    def lease_expired_unheard(self, worker: Worker) -> bool:
+    def lease_expired_while_unreachable(self, worker: Worker) -> bool:
         """See `WorkerLeases.expired_unheard`."""
         return self._leases.expired_unheard(worker)
 
--- a/quinceslip/coordination/reconciliation/worker_leases.py
+++ b/quinceslip/coordination/reconciliation/worker_leases.py
@@ -47,8 +47,8 @@
         """
         unreachable = worker.delivery.unreachable
         worker.delivery.heartbeat_received(heartbeat)
-        worker.unanswered = unreachable and not worker.fenced
-        return not worker.unanswered
+        worker.heartbeat_unanswered = unreachable and not worker.fenced
+        return not worker.heartbeat_unanswered
 
     def expired_unheard(self, worker: Worker) -> bool:
         """Whether every epoch that an earlier leader can have known is over, though heartbeats still come.
@@ -59,7 +59,7 @@
         """
         return (
             worker.name in self.state.unreconciled
-            and worker.unanswered
+            and worker.heartbeat_unanswered
             and self.ctx.now_us > worker.predecessor_renewed_us + self.ctx.timing.lease_expiry_us
         )
 
--- a/quinceslip/coordination/scheduling/ageing.py
+++ b/quinceslip/coordination/scheduling/ageing.py
@@ -60,7 +60,7 @@
         waited_us = self.ctx.wall_us - partition.submitted_us
         # A job with failures has started, and one suspected of a crash loop is tried one task at a time: neither is
         # being passed over.
-        if waited_us < bound_us or not partition.startable() or partition.crash_loop.suspected:
+        if waited_us < bound_us or not partition.startable_task_count() or partition.crash_loop.suspected:
             return NORMAL
         if partition.spec.service or partition.spec.gang:
             return WHOLE_JOB
--- a/quinceslip/coordination/scheduling/deadline_order.py
+++ b/quinceslip/coordination/scheduling/deadline_order.py
@@ -92,4 +92,4 @@
 
 def _size_cpus(partition: JobPartition) -> float:
     """Return the CPUs of the tasks of a partition that could start now."""
-    return max(partition.startable() * partition.spec.cpus, MIN_JOB_CPUS)
+    return max(partition.startable_task_count() * partition.spec.cpus, MIN_JOB_CPUS)
--- a/quinceslip/coordination/scheduling/machine_preference.py
+++ b/quinceslip/coordination/scheduling/machine_preference.py
@@ -121,7 +121,7 @@
         return (
             float(spec.spot and not worker.spot),
             float(not service_cpus and not worker.spot),
-            float(not worker.running),
+            float(not worker.live_attempt_count),
             uncached,
         )
 
--- a/quinceslip/coordination/scheduling/placement.py
+++ b/quinceslip/coordination/scheduling/placement.py
@@ -79,6 +79,6 @@
             return
         queue = state.waiting_in_order()
         if state.quota is not None:
-            queue = state.quota.order_for_one_place(queue)
+            queue = state.quota.order_for_one_worker(queue)
         if queue:
             self.passes.run(queue, CandidateMachines(self.eligibility, [worker], self.examined), whole_shard=False)
--- a/quinceslip/coordination/scheduling/placement_pass.py
+++ b/quinceslip/coordination/scheduling/placement_pass.py
@@ -101,9 +101,14 @@
         if partition.precedence == FIRST_TASK and started:
             # Its other tasks wait for their regular turn, in the next pass.
             partition.precedence = NORMAL
-            self.state.reorder()
+            self.state.invalidate_queue_order()
             self.state.needs_placement = True
-        elif not started and partition.startable() and not partition.on_hold and self.quota_gate.allows_one(partition):
+        elif (
+            not started
+            and partition.startable_task_count()
+            and not partition.on_hold
+            and self.quota_gate.allows_one(partition)
+        ):
             self._reserve_machines(context, partition)
 
     def _reserve_machines(self, context: PassContext, partition: JobPartition) -> None:
--- a/quinceslip/coordination/scheduling/preemption.py
+++ b/quinceslip/coordination/scheduling/preemption.py
@@ -120,7 +120,7 @@
 
     def _work_at_risk_s(self, attempt: Attempt) -> float:
         """Return how many seconds of work may be lost if the attempt is stopped: at most one checkpoint interval."""
-        ran_s = (self.state.ctx.now_us - attempt.running_us) / SECOND if attempt.running_us else 0.0
+        ran_s = (self.state.ctx.now_us - attempt.running_since_us) / SECOND if attempt.running_since_us else 0.0
         checkpoint_s = attempt.spec.checkpoint_interval_s
         return min(ran_s, checkpoint_s) if checkpoint_s else ran_s
 
@@ -136,7 +136,7 @@
     return [
         worker
         for worker in machines.workers
-        if worker.running and (guaranteed or worker.service_room() >= spec.cpus - EPSILON)
+        if worker.live_attempt_count and (guaranteed or worker.service_room() >= spec.cpus - EPSILON)
     ]
 
 
@@ -156,5 +156,7 @@
         for attempt in worker.live_attempts()
         if attempt.observed and not attempt.stopping and policy.may_preempt(attempt)
     ]
-    victims.sort(key=lambda attempt: (-attempt.priority, attempt.spec.checkpoint_interval_s == 0, -attempt.running_us))
+    victims.sort(
+        key=lambda attempt: (-attempt.priority, attempt.spec.checkpoint_interval_s == 0, -attempt.running_since_us)
+    )
     return victims
--- a/quinceslip/coordination/scheduling/reservation.py
+++ b/quinceslip/coordination/scheduling/reservation.py
@@ -65,7 +65,7 @@
             return
         if (
             not holder.precedence
-            or not holder.startable()
+            or not holder.startable_task_count()
             or holder.on_hold
             or partitions.get(holder.job_id) is not holder
         ):
@@ -149,7 +149,7 @@
 def _first_sufficient(partition: JobPartition, forecasts: list[RoomForecast]) -> ReservationPlan | None:
     """Plan with the first machines that together have the room needed; None if all together do not have it."""
     spec = partition.spec
-    tasks_left = partition.startable() if spec.gang or spec.service else 1
+    tasks_left = partition.startable_task_count() if spec.gang or spec.service else 1
     max_per_zone = max_tasks_per_zone(spec) if spec.spread else tasks_left
     places_by_zone: dict[str, int] = {}
     names: set[str] = set()
@@ -171,7 +171,7 @@
 def _expected_ends(worker: Worker, now_us: int) -> list[tuple[int, str, m.JobSpec]]:
     """Return in how many microseconds each task there is estimated to end, soonest first; services never end."""
     return sorted(
-        (_remaining_us(attempt.running_us or now_us, attempt.spec, now_us), attempt.name, attempt.spec)
+        (_remaining_us(attempt.running_since_us or now_us, attempt.spec, now_us), attempt.name, attempt.spec)
         for attempt in worker.live_attempts()
         if not attempt.spec.service
     )
--- a/quinceslip/coordination/shard/registration.py
+++ b/quinceslip/coordination/shard/registration.py
@@ -60,7 +60,7 @@
         worker = shard.workers.get(name)
         if worker is None:
             worker = Worker(name, shard.ctx.types.get(record.type), record.zone, record.spot, record.endpoint)
-            worker.registered_us = worker.idle_us = worker.lease_renewed_us = shard.ctx.now_us
+            worker.registered_us = worker.idle_since_us = worker.lease_renewed_us = shard.ctx.now_us
             shard.workers[name] = worker
         worker.registered = record.used
         return worker
--- a/quinceslip/coordination/shard/shard.py
+++ b/quinceslip/coordination/shard/shard.py
@@ -34,13 +34,15 @@
     silent ones, and figures of its capacity.
     """
 
-    def __init__(self, ctx: Context, election: LeaderElection, index: int, term: int, previous_own_term: int) -> None:
+    def __init__(
+        self, ctx: Context, election: LeaderElection, index: int, term: int, own_term_before_restart: int
+    ) -> None:
         """Take over shard `index` under `term`: its workers and open jobs as the store has them.
 
-        `previous_own_term`: our term before a restart, where nobody has led the shard since; else 0.
+        `own_term_before_restart`: our term before a restart, where nobody has led the shard since; else 0.
         """
         super().__init__(ctx, election, index, term)
-        self.previous_own_term = previous_own_term
+        self.own_term_before_restart = own_term_before_restart
         self.persistence = JobPersistence(self)
         self.placement = Placement(self)
         self.heartbeats = HeartbeatReceiver(self)
@@ -67,13 +69,13 @@
 
     def task_started(self, worker: Worker, attempt: Attempt) -> None:
         """A task has been reported as running: its image is on the machine, as the one used last."""
-        if attempt.running_us == self.ctx.now_us:
+        if attempt.running_since_us == self.ctx.now_us:
             log.debug(
                 "task running task=%s worker=%s type=%s since_sent_s=%.1f",
                 attempt.name,
                 worker.name,
                 worker.type.label if worker.type else "?",
-                (self.ctx.now_us - attempt.sent_us) / SECOND,
+                (self.ctx.now_us - attempt.created_us) / SECOND,
             )
         worker.images.pop(attempt.spec.image, None)
         worker.images[attempt.spec.image] = attempt.spec.image_gb
@@ -94,25 +96,25 @@
             "task done task=%s worker=%s since_sent_s=%.1f since_running_s=%.1f",
             attempt.name,
             worker.name,
-            (self.ctx.now_us - attempt.sent_us) / SECOND,
-            (self.ctx.now_us - attempt.running_us) / SECOND,
+            (self.ctx.now_us - attempt.created_us) / SECOND,
+            (self.ctx.now_us - attempt.running_since_us) / SECOND,
         )
-        if attempt.running_us:
-            self.capacity.task_finished((self.ctx.now_us - attempt.running_us) / SECOND)
+        if attempt.running_since_us:
+            self.capacity.task_finished((self.ctx.now_us - attempt.running_since_us) / SECOND)
 
     def term_raised(self, term: int) -> None:
         """Our leadership has a higher term now, without a failover."""
         # Every worker that has shown a term of ours stays fenced: what it may still execute is
         # ours alone, and nothing of an earlier leader's. Only a failover starts anew.
         self.term = term
-        self.counter = 0
+        self.attempt_counter = 0
 
     # Time.
 
     def tick(self) -> None:
         """Do what is due by the clock."""
         self.silence_check.tick()
-        self.addresses.review()
+        self.addresses.close_cleared()
         self.command_sender.probe_addresses()
         if self.ctx.now_us >= self.next_deadline_order_us:
             self.next_deadline_order_us = self.ctx.now_us + DEADLINE_ORDER_INTERVAL_US
@@ -142,14 +144,14 @@
         cpus = slots * self.capacity.mean_task().cpus + self.capacity.booting_cpus() / 2
         order_by_deadline(queue, max(cpus * rate, MIN_EXPECTED_CPUS), self.ctx.wall_us)
         self.placement.ageing.update(queue, 1 / rate, slots)
-        self.reorder()
+        self.invalidate_queue_order()
 
     def end_batch(self) -> None:
         """After a batch of messages: place what waits, send workers their commands."""
         if self.registration.to_register:
             self.registration.register_workers()
         self.placement.place_waiting()
-        self.command_sender.send_direct()
+        self.command_sender.send_direct_commands()
 
     # What load balancing, autoscaling and the log ask; see `CapacityFigures`.
 
--- a/quinceslip/coordination/shard/silence.py
+++ b/quinceslip/coordination/shard/silence.py
@@ -34,7 +34,7 @@
         for worker in list(self.shard.workers.values()):
             self._expire_lease(worker)
             if worker.attempts:
-                worker.idle_us = now_us
+                worker.idle_since_us = now_us
             if self._needs_probe(worker):
                 self.shard.command_sender.probe(worker)
 
@@ -46,7 +46,7 @@
             if worker.attempts or worker.name in shard.unreconciled:
                 log.info("lease expired worker=%s cause=silence unrenewed_s=%.1f", worker.name, unrenewed_us / SECOND)
             shard.expire_lease(worker)
-        elif shard.lease_expired_unheard(worker):
+        elif shard.lease_expired_while_unreachable(worker):
             log.info("lease expired worker=%s cause=unanswered_heartbeats", worker.name)
             shard.expire_lease(worker)
 
--- a/quinceslip/coordination/shard_state/delivery.py
+++ b/quinceslip/coordination/shard_state/delivery.py
@@ -15,7 +15,7 @@
 #: so many probes in a row without a reply make a silent machine a dead one
 MAX_UNANSWERED_PROBES = 2
 #: so many answers in a row that showed no effect are no accident: single ones are lost or come too late
-MAX_UNACKNOWLEDGED = 2
+MAX_UNACKNOWLEDGED_ANSWERS = 2
 
 
 @dataclass(slots=True)
@@ -23,8 +23,8 @@
     """Owned by a worker of a shard."""
 
     unanswered_probes: int = 0  # probes in a row that were not replied to
-    unacknowledged: int = 0  # answers in a row to its heartbeats of which its next heartbeat showed nothing
-    first_missed_us: int = 0  # when the first probe without a reply was sent
+    unacknowledged_answers: int = 0  # answers in a row to its heartbeats of which its next heartbeat showed nothing
+    first_missed_probe_us: int = 0  # when the first probe without a reply was sent
     # What the answer to its last heartbeat must have brought about, if it came: an epoch, a token (0: none), launches.
     epoch: int = 0
     fencing_token: int = 0
@@ -33,12 +33,15 @@
     @property
     def suspect(self) -> bool:
         """Whether something that it must have received, or a probe, has shown no effect."""
-        return self.unanswered_probes > 0 or self.unacknowledged > 0
+        return self.unanswered_probes > 0 or self.unacknowledged_answers > 0
 
     @property
     def unreachable(self) -> bool:
         """Neither answers nor probes reach it: it is certain that this leader does not renew its lease."""
-        return self.unanswered_probes >= MAX_UNANSWERED_PROBES and self.unacknowledged >= MAX_UNACKNOWLEDGED
+        return (
+            self.unanswered_probes >= MAX_UNANSWERED_PROBES
+            and self.unacknowledged_answers >= MAX_UNACKNOWLEDGED_ANSWERS
+        )
 
     def answer_sent(self, heartbeat: m.WorkerHeartbeat, fencing_token: int, commands: Iterable[m.Command]) -> None:
         """Note what the answer to a heartbeat must bring about."""
@@ -63,16 +66,16 @@
             self.acknowledged()
             return True
         if fencing_token or heartbeat.epoch == epoch:
-            self.unacknowledged += 1
+            self.unacknowledged_answers += 1
         return False
 
     def acknowledged(self) -> None:
         """Note a proof that it receives what it is sent."""
         self.unanswered_probes = 0
-        self.unacknowledged = 0
-        self.first_missed_us = 0
+        self.unacknowledged_answers = 0
+        self.first_missed_probe_us = 0
 
     def probe_missed(self, probed_us: int) -> None:
         """Note that a probe sent at `probed_us` got no reply."""
         self.unanswered_probes += 1
-        self.first_missed_us = self.first_missed_us or probed_us
+        self.first_missed_probe_us = self.first_missed_probe_us or probed_us
--- a/quinceslip/coordination/shard_state/partition.py
+++ b/quinceslip/coordination/shard_state/partition.py
@@ -115,7 +115,7 @@
         missed = self.missed_due_times if place == _PLACE_NORMAL else 0
         return (self.priority, place, missed, self.submitted_us, self.job_id)
 
-    def startable(self) -> int:
+    def startable_task_count(self) -> int:
         """Number of waiting tasks that do not pause after a failure."""
         if not self.not_before:
             return len(self.pending)
--- a/quinceslip/coordination/shard_state/policies.py
+++ b/quinceslip/coordination/shard_state/policies.py
@@ -57,7 +57,7 @@
         """The queue in fair-share order, in as many rounds as the pass needs."""
         ...
 
-    def order_for_one_place(self, queue: Sequence[JobPartition]) -> list[JobPartition]:
+    def order_for_one_worker(self, queue: Sequence[JobPartition]) -> list[JobPartition]:
         """The queue in fair-share order, for room on a single worker."""
         ...
 
--- a/quinceslip/coordination/shard_state/state.py
+++ b/quinceslip/coordination/shard_state/state.py
@@ -40,7 +40,7 @@
         self.election = election
         self.index = index
         self.term = term  # our leadership's, and the fencing token of what we send
-        self.counter = 0  # attempts numbered in this term
+        self.attempt_counter = 0  # attempts numbered in this term
         self.led_since_us = ctx.now_us
         self.workers: dict[str, Worker] = {}
         self.partitions: dict[str, JobPartition] = {}  # by job
@@ -73,8 +73,8 @@
         Tasks of a gang share the attempt number of their first one, passed as `number`.
         """
         if not number:
-            self.counter += 1
-            number = self.term * ATTEMPTS_PER_TERM + self.counter
+            self.attempt_counter += 1
+            number = self.term * ATTEMPTS_PER_TERM + self.attempt_counter
         attempt = Attempt(partition.job_id, index, number, partition.spec, worker.name, self.ctx.now_us)
         partition.attempts[index] = attempt
         self.attach(worker, attempt)
@@ -112,7 +112,7 @@
         partition = self.partitions.get(attempt.job_id)
         if partition is None or not self.is_current(attempt):
             return
-        if self.settled(worker, attempt) or "address" not in self.guards:
+        if self.launch_cannot_arrive(worker, attempt) or "address" not in self.guards:
             del partition.attempts[attempt.index]
             self.add_pending(partition, [attempt.index])
 
@@ -144,19 +144,19 @@
         if self.quota is not None:
             self.quota.attempt_ended(worker, attempt)
 
-    def settled(self, worker: Worker, attempt: Attempt) -> bool:
+    def launch_cannot_arrive(self, worker: Worker, attempt: Attempt) -> bool:
         """Whether no launch of this attempt can still arrive."""
         if "settled" not in self.guards:
             return True
         if attempt.direct_call_open:
             return False
-        return not attempt.unanswered_term or worker.fencing_token > attempt.unanswered_term
+        return not attempt.unanswered_call_term or worker.fencing_token > attempt.unanswered_call_term
 
     def possibly_running(self, job_id: str) -> Iterator[tuple[Worker, Attempt]]:
         """Attempts of the job that may be running, or may yet start, with their workers."""
         for attempt in self.attempts_by_job.get(job_id, ()):
             worker = self.worker_of(attempt)
-            if worker is not None and (not attempt.end_cause or not self.settled(worker, attempt)):
+            if worker is not None and (not attempt.end_cause or not self.launch_cannot_arrive(worker, attempt)):
                 yield worker, attempt
 
     def stop(self, attempt: Attempt, grace_s: float) -> None:
@@ -233,7 +233,7 @@
     def waiting_in_order(self) -> list[JobPartition]:
         """Partitions with waiting tasks, in the order in which they are served.
 
-        Sorted anew only where a partition came or what orders them was set (`reorder`); asked for with nearly every
+        Sorted anew only where a partition came or what orders them was set (`invalidate_queue_order`); asked for with nearly every
         heartbeat.
         """
         if self.queue_order is None:
@@ -255,7 +255,7 @@
         for job_id in served:
             del self.queued[job_id]
 
-    def reorder(self) -> None:
+    def invalidate_queue_order(self) -> None:
         """What orders the waiting partitions has changed."""
         self.queue_order = None
 
--- a/quinceslip/coordination/shard_state/worker.py
+++ b/quinceslip/coordination/shard_state/worker.py
@@ -26,13 +26,15 @@
     sent_us: int  # when it was decided, or first reported by its worker
     observed: bool = False  # its worker has reported it
     state: str = ""  # as last reported
-    running_us: int = 0  # when it was first reported as running; 0: not yet
+    running_since_us: int = 0  # when it was first reported as running; 0: not yet
     end_cause: str = ""  # cause, once it has exited
     stopping: bool = False  # it is to be stopped
     grace_s: float = 0.0  # what it gets to save its progress when it is stopped
     direct_call_open: bool = False  # a direct command with its launch is in flight
-    unanswered_term: int = 0  # a direct command with its launch was never answered, given up under this term
-    answered_by_other: bool = False  # one was carried out by another machine, which has the worker's address now
+    unanswered_call_term: int = 0  # a direct command with its launch was never answered, given up under this term
+    answered_by_other_machine: bool = (
+        False  # one was carried out by another machine, which has the worker's address now
+    )
     given_up_us: int = 0  # when the last of these two was learnt
     sent: bool = False  # its launch or stop was sent already
     counted_usage: tuple[int, int, int, int] | None = None  # what quotas count of it
@@ -71,7 +73,7 @@
     # Reconciliation: its lease, and proof of contact.
     lease_renewed_us: int = 0  # nothing renewed its lease later than this
     predecessor_renewed_us: int = 0  # the last answer of an earlier leader was given by then
-    unanswered: bool = False  # its last heartbeat got no answer, since none reaches it
+    heartbeat_unanswered: bool = False  # its last heartbeat got no answer, since none reaches it
     last_contact_us: int = 0  # last heartbeat or direct reply
     last_heartbeat_us: int = 0  # last heartbeat that was no direct reply; written by the heartbeat receiver
     registered_us: int = 0  # when it joined the shard; written by the registration
@@ -82,7 +84,7 @@
     draining: str = ""  # why it gets no new tasks (by a reclaim notice: the reconciler); empty: it is not drained
     deleting: bool = False  # the cloud was asked to delete it
     command_open: bool = False  # a direct command is in flight; written by the command sender
-    idle_us: int = 0  # it has had no attempts since then; written by the silence check
+    idle_since_us: int = 0  # it has had no attempts since then; written by the silence check
 
     # Reconciliation: tasks and images on it.
     reported_tasks: dict[str, m.TaskStatus] = field(default_factory=dict)  # by name, as last reported
@@ -100,7 +102,7 @@
     next_probe_us: int = 0  # not before then
 
     # Sums over the attempts that have not ended; written by `add_usage` alone.
-    running: int = 0  # number of attempts
+    live_attempt_count: int = 0
     used_cpus: float = 0.0
     used_gpus: float = 0.0
     used_memory_gb: float = 0.0
@@ -111,7 +113,7 @@
     def add_usage(self, spec: m.JobSpec, by: int) -> None:
         """Count an attempt that begins to take room (`by` = 1), or one that ends (`by` = -1)."""
         self.running += by
-        if not self.running:
+        if not self.live_attempt_count:
             # Sums of decimal amounts drift; an empty machine is exactly empty.
             self.used_cpus = self.used_gpus = self.used_memory_gb = 0.0
             self.production_cpus = self.service_cpus = 0.0
--- a/quinceslip/models/takeover/enabled_steps.py
+++ b/quinceslip/models/takeover/enabled_steps.py
@@ -117,9 +117,9 @@
     # An epoch that has been heard of has its full lease from then on.
     if machine.lease_lapsed and not worker.lease_expired and worker.epoch != machine.epoch:
         yield Step(StepKind.LEASE_EXPIRY_SEEN, number)
-    # As `Reconciler.lease_expired_unheard`, whose clock the newer epoch of the worker stands for here.
+    # As `Reconciler.lease_expired_while_unreachable`, whose clock the newer epoch of the worker stands for here.
     unreconciled = machine.name in world.leader.reconciler.unreconciled
-    if worker.unanswered and unreconciled and machine.in_newer_epoch():
+    if worker.heartbeat_unanswered and unreconciled and machine.in_newer_epoch():
         yield Step(StepKind.EXPIRED_UNHEARD, number)
 
 
--- a/quinceslip/models/takeover/leader.py
+++ b/quinceslip/models/takeover/leader.py
@@ -135,10 +135,10 @@
         """Lead under a higher term from now on."""
         self.requested_term = 0
         self.reconciler.term = term
-        self.reconciler.counter = 0
+        self.reconciler.attempt_counter = 0
 
     def end_batch(self) -> None:
         """Send direct commands, as at the end of a batch of messages."""
         self.reconciler.next_raise_us = 0
         if len(self._network.commands) < MAX_OPEN_COMMANDS:
-            self.command_sender.send_direct()
+            self.command_sender.send_direct_commands()
--- a/quinceslip/models/takeover/state_key.py
+++ b/quinceslip/models/takeover/state_key.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Iterator
 
 from quinceslip.coordination.reconciliation.address_checks import AddressCheck
-from quinceslip.coordination.shard_state.delivery import MAX_UNACKNOWLEDGED, MAX_UNANSWERED_PROBES
+from quinceslip.coordination.shard_state.delivery import MAX_UNACKNOWLEDGED_ANSWERS, MAX_UNANSWERED_PROBES
 from quinceslip.coordination.shard_state.worker import Attempt, Worker
 from quinceslip.models.takeover.network import CommandsInFlight, DelayedHeartbeat
 from quinceslip.models.takeover.workers import ModelWorker
@@ -72,7 +72,7 @@
             worker.fenced,
             worker.lease_expired,
             worker.command_open,
-            worker.unanswered,
+            worker.heartbeat_unanswered,
             machine.name in reconciler.unreconciled,
             machine.name in reconciler.workers_to_command,
             machine.in_newer_epoch(),
@@ -85,7 +85,7 @@
         delivery = worker.delivery
         return (
             min(delivery.unanswered_probes, MAX_UNANSWERED_PROBES),
-            min(delivery.unacknowledged, MAX_UNACKNOWLEDGED),
+            min(delivery.unacknowledged_answers, MAX_UNACKNOWLEDGED_ANSWERS),
             delivery.fencing_token > 0,
             tuple(sorted(self.attempt_ranks.get(number, NO_RANK) for _, number in delivery.launches)),
         )
@@ -104,9 +104,9 @@
             attempt.end_cause,
             attempt.stopping,
             attempt.direct_call_open,
-            attempt.answered_by_other,
+            attempt.answered_by_other_machine,
             attempt.sent,
-            self.term_ranks[attempt.unanswered_term],
+            self.term_ranks[attempt.unanswered_call_term],
             self.world.partition.attempts.get(attempt.index) is attempt,
         )
 
@@ -162,7 +162,7 @@
         return (
             leader.sees_newest_record,
             self.term_ranks[leader.reconciler.term],
-            self.term_ranks[leader.reconciler.first_own_term],
+            self.term_ranks[leader.reconciler.takeover_term],
             leader.requested_term > 0,
         )
 
@@ -177,7 +177,7 @@
     yield 0
     yield world.store.term
     yield reconciler.term
-    yield reconciler.first_own_term
+    yield reconciler.takeover_term
     for machine in world.workers:
         yield machine.fencing_token
     for commands in world.network.commands:
@@ -187,11 +187,11 @@
     for worker in reconciler.workers.values():
         yield worker.fencing_token
         for attempt in worker.attempts.values():
-            yield attempt.unanswered_term
+            yield attempt.unanswered_call_term
     for check in reconciler.addresses.open.values():
         yield check.latest_term
         for attempt in check.attempts:
-            yield attempt.unanswered_term
+            yield attempt.unanswered_call_term
 
 
 def _attempt_numbers(world: World) -> Iterator[int]:
--- a/quinceslip/quota/bench.py
+++ b/quinceslip/quota/bench.py
@@ -114,7 +114,7 @@
                     self.state.detach(worker, attempt.name)
                 elif attempt not in before:
                     started += 1
-                    attempt.observed, attempt.running_us = True, self.ctx.now_us
+                    attempt.observed, attempt.running_since_us = True, self.ctx.now_us
         return PassResult(started, stopped)
 
     def finish(self, attempt: Attempt) -> None:
--- a/quinceslip/quota/fair_share_order.py
+++ b/quinceslip/quota/fair_share_order.py
@@ -156,7 +156,7 @@
 
     # One place.
 
-    def order_for_one_place(self, queue: Sequence[JobPartition]) -> list[JobPartition]:
+    def order_for_one_worker(self, queue: Sequence[JobPartition]) -> list[JobPartition]:
         """Who may take a place that has just become free, first the one furthest below its share."""
         # Guard: a few of each team. The first of all alone would be one team's where it floods the queue.
         of_team: Counter[str] = Counter()
--- a/quinceslip/quota/preemption.py
+++ b/quinceslip/quota/preemption.py
@@ -211,4 +211,4 @@
 
 def preemption_order(attempt: Attempt) -> tuple[int, bool, int, str]:
     """Sort key of victims: lowest priority first, then what saves checkpoints, then what has run shortest."""
-    return (-attempt.spec.priority, attempt.spec.checkpoint_interval_s == 0, -attempt.running_us, attempt.name)
+    return (-attempt.spec.priority, attempt.spec.checkpoint_interval_s == 0, -attempt.running_since_us, attempt.name)
--- a/quinceslip/quota/usage.py
+++ b/quinceslip/quota/usage.py
@@ -100,7 +100,7 @@
 
     def attempt_ended(self, worker: Worker | None, attempt: Attempt) -> None:
         """An attempt that ended is counted no longer, unless a launch of it can still arrive."""
-        if worker is None or self.state.settled(worker, attempt):
+        if worker is None or self.state.launch_cannot_arrive(worker, attempt):
             self.attempt_removed(attempt)
         else:
             self.unsettled_attempts[attempt] = None
@@ -126,7 +126,7 @@
         """Count no longer what ended while a launch of it could still arrive, and no longer can."""
         for attempt in list(self.unsettled_attempts):
             machine = self.state.workers.get(attempt.worker)
-            if machine is None or self.state.settled(machine, attempt):
+            if machine is None or self.state.launch_cannot_arrive(machine, attempt):
                 self.attempt_removed(attempt)
 
     def net_usage(self, level: int) -> Amounts:
--- a/tests/test_hearing.py
+++ b/tests/test_hearing.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quinceslip.coordination.shard_state.delivery import MAX_UNACKNOWLEDGED, DeliveryTracker
+from quinceslip.coordination.shard_state.delivery import MAX_UNACKNOWLEDGED_ANSWERS, DeliveryTracker
 from quinceslip.protocol import messages as m
 from quinceslip.storage import records
 from tests.scenario.runner import Runner
@@ -36,7 +36,9 @@
         if delivery.heartbeat_received(said):
             assert arrived
             arrived = False
-        assert (delivery.unacknowledged >= MAX_UNACKNOWLEDGED) <= (in_vain >= MAX_UNACKNOWLEDGED)
+        assert (delivery.unacknowledged_answers >= MAX_UNACKNOWLEDGED_ANSWERS) <= (
+            in_vain >= MAX_UNACKNOWLEDGED_ANSWERS
+        )
         term += rises
         orders = [m.launch(f"{number}/{i}", 1) for i in range(launches)]
         due = bool(orders) or term > fencing_token
--- a/tests/test_odd_heartbeats.py
+++ b/tests/test_odd_heartbeats.py
@@ -93,4 +93,4 @@
     for _ in range(3):
         assert exchange(runner, [odd], {}) == [200]
     lines = [record.getMessage() for record in caplog.records]
-    assert lines.count(f"odd task name task={odd['pick']!r} worker=n-000001") == 1
+    assert lines.count(f"invalid task name task={odd['pick']!r} worker=n-000001") == 1
