--- a/tests/simulation/checks/end_of_run.py
+++ b/tests/simulation/checks/end_of_run.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 
 from tests.simulation.checks.observations import Observations
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 
 #: the largest jobs of a class must start within this time of the moment that they are ready
 MAX_START_DELAY_S = 240
@@ -33,19 +33,19 @@
             self.observed.breach("nothing_ran", "no task was started")
 
     def _check_group(self, name: str, job_ids: list[str]) -> None:
-        observed, bound_us = self.observed, self.observed.world.bound_us()
+        observed, bound_us = self.observed, self.observed.world.completion_bound_us()
         overdue = [job_id for job_id in job_ids if observed.ready_us(job_id) + bound_us < observed.now_us]
         unserved = [job_id for job_id in overdue if not self._is_served(job_id)]
         if 2 * len(unserved) > len(overdue):
             observed.breach("starved", f"{name}: {len(unserved)} of {len(overdue)} not served, such as {unserved[:3]}")
-        if unserved and observed.now_us > observed.world.calm_us + bound_us:
+        if unserved and observed.now_us > observed.world.last_fault_end_us + bound_us:
             observed.breach(
-                "lost_work", f"{unserved[:3]} of {name} not served {bound_us / US:.0f} s after the last fault"
+                "lost_work", f"{unserved[:3]} of {name} not served {bound_us / SECOND_US:.0f} s after the last fault"
             )
 
     def _check_started(self, name: str, job_ids: list[str]) -> None:
         for job_id in job_ids:
-            if self._started_us(job_id) - self.observed.ready_us(job_id) > MAX_START_DELAY_S * US:
+            if self._started_us(job_id) - self.observed.ready_us(job_id) > MAX_START_DELAY_S * SECOND_US:
                 self.observed.breach("starved", f"{job_id}, of the {name}, had not started after {MAX_START_DELAY_S} s")
 
     def _is_served(self, job_id: str) -> bool:
@@ -70,7 +70,7 @@
         observed = self.observed
         groups: dict[str, list[str]] = defaultdict(list)
         for job_id in observed.accepted:
-            if not observed.is_cancelled(job_id) and not observed.world.failing.get(job_id):
+            if not observed.is_cancelled(job_id) and not observed.world.remaining_failures.get(job_id):
                 groups[f"class {observed.spec(job_id)['lane']}"].append(job_id)
                 groups[f"team {observed.spec(job_id)['crew']}"].append(job_id)
         return groups
--- a/tests/simulation/checks/starvation.py
+++ b/tests/simulation/checks/starvation.py
@@ -12,13 +12,13 @@
     level_of_section,
     need_per_task,
 )
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.task_runner import TaskStatus
 from tests.simulation.tasks import job_of
 from tests.simulation.worker import SimulatedWorker
 
 #: the longest time that a job may wait while an eligible machine has room and its team is under its limit
-WAIT_S = 90
+MAX_STARVATION_S = 90
 
 
 @dataclass
@@ -64,7 +64,7 @@
     def sample(self) -> None:
         """Check the jobs that wait now; called every second or two, and skipped while a fault lasts."""
         observed = self.observed
-        if observed.now_us < observed.world.calm_us:
+        if observed.now_us < observed.world.last_fault_end_us:
             self.waiting_since_us.clear()
             return
         machines = [
@@ -85,9 +85,11 @@
         """Since when a job has waited, in µs; after a breach the time starts again."""
         now_us = self.observed.now_us
         since_us = self.waiting_since_us.get(job_id, now_us)
-        if now_us - since_us <= WAIT_S * US:
+        if now_us - since_us <= MAX_STARVATION_S * SECOND_US:
             return since_us
-        self.observed.breach("left_waiting", f"{job_id}: {remaining} tasks wait although there was room for {WAIT_S} s")
+        self.observed.breach(
+            "left_waiting", f"{job_id}: {remaining} tasks wait although there was room for {MAX_STARVATION_S} s"
+        )
         return now_us
 
     def _is_startable(self, job_id: str) -> bool:
@@ -95,7 +97,7 @@
         observed = self.observed
         if observed.last_status.get(job_id) in FINAL_STATUSES or observed.is_cancelled(job_id):
             return False
-        if observed.world.failing.get(job_id):
+        if observed.world.remaining_failures.get(job_id):
             return False
         return all(map(observed.is_complete, observed.spec(job_id)["waitsOn"]))
 
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from tests.simulation.checker import Checker
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.cloud import SimulatedCloud
 from tests.simulation.controller import SimulatedController
 from tests.simulation.store import SimulatedStore
@@ -21,7 +21,7 @@
 #: maximum latency of a message, unless links are slow
 MAX_LATENCY_US = 4000
 #: interval of the checker's search for jobs that wait too long
-SAMPLE_PERIOD_US = 2 * US
+SAMPLE_PERIOD_US = 2 * SECOND_US
 #: CPUs assumed for the completion bound if there is no machine
 DEFAULT_CPUS = 16.0
 #: maximum time from the end of a job to the start of one that depends on it
@@ -39,7 +39,7 @@
         operators: dict[str, dict[str, str]] | None = None,
     ) -> None:
         self.now_us = 0
-        self.calm_us = 0  # when the last fault ends
+        self.last_fault_end_us = 0  # when the last fault ends
         self.operators = operators or {}  # sections of the operators' INI file
         self.events: list[tuple[int, int, Callable[[], object]]] = []  # heap of (time, number, action)
         self.last_event_number = 0
@@ -49,18 +49,19 @@
         # By job id.
         self.jobs: dict[str, dict[str, Any]] = {}
         self.run_s: dict[str, float] = {}
-        self.apart_s: dict[str, float] = {}  # by how much each task of a job runs longer than the one before
-        self.failing: dict[str, int] = {}  # number of starts of its tasks that will still fail
-        self.odd: dict[str, dict[str, Any]] = {}  # submissions that can never run or lack a field, so must be refused
+        self.run_increment_s: dict[str, float] = {}  # by how much each task of a job runs longer than the one before
+        self.remaining_failures: dict[str, int] = {}  # number of starts of its tasks that will still fail
+        self.invalid_submissions: dict[str, dict[str, Any]] = {}  # can never run or lack a field; must be refused
         # Listeners.
-        self.on_news: list[Callable[[str, str], None]] = []  # called when a user is first told of acceptance or end
-        self.on_end: list[Callable[[str], None]] = []  # called when the last task of a job has completed
+        # Called when a user is first told that a job is accepted, done or cancelled.
+        self.status_listeners: list[Callable[[str, str], None]] = []
+        self.completion_listeners: list[Callable[[str], None]] = []  # called when the last task of a job has completed
         # Faults, and counters of their effects.
         self.link_delay_us, self.links_slow_until_us = 0, 0  # maximum latency of a message until then
-        self.for_next: list[dict[str, Any]] = []  # copies of heartbeats, delivered at the next claim of a shard
-        self.kept_delivered = 0  # number of copies delivered when a shard was claimed
-        self.handed_over_us = 0  # when the answer to a hand-over was last lost
-        self.killed = 0  # number of tasks ended by the expiry of their worker's lease
+        self.kept_heartbeats: list[dict[str, Any]] = []  # copies of heartbeats, delivered at the next claim of a shard
+        self.kept_heartbeats_delivered = 0  # number of copies delivered when a shard was claimed
+        self.hand_over_lost_us = 0  # when the answer to a hand-over was last lost
+        self.tasks_ended_by_lease = 0  # number of tasks ended by the expiry of their worker's lease
         self.heartbeats = 0
         self.store = SimulatedStore(self)
         self.cloud = SimulatedCloud(self)
@@ -94,20 +95,20 @@
 
     def on_shard_claimed(self) -> None:
         """Deliver the kept heartbeat copies to every controller, as a shard has a new leader."""
-        heartbeats, self.for_next = self.for_next, []
-        self.kept_delivered += len(heartbeats) * len(self.controllers)
+        heartbeats, self.kept_heartbeats = self.kept_heartbeats, []
+        self.kept_heartbeats_delivered += len(heartbeats) * len(self.controllers)
         for heartbeat in heartbeats:
             for controller in self.controllers.values():
                 deliver = partial(controller.receive_heartbeat, heartbeat, lambda status, body: None, is_copy=True)
                 self.after(self.latency(), deliver)
 
-    def trouble(self, seconds: float) -> int:
+    def begin_fault(self, seconds: float) -> int:
         """Record that a fault begins now and lasts `seconds`; returns its end, in µs."""
-        end_us = self.now_us + int(seconds * US)
-        self.calm_us = max(self.calm_us, end_us)
+        end_us = self.now_us + int(seconds * SECOND_US)
+        self.last_fault_end_us = max(self.last_fault_end_us, end_us)
         return end_us
 
-    def bound_us(self) -> int:
+    def completion_bound_us(self) -> int:
         """How long accepted work may take without faults: several leases and boots, and twice its work and chains."""
         machines = [worker for worker in self.workers.values() if isinstance(worker, SimulatedWorker)]
         cpus = sum(worker.type["vcpus"] for worker in machines) or DEFAULT_CPUS
@@ -118,14 +119,14 @@
         )
         boot_s = max(kind["startupS"] for kind in self.types.values())
         lease_s = self.facts["workers"]["lease_s"]
-        return int((4 * lease_s + 3 * boot_s + 2 * (work_s + self._longest_chain_s(finite_jobs)) + 20) * US)
+        return int((4 * lease_s + 3 * boot_s + 2 * (work_s + self._longest_chain_s(finite_jobs)) + 20) * SECOND_US)
 
     def _longest_chain_s(self, jobs: dict[str, dict[str, Any]]) -> float:
         """The run time of the longest chain of dependent jobs."""
         # Run time of the longest chain that ends with each job; dependencies are submitted earlier.
         chain_s: dict[str, float] = {}
         for job_id, spec in jobs.items():
-            own_s = self.run_s.get(job_id, 0) + spec["picks"] * self.apart_s.get(job_id, 0)
+            own_s = self.run_s.get(job_id, 0) + spec["picks"] * self.run_increment_s.get(job_id, 0)
             before_s = max((chain_s.get(other, 0) + CHAIN_GAP_S for other in spec["waitsOn"]), default=0)
             chain_s[job_id] = own_s + before_s
         return max(chain_s.values(), default=0)
