--- a/tests/simulation/clock.py
+++ b/tests/simulation/clock.py
@@ -1,5 +1,5 @@
-"""The unit of virtual time."""
+"""The unit of virtual time: microseconds in one second."""
 
 from quinceslip.coordination.actor.timing import SECOND
 
-US = SECOND
+SECOND_US = SECOND
