--- a/quinceslip/coordination/autoscaling/unmet_demand.py
+++ b/quinceslip/coordination/autoscaling/unmet_demand.py
@@ -77,7 +77,7 @@
         if worker.type and _is_booting(ctx, worker, worker.type)
     ]
     for request in requests.open_requests.values():
-        machine_type = ctx.types.get(request.record.type)
+        machine_type = ctx.machine_types.get(request.record.type)
         if request.shard != shard.index or not machine_type:
             continue
         for _ in range(request.expected_machines()):
@@ -104,7 +104,7 @@
         # Tasks that back off after a failure are left out, or a job in a crash loop would rent many machines.
         waiting = partition.startable_task_count()
         if shard.quota is not None:
-            waiting = shard.quota.startable(spec, waiting, claimed_quota)
+            waiting = shard.quota.tasks_allowed_on_new_machines(spec, waiting, claimed_quota)
         waiting += kept_tasks[partition.job_id]
         if waiting <= 0:
             continue
