--- a/tests/test_pipelines.py
+++ b/tests/test_dependency_graph.py
@@ -17,7 +17,7 @@
 from quinceslip.protocol import messages as m
 from quinceslip.storage.records import JobRecord, PartitionRecord, final_record
 from tests.simulation.inputs import job_spec
-from tests.test_random_days import days
+from tests.test_random_simulations import days
 
 RUN_US = 7
 
--- a/tests/test_meetings.py
+++ b/tests/test_overlapping_faults.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from tests.scenario.runner import play
-from tests.test_random_days import OWNERS, days, tenths
+from tests.test_random_simulations import OWNERS, days, tenths
 
 Draw = st.DrawFn
 #: arrays of long tasks, a service, a gang, and jobs of two or three tasks that end far apart
