--- a/tests/test_dependency_graph.py
+++ b/tests/test_dependency_graph.py
@@ -1,7 +1,7 @@
-"""Who may start, who is withdrawn and how urgent a job is, against a plain reference over all records.
+"""Which jobs are ready, which are cancelled and how urgent they are, against a reference computed from all records.
 
-Any graph, submissions, ends, cancellations and writes of derived withdrawals in any order; nodes that see the records
-one by one, several at once, or in a listing in any order, must agree with the reference after each batch.
+Random graphs; submissions, completions, cancellations and writes of derived cancellations in any order. Observers that
+get the records one by one, in batches, or as a listing in any order must match the reference after each batch.
 """
 
 import random
@@ -17,13 +17,13 @@
 from quinceslip.protocol import messages as m
 from quinceslip.storage.records import JobRecord, PartitionRecord, final_record
 from tests.simulation.inputs import job_spec
-from tests.test_random_simulations import days
+from tests.test_random_simulations import simulation_settings
 
 RUN_US = 7
 
 
 class GraphObserver:
-    """A graph, and the records that it has been told of."""
+    """A graph and the records that it was given."""
 
     def __init__(self) -> None:
         self.records: dict[str, JobRecord] = {}
@@ -36,7 +36,7 @@
         )
         self.ready: set[str] = set()
 
-    def told(self, batch: list[tuple[str, JobRecord]]) -> None:
+    def records_received(self, batch: list[tuple[str, JobRecord]]) -> None:
         self.records.update(batch)
         changes = self.graph.records_changed([job_id for job_id, _ in batch])
         for job_id in changes.ready:
@@ -44,26 +44,29 @@
             self.ready.add(job_id)
 
 
-def reference(records: dict[str, JobRecord], specs: dict[str, m.JobSpec]) -> dict[str, Any]:
-    """For every open job: whether it waits, whether it is withdrawn, its urgency; each from all records anew."""
+def expected_states(records: dict[str, JobRecord], specs: dict[str, m.JobSpec]) -> dict[str, Any]:
+    """Compute from all records, for every queued job: whether it waits, whether it is cancelled, and its urgency."""
 
     def cancelled(job_id: str) -> bool:
         return records[job_id].state == m.CANCELLED or (
-            records[job_id].state != m.DONE and any(cancelled(u) for u in specs[job_id].dependencies)
+            records[job_id].state != m.DONE and any(cancelled(job) for job in specs[job_id].dependencies)
         )
 
     def urgency(job_id: str) -> tuple[int, int]:
         spec, at_us = specs[job_id], records[job_id].at_us
-        found = (spec.priority, 10**9 if spec.deadline_s is None else at_us + int(spec.deadline_s))
+        urgency_found = (spec.priority, 10**9 if spec.deadline_s is None else at_us + int(spec.deadline_s))
         for other, record in records.items():
             if record.state == m.QUEUED and job_id in specs[other].dependencies and not cancelled(other):
                 priority_class, due = urgency(other)
-                found = (min(found[0], priority_class), min(found[1], due - RUN_US if due < 10**9 else due))
-        return found
+                urgency_found = (
+                    min(urgency_found[0], priority_class),
+                    min(urgency_found[1], due - RUN_US if due < 10**9 else due),
+                )
+        return urgency_found
 
     return {
         job_id: (
-            any(records[u].state != m.DONE for u in specs[job_id].dependencies),
+            any(records[job].state != m.DONE for job in specs[job_id].dependencies),
             cancelled(job_id),
             urgency(job_id),
         )
@@ -72,99 +75,103 @@
     }
 
 
-def agrees(node: GraphObserver, specs: dict[str, m.JobSpec]) -> None:
-    for job_id, (waits, cancelled, (priority_class, due)) in reference(node.records, specs).items():
-        graph = node.graph
+def assert_matches_reference(observer: GraphObserver, specs: dict[str, m.JobSpec]) -> None:
+    for job_id, (waits, cancelled, (priority_class, due)) in expected_states(observer.records, specs).items():
+        graph = observer.graph
         assert graph.is_waiting(job_id) == waits and graph.is_cancelled(job_id) == cancelled, job_id
-        found = graph.urgency(job_id) or Urgency(
+        urgency_found = graph.urgency(job_id) or Urgency(
             specs[job_id].priority,
             ()
             if specs[job_id].deadline_s is None
-            else (node.records[job_id].at_us + int(specs[job_id].deadline_s or 0),),
+            else (observer.records[job_id].at_us + int(specs[job_id].deadline_s or 0),),
         )
-        assert (found.priority, min(found.due_times_us, default=10**9)) == (priority_class, due), job_id
-    assert set(node.graph.cancelled) <= {u for u, r in node.records.items() if r.state == m.QUEUED}
+        assert (urgency_found.priority, min(urgency_found.due_times_us, default=10**9)) == (priority_class, due), job_id
+    assert set(observer.graph.cancelled) <= {
+        job for job, record in observer.records.items() if record.state == m.QUEUED
+    }
 
 
 @given(st.integers(0, 10**9), st.integers(2, 14))
-@days
-def test_who_may_start_and_how_urgent_it_is(seed: int, jobs: int) -> None:
-    chance = random.Random(seed)
+@simulation_settings
+def test_readiness_cancellation_and_urgency_match_reference(seed: int, jobs: int) -> None:
+    rng = random.Random(seed)
     specs: dict[str, m.JobSpec] = {}
-    truth: dict[str, JobRecord] = {}
-    step_by_step, in_lots = GraphObserver(), GraphObserver()
-    lot: list[tuple[str, JobRecord]] = []
-    for turn in range(5 * jobs):
-        open_ = [u for u, r in truth.items() if r.state == m.QUEUED]
-        what = chance.choice(["submit", "submit", "end", "cancel", "spread"])
-        if what == "submit" and len(specs) < jobs:
-            job_id = f"req-{chance.randrange(10**6):06d}"
+    all_records: dict[str, JobRecord] = {}
+    one_by_one, in_batches = GraphObserver(), GraphObserver()
+    batch: list[tuple[str, JobRecord]] = []
+    for step in range(5 * jobs):
+        queued = [job for job, record in all_records.items() if record.state == m.QUEUED]
+        event = rng.choice(["submit", "submit", "end", "cancel", "spread"])
+        if event == "submit" and len(specs) < jobs:
+            job_id = f"req-{rng.randrange(10**6):06d}"
             if job_id in specs:
                 continue
-            needs = chance.sample(sorted(specs), min(len(specs), chance.choice([0, 1, 1, 2, 3])))
+            dependencies = rng.sample(sorted(specs), min(len(specs), rng.choice([0, 1, 1, 2, 3])))
             spec = msgspec.convert(
                 job_spec(
                     job_id,
-                    waitsOn=needs,
-                    rank=chance.choice(list(m.PRIORITY_CLASSES)),
-                    dueS=chance.choice([None, 50.0, 90.0]),
+                    waitsOn=dependencies,
+                    rank=rng.choice(list(m.PRIORITY_CLASSES)),
+                    dueS=rng.choice([None, 50.0, 90.0]),
                 ),
                 m.JobSpec,
             )
             specs[job_id] = spec
-            news = [(job_id, JobRecord(m.QUEUED, 1, spec, 0, PartitionRecord("0"), turn))]
-        elif what == "end" and open_:
-            # Only what is ready by the records can end.
-            able = [u for u in open_ if all(truth[n].state == m.DONE for n in specs[u].dependencies)]
-            news = [(u, final_record(truth[u], m.DONE, 1, turn)) for u in able[:1]]
-        elif what == "cancel" and open_ and chance.random() < 0.5:
-            job_id = chance.choice(open_)
-            news = [(job_id, final_record(truth[job_id], m.CANCELLED, 0))]
-        elif what == "spread":
-            news = [(u, final_record(truth[u], m.CANCELLED, 0)) for u in list(step_by_step.graph.cancelled)[:1]]
+            updates = [(job_id, JobRecord(m.QUEUED, 1, spec, 0, PartitionRecord("0"), step))]
+        elif event == "end" and queued:
+            # Only a job whose dependencies are done can end.
+            ready = [job for job in queued if all(all_records[n].state == m.DONE for n in specs[job].dependencies)]
+            updates = [(job, final_record(all_records[job], m.DONE, 1, step)) for job in ready[:1]]
+        elif event == "cancel" and queued and rng.random() < 0.5:
+            job_id = rng.choice(queued)
+            updates = [(job_id, final_record(all_records[job_id], m.CANCELLED, 0))]
+        elif event == "spread":
+            updates = [
+                (job, final_record(all_records[job], m.CANCELLED, 0)) for job in list(one_by_one.graph.cancelled)[:1]
+            ]
         else:
             continue
-        truth.update(news)
-        step_by_step.told(news)
-        agrees(step_by_step, specs)
-        lot += news
-        if chance.random() < 0.2:
-            # A listing shows the latest of each, in any order.
-            latest = list(dict(lot).items())
-            chance.shuffle(latest)
-            in_lots.told(latest)
-            agrees(in_lots, specs)
-            fresh = GraphObserver()
-            listing = list(truth.items())
-            chance.shuffle(listing)
-            fresh.told(listing)
-            agrees(fresh, specs)
-            lot = []
-    assert step_by_step.ready <= {u for u in specs if not step_by_step.graph.is_waiting(u)}
-
-
-def test_thousands_behind_one_and_a_long_chain(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A job needed by thousands, and a chain of hundreds, cost no recursion and no square of their number."""
-    node, looked, merged = GraphObserver(), [0], Urgency.merged
-
-    def counted(self: Urgency, other: Urgency) -> Urgency:
-        looked[0] += 1
+        all_records.update(updates)
+        one_by_one.records_received(updates)
+        assert_matches_reference(one_by_one, specs)
+        batch += updates
+        if rng.random() < 0.2:
+            # A listing has the latest record of each job, in any order.
+            latest = list(dict(batch).items())
+            rng.shuffle(latest)
+            in_batches.records_received(latest)
+            assert_matches_reference(in_batches, specs)
+            new_observer = GraphObserver()
+            listing = list(all_records.items())
+            rng.shuffle(listing)
+            new_observer.records_received(listing)
+            assert_matches_reference(new_observer, specs)
+            batch = []
+    assert one_by_one.ready <= {job for job in specs if not one_by_one.graph.is_waiting(job)}
+
+
+def test_wide_and_deep_graphs_avoid_quadratic_cost(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against recursion and quadratic cost, with a job that thousands wait for and a chain of hundreds."""
+    observer, merges, merged = GraphObserver(), [0], Urgency.merged
+
+    def count_merge(self: Urgency, other: Urgency) -> Urgency:
+        merges[0] += 1
         return merged(self, other)
 
-    monkeypatch.setattr(Urgency, "merged", counted)
+    monkeypatch.setattr(Urgency, "merged", count_merge)
 
-    def submits(job_id: str, needs: list[str], due_s: float | None) -> tuple[str, JobRecord]:
-        spec = msgspec.convert(job_spec(job_id, waitsOn=needs, dueS=due_s), m.JobSpec)
+    def submission(job_id: str, dependencies: list[str], due_s: float | None) -> tuple[str, JobRecord]:
+        spec = msgspec.convert(job_spec(job_id, waitsOn=dependencies, dueS=due_s), m.JobSpec)
         return job_id, JobRecord(m.QUEUED, 1, spec, 0, PartitionRecord("0"), 0)
 
     first = "req-0"
-    node.told([submits(first, [], None)])
-    node.told([submits(f"req-1{n:05d}", [first], 5000.0 - n) for n in range(3000)])
-    assert node.graph.urgency(first) == Urgency(2, (5000 - 2999 - RUN_US,))
+    observer.records_received([submission(first, [], None)])
+    observer.records_received([submission(f"req-1{n:05d}", [first], 5000.0 - n) for n in range(3000)])
+    assert observer.graph.urgency(first) == Urgency(2, (5000 - 2999 - RUN_US,))
     chain = [f"req-2{n:05d}" for n in range(800)]
     for n, job_id in enumerate(chain):
-        node.told([submits(job_id, [chain[n - 1] if n else first], 100000.0 if n == 799 else None)])
-    assert node.graph.urgency(chain[0]) == Urgency(2, (100000 - 799 * RUN_US,))
-    assert looked[0] < 20_000
-    node.told([(first, final_record(node.records[first], m.CANCELLED, 0))])
-    assert len(node.graph.cancelled) == 3800
+        observer.records_received([submission(job_id, [chain[n - 1] if n else first], 100000.0 if n == 799 else None)])
+    assert observer.graph.urgency(chain[0]) == Urgency(2, (100000 - 799 * RUN_US,))
+    assert merges[0] < 20_000
+    observer.records_received([(first, final_record(observer.records[first], m.CANCELLED, 0))])
+    assert len(observer.graph.cancelled) == 3800
--- a/tests/test_golden_samples.py
+++ b/tests/test_golden_samples.py
@@ -1,13 +1,13 @@
 """Golden samples: what the program reads and writes, byte for byte.
 
-Every sample in `tests/samples/golden/*.json` has an input (`given`) and the outcome that the program had for it
-(`expected`): stored records, JSON messages, peer frames, settings files, and the command line. Samples hold only wire
-names, stored names and text that operators see, so they outlive renames of modules, types and fields in the program.
-The adapter below is the only place that names anything of the program.
+Every sample in `tests/samples/golden/*.json` has an input (`given`) and the recorded outcome (`expected`): stored
+records, JSON messages, peer frames, settings files, and the command line. Samples hold only wire names, stored names
+and text that operators see, so renames of modules, types and fields in the program do not affect them. Only the
+adapter below refers to names of the program.
 
-    python -m tests.test_golden_samples        rewrites every `expected` from the present code
+    python -m tests.test_golden_samples        rewrites every `expected` from the current code
 
-Rewrite them only for an intended change of a format or a text, and say in the commit which one it is.
+Rewrite them only for an intended change of a format or a text, and name that change in the commit.
 """
 
 import contextlib
@@ -38,7 +38,7 @@
 from quinceslip.quota.status_page import page as quota_page
 from quinceslip.storage import records, task_sets
 
-# Adapter: the names of the program. A rename edits this block and nothing else.
+# Adapter: all uses of names of the program. A rename edits only this block.
 from quinceslip.storage.cache import StoreCache
 
 SAMPLES = Path(__file__).resolve().parent / "samples" / "golden"
@@ -48,7 +48,7 @@
 RECORD_TYPES: dict[str, Any] = {**records.KINDS, **AllocationManager.kinds}
 #: modules in which every public message type must have samples
 MESSAGE_MODULES = (m,)
-#: JSON messages, by a name that only the samples use
+#: JSON messages, by the name used in the samples
 MESSAGE_TYPES: dict[str, Any] = {
     "job": m.JobSpec,
     "task report": m.TaskStatus,
@@ -72,18 +72,18 @@
 FrameError = frames.FrameError
 
 
-def as_job(job: Any) -> Any:
-    """The job that a JSON value stands for."""
+def to_job_spec(job: Any) -> Any:
+    """Convert a JSON value to a job spec."""
     return msgspec.convert(job, m.JobSpec)
 
 
-def following_note(previous: Any, part: str, wall_us: int, lease_us: int) -> Any:
-    """The standstill record that is written after `previous`."""
-    note = None if previous is None else msgspec.convert(previous, RECORD_TYPES["standstill"])
-    return stall_records.next_record(note, part, wall_us, lease_us)
+def next_stall_record(previous: Any, part: str, wall_us: int, lease_us: int) -> Any:
+    """Return the stall record that follows `previous`."""
+    record = None if previous is None else msgspec.convert(previous, RECORD_TYPES["standstill"])
+    return stall_records.next_record(record, part, wall_us, lease_us)
 
 
-#: functions that make messages, records, keys and paths; called with the arguments of a sample, in order
+#: functions that build messages, records, keys and paths; called with the arguments of a sample, in order
 BUILDERS: dict[str, Callable[..., Any]] = {
     "launch": m.launch,
     "halt": m.stop,
@@ -100,10 +100,10 @@
     "list path": m.list_path,
     "watch path": m.watch_path,
     "transaction": m.compare_and_swap_request,
-    "job with priority": lambda job, priority: m.with_priority(as_job(job), priority),
-    "job waiting on": lambda job, job_ids: m.waiting_on(as_job(job), job_ids),
+    "job with priority": lambda job, priority: m.with_priority(to_job_spec(job), priority),
+    "job waiting on": lambda job, job_ids: m.waiting_on(to_job_spec(job), job_ids),
     "final record": lambda job, *rest: records.final_record(msgspec.convert(job, RECORD_TYPES["job"]), *rest),
-    "following standstill": following_note,
+    "following standstill": next_stall_record,
     "task set": lambda numbers: task_sets.encode(set(numbers)),
     "task set read": lambda text: sorted(task_sets.decode(text)),
     "key of shard": records.shard_key,
@@ -163,31 +163,31 @@
 
 
 def pack_heartbeat(label: str, state_ok: bool, revision: int, loads: list[list[Any]], *rest: Any) -> bytes:
-    """The frame of a heartbeat; each of `loads` and `rest` holds constructor arguments in order."""
+    """Pack the frame of a heartbeat; each of `loads` and `rest` holds constructor arguments in order."""
     return frames.pack_heartbeat(
         frames.PeerHeartbeat(label, state_ok, revision, [frames.ShardLoad(*load) for load in loads], *rest)
     )
 
 
 def pack_observations(label: str, observations: list[list[Any]]) -> bytes:
-    """The frame of sightings; each of `observations` holds constructor arguments in order."""
+    """Pack the frame of capacity observations, each given as constructor arguments in order."""
     return frames.pack_observations(
         frames.PeerObservations(label, [frames.Observation(*observation) for observation in observations])
     )
 
 
-#: functions that make peer frames
+#: functions that build peer frames
 FRAME_BUILDERS: dict[str, Callable[..., bytes]] = {"heartbeat": pack_heartbeat, "sightings": pack_observations}
 
 
 def read_frame(data: bytes) -> tuple[int, int, Any]:
-    """Kind, payload length and content of a frame; raises FrameError."""
+    """Read kind, payload length and content of a frame; raise FrameError if it is invalid."""
     kind, length = frames.read_header(data[:FRAME_HEADER_BYTES])
     return kind, length, frames.read_frame(kind, data[FRAME_HEADER_BYTES:])
 
 
-def pack_again(content: Any) -> bytes:
-    """The frame of what `read_frame` read."""
+def repack_frame(content: Any) -> bytes:
+    """Pack the content that `read_frame` returned."""
     return (
         frames.pack_heartbeat(content)
         if isinstance(content, frames.PeerHeartbeat)
@@ -195,18 +195,18 @@
     )
 
 
-def understood_settings(path: Path) -> dict[str, str]:
-    """The platform's settings as the program understands them, and the limits that it plans with."""
+def loaded_settings(path: Path) -> dict[str, str]:
+    """The platform's settings as the program loads them, and the limits that it plans with."""
     settings = load_settings(path)
-    return {"settings": encoded(settings), "lasting limits": encoded(settings.facts.state.lasting())}
+    return {"settings": to_json(settings), "lasting limits": to_json(settings.facts.state.lasting())}
 
 
-def understood_tuning(path: Path) -> str:
-    """Section [quinceslip] of an operators' file as the program understands it."""
-    return encoded(load_tuning(path))
+def loaded_tuning(path: Path) -> str:
+    """Section [quinceslip] of an operators' file as the program loads it."""
+    return to_json(load_tuning(path))
 
 
-def understood_tree(path: Path) -> dict[str, Any]:
+def loaded_tree(path: Path) -> dict[str, Any]:
     """The quota tree of an operators' file, with the teams of `full.toml` and one stored grant of level guild."""
     tree = load_tree(read_operator_file(path), load_settings(SAMPLES / "full.toml").facts.teams, str(path), True)
     assert tree is not None
@@ -219,22 +219,22 @@
         5,
     )
     page = quota_page(tree, allocations.Allocations(tree, cache), {}, "", "")
-    return {"digest": tree.digest, "page": encoded(page), "table": list(quota_table(page, False))}
+    return {"digest": tree.digest, "page": to_json(page), "table": list(quota_table(page, False))}
 
 
-#: what reads a settings file, by the name that samples use
+#: functions that load a settings file, by the name used in the samples
 LOADERS: dict[str, Callable[[Path], Any]] = {
-    "settings": understood_settings,
-    "tuning": understood_tuning,
-    "tree": understood_tree,
+    "settings": loaded_settings,
+    "tuning": loaded_tuning,
+    "tree": loaded_tree,
 }
 # End of the adapter.
 
-#: the width that the command line formats its help for
+#: terminal width for the help texts of the command line
 COLUMNS = "100"
 ACCEPTED = "accepted"
-#: values that a field of a message is replaced by, one after the other
-MAX_UNANSWERED_PROBES: dict[str, Any] = {
+#: values that replace a field of a message, one at a time
+REPLACEMENT_VALUES: dict[str, Any] = {
     "null": None,
     "-1": -1,
     "-1.5": -1.5,
@@ -247,7 +247,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """One input, and the outcome that the program had for it when the sample was written."""
+    """One input and the recorded outcome."""
 
     group: str
     name: str
@@ -255,75 +255,75 @@
     expected: Any
 
 
-def encoded(value: Any) -> str:
-    """JSON text as the program writes it; dataclasses become lists, whose order does not depend on field names."""
+def to_json(value: Any) -> str:
+    """Encode to JSON as the program does; dataclasses become lists, so that field names do not matter."""
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         value = dataclasses.astuple(value)
     return msgspec.json.encode(value).decode()
 
 
-def compact(value: Any) -> bytes:
-    """A JSON body that keeps the order of keys, and 1 apart from 1.0."""
+def compact_json(value: Any) -> bytes:
+    """Encode to JSON, keeping the order of keys and the difference between 1 and 1.0."""
     return json.dumps(value, separators=(",", ":")).encode()
 
 
 # Outcomes: one function for each file of samples.
 
 
-def reread(types: dict[str, Any], given: Any) -> str:
-    """What is left of a JSON body after it was read and written again, or why it cannot be read."""
-    body = given["text"].encode() if "text" in given else compact(given["read"])
+def decode_and_encode(types: dict[str, Any], given: Any) -> str:
+    """Decode a JSON body and encode it again; the result, or the error."""
+    body = given["text"].encode() if "text" in given else compact_json(given["read"])
     try:
-        return encoded(msgspec.json.decode(body, type=types[given["type"]]))
+        return to_json(msgspec.json.decode(body, type=types[given["type"]]))
     except msgspec.DecodeError as error:
         return f"error: {error}"
 
 
 def record_outcome(given: Any) -> str:
-    """A stored record, read and written again."""
-    return reread(RECORD_TYPES, given)
+    """Outcome for a stored record: read and written again."""
+    return decode_and_encode(RECORD_TYPES, given)
 
 
 def message_outcome(given: Any) -> str:
-    """A JSON message, read and written again."""
-    return reread(MESSAGE_TYPES, given)
+    """Outcome for a JSON message: read and written again."""
+    return decode_and_encode(MESSAGE_TYPES, given)
 
 
 def refusal_outcome(given: Any) -> dict[str, dict[str, str]]:
-    """By field of a full sample and by what it is replaced by: the error, or that the body is accepted."""
+    """For each field of a full sample and each replacement: the error, or that the body is accepted."""
     types = RECORD_TYPES if given["group"] == "records" else MESSAGE_TYPES
     full = read_group(given["group"])[f"{given['type']}: full"]["given"]["read"]
 
     def outcome(body: dict[str, Any]) -> str:
-        text = reread(types, {"type": given["type"], "read": body})
+        text = decode_and_encode(types, {"type": given["type"], "read": body})
         return text if text.startswith("error: ") else ACCEPTED
 
     found: dict[str, dict[str, str]] = {}
     for field in full:
         found[field] = {"left out": outcome({key: value for key, value in full.items() if key != field})}
-        for name, probe in MAX_UNANSWERED_PROBES.items():
-            found[field][name] = outcome({**full, field: probe})
+        for name, replacement in REPLACEMENT_VALUES.items():
+            found[field][name] = outcome({**full, field: replacement})
     return found
 
 
 def builder_outcome(given: Any) -> str:
-    """What a builder function of the program makes of its arguments, as JSON."""
-    return encoded(BUILDERS[given["call"]](*given["arguments"]))
+    """Result of a builder function of the program, as JSON."""
+    return to_json(BUILDERS[given["call"]](*given["arguments"]))
 
 
 def frame_outcome(given: Any) -> dict[str, Any]:
-    """A frame that is built or given as hex digits, what is read in it, and the frame that is packed of that."""
+    """A frame, built or given as hex digits; its decoded content; and the frame packed again from that."""
     data = FRAME_BUILDERS[given["call"]](*given["arguments"]) if "call" in given else bytes.fromhex(given["hex"])
     try:
         kind, length, content = read_frame(data)
     except FrameError as error:
         return {"frame": data.hex(), "error": str(error)}
-    again = "" if content is None else pack_again(content).hex()
-    return {"frame": data.hex(), "kind": kind, "length": length, "content": encoded(content), "again": again}
+    again = "" if content is None else repack_frame(content).hex()
+    return {"frame": data.hex(), "kind": kind, "length": length, "content": to_json(content), "again": again}
 
 
 def file_content(given: Any) -> bytes:
-    """The content of a file: hex digits, a text, or a file of the samples with replacements."""
+    """Content of a file, given as hex digits, as text, or as a sample file with replacements."""
     if "hex" in given:
         return bytes.fromhex(given["hex"])
     text: str = given["text"] if "text" in given else (SAMPLES / given["file"]).read_text(encoding="utf-8")
@@ -334,7 +334,7 @@
 
 
 def load_file(loader: str, content: bytes | None) -> Any:
-    """What a loader makes of a file in a directory of its own; of a missing one for None."""
+    """Load a file from a temporary directory; None stands for a missing file."""
     with tempfile.TemporaryDirectory() as folder, contextlib.chdir(folder):
         path = Path("given.toml" if loader == "settings" else "given.ini")
         if content is not None:
@@ -345,8 +345,8 @@
             return f"error: {error}"
 
 
-def with_each_value(text: str, value: str | None) -> Iterator[tuple[str, str]]:
-    """A name and the text for each line `key = value`, with another value there; None leaves the line out."""
+def replace_each_value(text: str, value: str | None) -> Iterator[tuple[str, str]]:
+    """Yield a name and the text for each `key = value` line with its value replaced; None removes the line."""
     lines = text.splitlines(keepends=True)
     for number, line in enumerate(lines):
         key, separator, _ = line.partition(" = ")
@@ -356,7 +356,7 @@
 
 
 def file_outcome(given: Any) -> Any:
-    """What the program understands of a settings file, or its error; with `each value`, for every line in turn."""
+    """The loaded settings file, or the error; with `each value`, one outcome for each replaced line."""
     loader = given["loader"]
     if given.get("missing"):
         return load_file(loader, None)
@@ -364,15 +364,15 @@
     if "each value" not in given:
         return load_file(loader, content)
     found: dict[str, str] = {}
-    for name, text in with_each_value(content.decode(), given["each value"]):
+    for name, text in replace_each_value(content.decode(), given["each value"]):
         outcome = load_file(loader, text.encode())
         found[name] = outcome if isinstance(outcome, str) and outcome.startswith("error: ") else ACCEPTED
     return found
 
 
 @contextlib.contextmanager
-def command_surroundings(given: Any) -> Iterator[None]:
-    """A directory with the files of a command-line sample, and its environment variables."""
+def command_environment(given: Any) -> Iterator[None]:
+    """Enter a temporary directory with the files of a command-line sample and set its environment variables."""
     variables = {name: value for name, value in os.environ.items() if name != "LOG_LEVEL"}
     variables |= {"COLUMNS": COLUMNS, **given.get("environment", {})}
     with (
@@ -386,14 +386,14 @@
 
 
 def command_result(status: int, output: str, errors: str) -> dict[str, Any]:
-    """Exit status and texts as samples hold them: lines with their ends."""
+    """Exit status and output as samples hold them: lines with their line ends."""
     return {"status": status, "stdout": output.splitlines(keepends=True), "stderr": errors.splitlines(keepends=True)}
 
 
 def command_outcome(given: Any) -> dict[str, Any]:
-    """A command, run in this process."""
+    """Outcome of a command run in this process."""
     output, errors = io.StringIO(), io.StringIO()
-    with command_surroundings(given), contextlib.redirect_stdout(output), contextlib.redirect_stderr(errors):
+    with command_environment(given), contextlib.redirect_stdout(output), contextlib.redirect_stderr(errors):
         try:
             status = command_line(given["arguments"])
         except SystemExit as end:
@@ -402,8 +402,8 @@
 
 
 def command_process_outcome(given: Any) -> dict[str, Any]:
-    """The same command as operators run it, in a process of its own."""
-    with command_surroundings(given):
+    """Outcome of the same command run as operators do, in a subprocess."""
+    with command_environment(given):
         found = subprocess.run(
             [sys.executable, str(ROOT / "run.py"), *given["arguments"]],
             capture_output=True,
@@ -414,7 +414,7 @@
     return command_result(found.returncode, found.stdout, found.stderr)
 
 
-#: by file of samples, what makes an outcome of an input
+#: function that computes the outcome of an input, by sample file
 OUTCOMES: dict[str, Callable[[Any], Any]] = {
     "records": record_outcome,
     "messages": message_outcome,
@@ -427,13 +427,13 @@
 
 
 def read_group(group: str) -> dict[str, Any]:
-    """One file of samples, by name of the sample."""
+    """Read one file of samples, by name of the sample."""
     content: dict[str, Any] = json.loads((SAMPLES / f"{group}.json").read_text(encoding="utf-8"))
     return content
 
 
 def read_samples(*groups: str) -> list[Sample]:
-    """The samples of these groups."""
+    """Read the samples of these groups."""
     return [
         Sample(group, name, entry["given"], entry.get("expected"))
         for group in groups
@@ -442,7 +442,7 @@
 
 
 def write_samples() -> None:
-    """Rewrite every `expected`, and the copy of the service file, from the present code."""
+    """Rewrite every `expected`, and the copy of the service file, from the current code."""
     for group, outcome in OUTCOMES.items():
         entries = {
             sample.name: {"given": sample.given, "expected": outcome(sample.given)} for sample in read_samples(group)
@@ -460,27 +460,27 @@
 
 
 @pytest.mark.parametrize("sample", read_samples(*OUTCOMES), ids=sample_id)
-def test_outcome_is_that_of_the_sample(sample: Sample) -> None:
-    """Reading, writing and error texts are what they were. Compared as text: 1 and 1.0 differ."""
+def test_outcome_matches_sample(sample: Sample) -> None:
+    """Reading, writing and error texts are unchanged. Outcomes are compared as text, so 1 and 1.0 differ."""
     outcome = OUTCOMES[sample.group](sample.given)
     assert json.dumps(outcome, indent=1) == json.dumps(sample.expected, indent=1)
 
 
 @pytest.mark.parametrize("sample", [s for s in read_samples("command_line") if s.given.get("process")], ids=sample_id)
-def test_command_line_in_a_process(sample: Sample) -> None:
-    """`python run.py` gives the same texts and exit status as the samples."""
+def test_command_line_in_a_subprocess(sample: Sample) -> None:
+    """`python run.py` gives the texts and exit status of the samples."""
     assert command_process_outcome(sample.given) == sample.expected
 
 
 def test_service_file_is_unchanged() -> None:
-    """The platform reads deploy/service.toml, so no byte of it changes unintended."""
+    """The platform reads deploy/service.toml; guards against unintended changes to it."""
     assert (ROOT / "deploy" / "service.toml").read_bytes() == (SAMPLES / "service.toml").read_bytes()
 
 
 @pytest.mark.parametrize(
     ("group", "types"), [("records", RECORD_TYPES), ("messages", MESSAGE_TYPES)], ids=["records", "messages"]
 )
-def test_every_type_has_all_samples(group: str, types: dict[str, Any]) -> None:
+def test_every_type_has_all_kinds_of_samples(group: str, types: dict[str, Any]) -> None:
     """Each type has a full sample with every wire name, a minimal one, one with an unknown field, and refusals."""
     samples = read_group(group)
     refusals = read_group("refusals")
@@ -503,7 +503,7 @@
 
 
 def test_every_builder_has_a_sample() -> None:
-    """A builder function in the adapter without a sample would check nothing."""
+    """A builder function in the adapter without a sample would go unchecked."""
     assert {sample.given["call"] for sample in read_samples("builders")} == BUILDERS.keys()
     assert {sample.given.get("call") for sample in read_samples("frames")} >= FRAME_BUILDERS.keys()
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures names existing tests, each once, and says all that is needed to see them fail."""
+"""KNOWN-RED.txt lists existing tests, each once, with everything needed to reproduce the failure."""
 
 import subprocess
 import sys
@@ -23,32 +23,32 @@
     assert not unknown, unknown
 
 
-def test_a_test_that_is_listed_twice_is_refused() -> None:
+def test_duplicate_entry_is_refused() -> None:
     with pytest.raises(ValueError, match="listed twice: test"):
         parse_known_red(f"{LINE}\n\n{LINE}")
 
 
-@pytest.mark.parametrize("missing", range(6))
-@pytest.mark.parametrize("left_out", [True, False])
-def test_an_incomplete_line_is_refused(missing: int, left_out: bool) -> None:
+@pytest.mark.parametrize("field_index", range(6))
+@pytest.mark.parametrize("is_removed", [True, False])
+def test_incomplete_line_is_refused(field_index: int, is_removed: bool) -> None:
     fields: list[str] = LINE.split(" | ")
-    fields[missing : missing + 1] = [] if left_out else [" "]
+    fields[field_index : field_index + 1] = [] if is_removed else [" "]
     with pytest.raises(ValueError, match=r"test \| cause \| issue \| command \| seed \| seen"):
         parse_known_red(" | ".join(fields))
 
 
-def test_an_issue_without_a_name_is_refused() -> None:
+def test_entry_without_issue_name_is_refused() -> None:
     with pytest.raises(ValueError, match="the issue is not named"):
         parse_known_red(LINE.replace("issue", "-"))
 
 
 @pytest.mark.parametrize(("seen", "intermittent"), [("3 of 50 runs: a rule", True), ("in 3 of 50 days", False)])
-def test_only_a_count_of_runs_lets_a_test_pass_or_fail(seen: str, intermittent: bool) -> None:
+def test_entry_is_intermittent_only_with_a_count_of_runs(seen: str, intermittent: bool) -> None:
     (entry,) = parse_known_red(LINE.replace("seen", seen))
     assert entry.is_intermittent == intermittent
 
 
 @pytest.mark.parametrize("seen", ["0 of 50 runs", "50 of 50 runs", "3 of 0 runs"])
-def test_a_test_that_fails_always_or_never_does_not_fail_at_times(seen: str) -> None:
+def test_intermittent_entry_must_fail_in_some_runs_only(seen: str) -> None:
     with pytest.raises(ValueError, match="fails in some of its runs"):
         parse_known_red(LINE.replace("seen", seen))
--- a/tests/test_malformed_heartbeats.py
+++ b/tests/test_malformed_heartbeats.py
@@ -1,10 +1,8 @@
-"""Odd values in heartbeats and direct replies cost themselves, and not the message that they came in.
+"""Malformed values in heartbeats and direct replies are ignored without losing the message that contains them.
 
-What happened: `find_local_task` asked `isdigit()` before it converted a task's number, and that takes digits which
-`int` refuses (`JOB/²`). The heartbeat was lost, and with it the renewal of its worker's lease and the results that it
-told of. "while handling HeartbeatReceived" in the log showed it, ValueError: invalid literal for int(). A number in
-another spelling (`JOB/07`) was taken for the task that it is not named after, and a notice too large to be counted in
-microseconds raised as well.
+Guards against a heartbeat lost to a ValueError ("while handling HeartbeatReceived" in the log), and with it the renewal
+of the worker's lease and the reported results. `find_local_task` checked `isdigit()`, which accepts digits that `int()`
+refuses (`JOB/²`); `JOB/07` matched the task `JOB/7`; and a notice too large to be counted in microseconds raised too.
 """
 
 import logging
@@ -18,17 +16,17 @@
 from tests.scenario.runner import Runner
 
 JOB = "req-000001"
-NUMBERS = ["²", "٣", "007", "+1", "-1", " 1", "1 ", "1_0", "", "1" * 5000, "1e3", "0x1", "①", "99999999"]
-NAMES = [*(f"{JOB}/{number}" for number in NUMBERS), "", "/", "//1", f"{JOB}//1", f"{JOB}/1/", "²/²"]
+TASK_NUMBERS = ["²", "٣", "007", "+1", "-1", " 1", "1 ", "1_0", "", "1" * 5000, "1e3", "0x1", "①", "99999999"]
+TASK_NAMES = [*(f"{JOB}/{number}" for number in TASK_NUMBERS), "", "/", "//1", f"{JOB}//1", f"{JOB}/1/", "²/²"]
 
-odd_tasks = st.builds(
+malformed_tasks = st.builds(
     lambda name, attempt, state, cause: {"pick": name, "try": attempt, "status": state, "cause": cause},
-    st.one_of(st.sampled_from(NAMES), st.text(max_size=8), st.text(max_size=3).map(lambda text: f"{JOB}/{text}")),
+    st.one_of(st.sampled_from(TASK_NAMES), st.text(max_size=8), st.text(max_size=3).map(lambda text: f"{JOB}/{text}")),
     st.sampled_from([0, 1, 2**24, 2**63, 2**64 - 1]),
     st.sampled_from(["pulling", "running", "flushing", "exited", "", "odd"]),
     st.sampled_from([None, "done", "halted", "error", "no_room", "", "odd"]),
 )
-odd_fields = st.fixed_dictionaries(
+unusual_fields = st.fixed_dictionaries(
     {},
     optional={
         "warningS": st.sampled_from([None, -1.0, 0.0, 1e9, 1e300, 1.7e308, -1.7e308]),
@@ -39,16 +37,16 @@
 )
 
 
-def played() -> Runner:
-    """A controller and its one worker, which has just finished the two tasks of a job."""
+def running_controller() -> Runner:
+    """Return a controller whose only worker has just finished the two tasks of a job."""
     runner = Runner()
     for line in ("site size=1", "machines 1 m a", f"at 2 submit {JOB} tasks=2 run=2", "run 4"):
         runner.line(line)
     return runner
 
 
-def exchange(runner: Runner, tasks: list[Any], fields: dict[str, Any]) -> list[int]:
-    """Send the worker's next heartbeat with these tasks and fields beside its own; the statuses of the answers."""
+def send_heartbeat(runner: Runner, tasks: list[Any], fields: dict[str, Any]) -> list[int]:
+    """Send the worker's next heartbeat with these tasks and fields added; return the statuses of the answers."""
     world = runner.w()
     (worker,) = world.workers.values()
     heartbeat = worker.heartbeat()
@@ -63,34 +61,34 @@
 @example([{"pick": f"{JOB}/²", "try": 1, "status": "running", "cause": None}], {})
 @example([{"pick": f"{JOB}/{'1' * 5000}", "try": 1, "status": "running", "cause": None}], {})
 @example([], {"warningS": 1.7e308})
-@given(st.lists(odd_tasks, max_size=6), odd_fields)
+@given(st.lists(malformed_tasks, max_size=6), unusual_fields)
 @settings(deadline=None, database=None, derandomize=True, max_examples=60)
-def test_an_odd_value_costs_no_heartbeat(tasks: list[Any], fields: dict[str, Any]) -> None:
-    runner = played()
-    logging.disable(logging.ERROR)  # what an odd task is called in the log is no matter here
+def test_heartbeat_with_malformed_values_is_answered(tasks: list[Any], fields: dict[str, Any]) -> None:
+    runner = running_controller()
+    logging.disable(logging.ERROR)  # log messages about malformed tasks are not checked here
     try:
-        statuses = exchange(runner, tasks, fields)
+        statuses = send_heartbeat(runner, tasks, fields)
     finally:
         logging.disable(logging.NOTSET)
     assert statuses == [503 if fields.get("baton") else 200], (statuses, tasks, fields)
 
 
 @pytest.mark.parametrize(
-    "number", [number for number in NUMBERS if number != "99999999"], ids=lambda number: ascii(number[:9])
+    "number", [number for number in TASK_NUMBERS if number != "99999999"], ids=lambda number: ascii(number[:9])
 )
-def test_a_number_in_another_spelling_names_no_task(number: str) -> None:
-    actor = played().w().controllers["berth-0"].actor
+def test_task_number_in_another_spelling_is_not_found(number: str) -> None:
+    actor = running_controller().w().controllers["berth-0"].actor
     assert actor is not None
     shard = actor.shards[0]
     assert find_local_task(shard, f"{JOB}/1") is not None
     assert find_local_task(shard, f"{JOB}/{number}") is None
 
 
-def test_an_odd_name_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
-    runner = played()
+def test_malformed_task_name_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
+    runner = running_controller()
     caplog.set_level(logging.INFO, "quinceslip")
-    odd = {"pick": f"{JOB}/²", "try": 1, "status": "running", "cause": None}
+    malformed = {"pick": f"{JOB}/²", "try": 1, "status": "running", "cause": None}
     for _ in range(3):
-        assert exchange(runner, [odd], {}) == [200]
+        assert send_heartbeat(runner, [malformed], {}) == [200]
     lines = [record.getMessage() for record in caplog.records]
-    assert lines.count(f"invalid task name task={odd['pick']!r} worker=n-000001") == 1
+    assert lines.count(f"invalid task name task={malformed['pick']!r} worker=n-000001") == 1
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -1,8 +1,8 @@
-"""Random days on which two or three troubles meet (docs/meetings.md); no rule is broken and no error is logged.
+"""Random simulations in which two or three faults overlap (docs/meetings.md); no rule is broken, no error is logged.
 
-Each function draws the lines of one meeting from a moment on. The owner that most of them are about is `berth-0`;
-whoever cancels is mostly another. CI plays a few; HYPOTHESIS_PROFILE=long plays more, with another
-`--hypothesis-seed` others.
+Each function draws the scenario lines of one combination of faults, starting at a given time. Most of them concern the
+owner `berth-0`; users mostly cancel through another controller. CI runs a few; HYPOTHESIS_PROFILE=long runs more, and
+another `--hypothesis-seed` other ones.
 """
 
 from collections.abc import Callable
@@ -11,60 +11,63 @@
 from hypothesis import strategies as st
 
 from tests.scenario.runner import play
-from tests.test_random_simulations import OWNERS, days, tenths
+from tests.test_random_simulations import CONTROLLERS, simulation_settings, tenths
 
 Draw = st.DrawFn
-#: arrays of long tasks, a service, a gang, and jobs of two or three tasks that end far apart
-JOBS = ["req-000001", "req-000002", "req-000003", "req-000004", "req-000005", "req-000006"]
-OTHERS = st.sampled_from(["berth-1", "berth-2"])
-MODES = st.sampled_from(["held", "refused", "reset"])
-BACK = st.sampled_from([0.05, 0.3, 1, 5])
+#: an array of long tasks, a service, a gang, and jobs of two or three tasks that end at different times
+JOB_IDS = ["req-000001", "req-000002", "req-000003", "req-000004", "req-000005", "req-000006"]
+OTHER_CONTROLLERS = st.sampled_from(["berth-1", "berth-2"])
+CUT_MODES = st.sampled_from(["held", "refused", "reset"])
+RESTART_S = st.sampled_from([0.05, 0.3, 1, 5])
 
 
-def cancels(draw: Draw, at_s: float, most: int = 3) -> list[str]:
-    """Users cancel just before a moment, at it or after it, mostly through another controller than the owner."""
-    chosen = draw(st.lists(st.sampled_from(JOBS), max_size=most, unique=True))
-    return [f"at {max(2.5, at_s + draw(tenths(-1, 4))):.2f} cancel {job_id} by={draw(OTHERS)}" for job_id in chosen]
+def cancellations(draw: Draw, at_s: float, max_count: int = 3) -> list[str]:
+    """Users cancel jobs around a given time, mostly through a controller that does not own them."""
+    chosen = draw(st.lists(st.sampled_from(JOB_IDS), max_size=max_count, unique=True))
+    return [
+        f"at {max(2.5, at_s + draw(tenths(-1, 4))):.2f} cancel {job_id} by={draw(OTHER_CONTROLLERS)}"
+        for job_id in chosen
+    ]
 
 
-def gap(draw: Draw, at_s: float) -> list[str]:
-    """The state service refuses the owner alone, then is down for all; once, or twice in a row."""
+def state_service_outages(draw: Draw, at_s: float) -> list[str]:
+    """The state service refuses the owner only, then is down for all; once, or twice in a row."""
     lines = []
     for _ in range(draw(st.integers(1, 2))):
         alone_s, all_s = draw(st.sampled_from([2, 5, 14])), draw(st.sampled_from([8, 20, 40, 75, 105]))
         down_s = at_s + draw(tenths(0.5, alone_s + 1))
         lines += [
-            f"at {at_s:.2f} cut_state berth-0 {alone_s} {draw(MODES)}",
-            *cancels(draw, at_s),
+            f"at {at_s:.2f} cut_state berth-0 {alone_s} {draw(CUT_MODES)}",
+            *cancellations(draw, at_s),
             f"at {down_s:.2f} outage state {all_s}",
         ]
         if draw(st.booleans()):
-            lines.append(f"at {down_s + draw(tenths(0, 9)):.2f} crash berth-0 back={draw(BACK)}")
+            lines.append(f"at {down_s + draw(tenths(0, 9)):.2f} crash berth-0 back={draw(RESTART_S)}")
         if draw(st.booleans()):
-            lines.append(f"at {at_s:.2f} cut_workers {draw(OTHERS)} {alone_s + all_s}")
+            lines.append(f"at {at_s:.2f} cut_workers {draw(OTHER_CONTROLLERS)} {alone_s + all_s}")
         at_s = down_s + all_s + draw(tenths(0, 8))
     return lines
 
 
-def slow(draw: Draw, at_s: float) -> list[str]:
-    """The state service answers slowly, then refuses one or all, while users cancel and ask."""
+def slow_state_service(draw: Draw, at_s: float) -> list[str]:
+    """The state service is slow, then refuses one controller or all, while users cancel and poll."""
     return [
         f"at {at_s:.2f} slow {draw(st.sampled_from(['all', 'berth-0', 'berth-1']))} "
         f"{draw(st.sampled_from([6, 15, 30]))} {draw(st.sampled_from([0.4, 1.6, 3]))}",
-        f"at {at_s + 1:.2f} poll_many {draw(st.sampled_from(JOBS))} 40 over=20",
-        *cancels(draw, at_s + 2),
+        f"at {at_s + 1:.2f} poll_many {draw(st.sampled_from(JOB_IDS))} 40 over=20",
+        *cancellations(draw, at_s + 2),
         f"at {at_s + draw(tenths(2, 12)):.2f} {draw(st.sampled_from(['refuse berth-0', 'outage state']))} "
         f"{draw(st.sampled_from([5, 14, 40]))}",
     ]
 
 
-def cut_leader(draw: Draw, at_s: float) -> list[str]:
-    """A leader loses the state service and its peers; workers and users still reach it."""
+def leader_partition(draw: Draw, at_s: float) -> list[str]:
+    """A leader is cut off from the state service and its peers; workers and users still reach it."""
     return [
-        f"at {at_s:.2f} isolate berth-0 {draw(st.sampled_from([5, 14, 40]))} {draw(MODES)}",
-        *cancels(draw, at_s + 3),
+        f"at {at_s:.2f} isolate berth-0 {draw(st.sampled_from([5, 14, 40]))} {draw(CUT_MODES)}",
+        *cancellations(draw, at_s + 3),
         f"at {at_s + 2:.2f} submit NEW tasks=3 run=2 by=berth-0",
-        f"at {at_s + 3:.2f} cancel {draw(st.sampled_from(JOBS))} by=berth-0",
+        f"at {at_s + 3:.2f} cancel {draw(st.sampled_from(JOB_IDS))} by=berth-0",
         *(
             [f"at {at_s + 1:.2f} cut_workers berth-1 30 zone={draw(st.sampled_from('ab'))}"]
             if draw(st.booleans())
@@ -73,8 +76,8 @@
     ]
 
 
-def change(draw: Draw, at_s: float) -> list[str]:
-    """The leader changes, and back, while tasks of small jobs end one after the other, some on lost machines."""
+def leader_changes(draw: Draw, at_s: float) -> list[str]:
+    """Leadership changes back and forth while tasks of small jobs end one by one, some on lost machines."""
     lines = []
     for _ in range(draw(st.integers(1, 4))):
         lines.append(f"at {at_s:.2f} crash berth-0 back={draw(st.sampled_from([0.3, 5, 8, 14]))}")
@@ -84,8 +87,8 @@
     return lines
 
 
-def old_reports(draw: Draw, at_s: float) -> list[str]:
-    """Old reports after newer ones, of earlier sessions, attempts and machines, at whoever owns what by then."""
+def stale_heartbeats(draw: Draw, at_s: float) -> list[str]:
+    """Heartbeats of earlier sessions, attempts and machines reach the current owners after newer ones."""
     who = draw(st.sampled_from(["all", "third", "zone:a"]))
     return [
         f"at {at_s:.2f} copies {who} {draw(st.sampled_from([6, 14]))} times={draw(st.integers(1, 3))} "
@@ -93,24 +96,24 @@
         f"at {at_s + draw(tenths(0, 6)):.2f} {draw(st.sampled_from(['cut', 'unheard', 'mute']))} {who} 14",
         f"at {at_s + draw(tenths(0, 20)):.2f} reboot {draw(st.sampled_from(['third', 'busiest']))} "
         f"{draw(st.sampled_from(['', 'other']))}",
-        f"at {at_s + draw(tenths(0, 20)):.2f} crash berth-0 back={draw(BACK)}",
+        f"at {at_s + draw(tenths(0, 20)):.2f} crash berth-0 back={draw(RESTART_S)}",
     ]
 
 
-def unreached(draw: Draw, at_s: float) -> list[str]:
-    """A leader ends while machines with long tasks can't be reached, or don't hear whoever follows."""
-    what = draw(st.sampled_from(["cut zone:a", "unheard zone:a", "unheard third", "hang third"]))
-    lost = draw(st.sampled_from(["", " lost"])) if not what.startswith("hang") else ""
+def unreachable_workers(draw: Draw, at_s: float) -> list[str]:
+    """A leader ends while machines with long tasks are unreachable, or do not receive its successor's answers."""
+    fault = draw(st.sampled_from(["cut zone:a", "unheard zone:a", "unheard third", "hang third"]))
+    lost = draw(st.sampled_from(["", " lost"])) if not fault.startswith("hang") else ""
     lines = [
-        f"at {at_s:.2f} {what} {draw(st.sampled_from([6, 14, 30]))}{lost}",
+        f"at {at_s:.2f} {fault} {draw(st.sampled_from([6, 14, 30]))}{lost}",
         f"at {at_s + draw(tenths(0, 4)):.2f} crash berth-0 back={draw(st.sampled_from([0.3, 8, 30]))}",
-        *cancels(draw, at_s),
+        *cancellations(draw, at_s),
     ]
     return [*lines, f"at {at_s:.2f} outage cloud 30"] if draw(st.booleans()) else lines
 
 
-def commands(draw: Draw, at_s: float) -> list[str]:
-    """Commands, or their answers, are held up for seconds; jobs are cancelled and owners change meanwhile."""
+def delayed_commands(draw: Draw, at_s: float) -> list[str]:
+    """Commands or their answers are delayed by seconds, while jobs are cancelled and owners change."""
     lines = [
         f"at {at_s:.2f} slow_commands {draw(st.sampled_from(['all', 'third', 'zone:b']))} 12 "
         f"there={draw(st.sampled_from([0, 3, 9]))} back={draw(st.sampled_from([0, 3, 9]))}",
@@ -120,52 +123,52 @@
             f"rank=production"
             for _ in range(3)
         ),
-        *cancels(draw, at_s + 1),
+        *cancellations(draw, at_s + 1),
     ]
     if draw(st.booleans()):
-        what = [
+        faults = [
             "crash berth-0 back=0.3",
             "isolate berth-0 14 held",
             "hang third 5",
             "unheard third 8",
             "reboot third other",
         ]
-        lines.append(f"at {at_s + draw(tenths(0, 10)):.2f} {draw(st.sampled_from(what))}")
+        lines.append(f"at {at_s + draw(tenths(0, 10)):.2f} {draw(st.sampled_from(faults))}")
     return lines
 
 
-def late(draw: Draw, at_s: float) -> list[str]:
-    """A share of the transactions goes unanswered and is carried out 2 to 12 s later, after newer ones."""
+def late_transactions(draw: Draw, at_s: float) -> list[str]:
+    """Some transactions go unanswered and are carried out 2 to 12 s later, after newer ones."""
     one = draw(st.sampled_from(["berth-0", "berth-1"]))
     lines = [
         f"at {at_s:.2f} late {one} {draw(st.sampled_from([5, 15, 30]))} 2 12 "
         f"share={draw(st.sampled_from([0.2, 0.5, 1.0]))}",
-        *cancels(draw, at_s + 3, 2),
+        *cancellations(draw, at_s + 3, 2),
     ]
     if draw(st.booleans()):
-        lines.append(f"at {at_s + draw(tenths(0, 9)):.2f} crash {one} back={draw(BACK)}")
+        lines.append(f"at {at_s + draw(tenths(0, 9)):.2f} crash {one} back={draw(RESTART_S)}")
     return lines
 
 
-def back(draw: Draw, at_s: float) -> list[str]:
-    """Controllers hand over and back, all end, one returns; also within a second, and in the middle of an election."""
+def controller_restarts(draw: Draw, at_s: float) -> list[str]:
+    """Controllers hand over and back, or all end and one returns, also within a second or during an election."""
     lines = [f"at {at_s:.2f} crash berth-0 back={draw(st.sampled_from([4, 8, 25]))}"]
     for _ in range(draw(st.integers(1, 4))):
         who = draw(st.sampled_from(["berth-1", "berth-2", "berth-1 berth-2", "berth-0 berth-1 berth-2"]))
         at_s += draw(tenths(0.1, 6))
-        lines.append(f"at {at_s:.2f} crash {who} back={draw(BACK)}")
+        lines.append(f"at {at_s:.2f} crash {who} back={draw(RESTART_S)}")
     if draw(st.booleans()):
         lines.append(f"at {at_s:.2f} page_gap {draw(st.sampled_from([0.05, 0.3]))}")
     return lines
 
 
-# Those of the second page.
+# Fault scenarios of the second page of docs/meetings.md.
 
 
-def limits(draw: Draw, at_s: float) -> list[str]:
-    """A team is at its limit; jobs of it are cancelled whose machines are cut off or hang, and the leader changes."""
+def team_limits(draw: Draw, at_s: float) -> list[str]:
+    """A team at its limit has jobs cancelled whose machines are cut off or hang, and the leader changes."""
     hang_s = draw(st.sampled_from([0, 5, 9, 20]))
-    trouble = draw(
+    fault = draw(
         st.sampled_from(
             [
                 "cut third 14 lost",
@@ -181,15 +184,15 @@
         f"at {max(2.3, at_s - 4):.2f} submit NEW tasks=8 run=200 team=capped",
         f"at {max(2.3, at_s - 4):.2f} submit NEW tasks=4 run=90 team=capped",
         f"at {at_s - 1:.2f} submit NEW tasks=20 run=3 team=capped rank={draw(st.sampled_from(['low', 'normal']))}",
-        f"at {at_s + draw(tenths(0, 3)):.2f} {trouble}",
+        f"at {at_s + draw(tenths(0, 3)):.2f} {fault}",
         f"at {at_s + draw(tenths(0, 3)):.2f} cancel_now {draw(st.integers(1, 4))} hang={hang_s}",
-        f"at {at_s + draw(tenths(0, 4)):.2f} crash {draw(OTHERS)} berth-0 back={draw(BACK) * 4}",
+        f"at {at_s + draw(tenths(0, 4)):.2f} crash {draw(OTHER_CONTROLLERS)} berth-0 back={draw(RESTART_S) * 4}",
     ]
-    return [*lines, f"at {at_s + draw(tenths(4, 14)):.2f} cancel_now 2 by={draw(OTHERS)}"]
+    return [*lines, f"at {at_s + draw(tenths(4, 14)):.2f} cancel_now 2 by={draw(OTHER_CONTROLLERS)}"]
 
 
-def looks(draw: Draw, at_s: float) -> list[str]:
-    """Users look closely and send odd requests; jobs are called off at their end or at once, some by many."""
+def inspecting_users(draw: Draw, at_s: float) -> list[str]:
+    """Users poll closely and send malformed requests; jobs are cancelled at their end or at once, some by many."""
     lines = [
         f"at {at_s:.2f} close_looks 20 cancel={draw(st.sampled_from([0, 0.2]))}",
         f"at {at_s:.2f} odd_requests 20",
@@ -202,30 +205,30 @@
     ]
 
 
-def muted(draw: Draw, at_s: float) -> list[str]:
-    """Machines reach no controller, while direct commands reach them; jobs on them are cancelled."""
+def muted_workers(draw: Draw, at_s: float) -> list[str]:
+    """Machines cannot reach any controller but still get direct commands; jobs on them are cancelled."""
     who = draw(st.sampled_from(["third", "busiest", "zone:a", "all"]))
     lines = [
         f"at {at_s:.2f} mute {who} {draw(st.sampled_from([5, 12, 30]))} {draw(st.sampled_from(['', 'refused']))}",
         f"at {at_s + draw(tenths(0, 4)):.2f} cancel_now 2 hang={draw(st.sampled_from([0, 6]))}",
     ]
-    return [*lines, f"at {at_s + draw(tenths(0, 12)):.2f} crash berth-0 back={draw(BACK)}"]
+    return [*lines, f"at {at_s + draw(tenths(0, 12)):.2f} crash berth-0 back={draw(RESTART_S)}"]
 
 
-def unanswered(draw: Draw, at_s: float) -> list[str]:
-    """Transactions are carried out at once and only their answers are lost, while others read what they wrote."""
+def lost_transaction_answers(draw: Draw, at_s: float) -> list[str]:
+    """Transactions are carried out but their answers are lost, while others read what they wrote."""
     return [
         f"at {at_s:.2f} late {draw(st.sampled_from(['all', 'berth-0', 'berth-1']))} "
         f"{draw(st.sampled_from([5, 15, 30]))} at_once share={draw(st.sampled_from([0.2, 0.5, 1.0]))}",
-        *cancels(draw, at_s + 2),
+        *cancellations(draw, at_s + 2),
         f"at {at_s + draw(tenths(0, 9)):.2f} submit NEW tasks=4 run=3",
-        f"at {at_s + draw(tenths(0, 9)):.2f} crash {draw(st.sampled_from(OWNERS[:2]))} back={draw(BACK)}",
+        f"at {at_s + draw(tenths(0, 9)):.2f} crash {draw(st.sampled_from(CONTROLLERS[:2]))} back={draw(RESTART_S)}",
     ]
 
 
-def for_the_next(draw: Draw, at_s: float) -> list[str]:
-    """Old reports are kept and reach every controller just as a new leader begins."""
-    trouble = draw(
+def stale_heartbeats_to_next_leader(draw: Draw, at_s: float) -> list[str]:
+    """Stale heartbeats reach every controller just as a new leader begins."""
+    fault = draw(
         st.sampled_from(
             [
                 "reboot third other",
@@ -239,49 +242,49 @@
     )
     return [
         f"at {max(2.5, at_s - 4):.2f} copies all {draw(st.sampled_from([1, 4, 12]))} for_next",
-        f"at {at_s + draw(tenths(-2, 3)):.2f} {trouble}",
-        *cancels(draw, at_s),
-        f"at {at_s + draw(tenths(0, 6)):.2f} crash berth-0 back={draw(BACK)}",
-        f"at {at_s + draw(tenths(6, 14)):.2f} crash {draw(OTHERS)} berth-0 back={draw(BACK)}",
+        f"at {at_s + draw(tenths(-2, 3)):.2f} {fault}",
+        *cancellations(draw, at_s),
+        f"at {at_s + draw(tenths(0, 6)):.2f} crash berth-0 back={draw(RESTART_S)}",
+        f"at {at_s + draw(tenths(6, 14)):.2f} crash {draw(OTHER_CONTROLLERS)} berth-0 back={draw(RESTART_S)}",
     ]
 
 
-def fresh(draw: Draw, at_s: float) -> list[str]:
-    """New machines are up within two seconds and get work at once while writes lag, and the leader ends."""
+def new_machines(draw: Draw, at_s: float) -> list[str]:
+    """New machines boot within two seconds and get work at once, while writes lag and the leader ends."""
     how = draw(st.sampled_from(["12 at_once share=0.5", "12 1 4 share=0.6", "8 2 12 share=1.0"]))
     return [
         f"at {max(2.1, at_s - 2):.2f} boots {draw(st.sampled_from([0.3, 1, 2]))}",
         f"at {at_s:.2f} late {draw(st.sampled_from(['berth-0', 'berth-1']))} {how}",
         f"at {at_s:.2f} cloud lost_answers {draw(st.integers(0, 2))}",
         f"at {at_s + 1:.2f} submit NEW tasks=40 run=5 rank=urgent",
-        f"at {at_s + draw(tenths(1, 5)):.2f} crash berth-0 back={draw(BACK)}",
+        f"at {at_s + draw(tenths(1, 5)):.2f} crash berth-0 back={draw(RESTART_S)}",
         f"at {at_s + draw(tenths(2, 9)):.2f} take zone:{draw(st.sampled_from('ab'))} notice=0",
     ]
 
 
-def hands(draw: Draw, at_s: float) -> list[str]:
-    """Jobs are cancelled in the seconds in which one controller's work changes hands."""
+def cancellations_during_handover(draw: Draw, at_s: float) -> list[str]:
+    """Jobs are cancelled during the seconds in which a controller's work is handed over."""
     lines = [f"at {at_s:.2f} crash berth-0 back={draw(st.sampled_from([0.3, 5, 9]))}"]
     if draw(st.booleans()):
         lines.append(f"at {max(2.1, at_s - 1):.2f} page_gap {draw(st.sampled_from([0.05, 0.3]))}")
     for _ in range(draw(st.integers(2, 5))):
-        lines += cancels(draw, at_s + draw(tenths(0, 5)), 1)
+        lines += cancellations(draw, at_s + draw(tenths(0, 5)), 1)
         lines.append(f"at {at_s + draw(tenths(0, 5)):.2f} cancel_now 1 hang={draw(st.sampled_from([0, 9]))}")
-    return [*lines, f"at {at_s + draw(tenths(3, 9)):.2f} crash {draw(OTHERS)} back={draw(BACK)}"]
+    return [*lines, f"at {at_s + draw(tenths(3, 9)):.2f} crash {draw(OTHER_CONTROLLERS)} back={draw(RESTART_S)}"]
 
 
-def island(draw: Draw, at_s: float) -> list[str]:
-    """A zone with its workers and a controller is cut off from all else, mostly for longer than a lease."""
+def isolated_zone(draw: Draw, at_s: float) -> list[str]:
+    """A zone with its workers and a controller is isolated, mostly for longer than a lease."""
     how = draw(st.sampled_from(["held", "reset"]))
     return [
         f"at {at_s:.2f} island {draw(st.sampled_from('ab'))} berth-0 {draw(st.sampled_from([6, 14, 30]))} {how}",
-        *cancels(draw, at_s + 2),
-        f"at {at_s + draw(tenths(0, 9)):.2f} submit NEW tasks=4 run=3 by={draw(OTHERS)}",
+        *cancellations(draw, at_s + 2),
+        f"at {at_s + draw(tenths(0, 9)):.2f} submit NEW tasks=4 run=3 by={draw(OTHER_CONTROLLERS)}",
     ]
 
 
-def leaders(draw: Draw, at_s: float) -> list[str]:
-    """Leaders change again and again, all of them at times, and inside an outage."""
+def frequent_leader_changes(draw: Draw, at_s: float) -> list[str]:
+    """Leaders change repeatedly, sometimes all at once, and during an outage."""
     lines = [f"at {at_s + 9:.2f} outage state {draw(st.sampled_from([6, 20]))}"] if draw(st.booleans()) else []
     for _ in range(draw(st.integers(4, 10))):
         who = draw(st.sampled_from(["berth-0", "berth-1", "berth-2", "berth-0 berth-1", "berth-0 berth-1 berth-2"]))
@@ -290,28 +293,28 @@
     return lines
 
 
-def crowd(draw: Draw, at_s: float) -> list[str]:
-    """More work than room, urgent and not, over slow links."""
+def overload(draw: Draw, at_s: float) -> list[str]:
+    """More work than capacity, urgent and not, over slow links."""
     return [
         f"at {at_s:.2f} slow_links {draw(st.sampled_from([10, 30]))} {draw(st.sampled_from([0.1, 0.4, 0.8]))}",
         f"at {at_s + 1:.2f} submit NEW tasks=60 run=4 rank=low checkpoint=2 save=0.2",
         *(f"at {at_s + 2 + n:.2f} submit NEW tasks=4 run=3 rank=urgent" for n in range(6)),
         f"at {at_s + 3:.2f} submit NEW service tasks=4 spread=true spot=false rank=production",
-        *cancels(draw, at_s + 4),
+        *cancellations(draw, at_s + 4),
     ]
 
 
-def singles(draw: Draw, at_s: float) -> list[str]:
-    """One-task jobs come four a second, a quarter of them cancelled."""
+def single_task_jobs(draw: Draw, at_s: float) -> list[str]:
+    """Single-task jobs arrive four a second; a quarter of them is cancelled."""
     return [
         f"at {at_s:.2f} submit_many 2000 {draw(st.sampled_from([40, 100]))} every=0.25 tasks=1 run=4 poll=6 "
         f"off={draw(st.sampled_from([0.05, 1, 4]))}"
     ]
 
 
-def one_zone(draw: Draw, at_s: float) -> list[str]:
-    """Jobs bound to one zone, arrays too, lose machines, or the zone."""
-    trouble = draw(
+def zone_bound_jobs(draw: Draw, at_s: float) -> list[str]:
+    """Jobs bound to one zone, arrays included, lose machines or the whole zone."""
+    fault = draw(
         st.sampled_from(
             [
                 "take zone:a",
@@ -325,18 +328,18 @@
             ]
         )
     )
-    bound = draw(st.sampled_from(["tasks=12", "gang tasks=3"]))
+    shape = draw(st.sampled_from(["tasks=12", "gang tasks=3"]))
     return [
         f"at {max(2.3, at_s - 4):.2f} submit NEW tasks=12 run=9 zone=a",
-        f"at {max(2.3, at_s - 4):.2f} submit NEW {bound} run=9 together=true",
-        f"at {at_s:.2f} {trouble}",
-        f"at {at_s + draw(tenths(0, 6)):.2f} crash berth-0 back={draw(BACK)}",
+        f"at {max(2.3, at_s - 4):.2f} submit NEW {shape} run=9 together=true",
+        f"at {at_s:.2f} {fault}",
+        f"at {at_s + draw(tenths(0, 6)):.2f} crash berth-0 back={draw(RESTART_S)}",
     ]
 
 
-def handed_over(draw: Draw, at_s: float) -> list[str]:
-    """A shard goes home and the hand-over's answer is lost, while new work comes; its home reaches one zone alone."""
-    one = draw(OTHERS)
+def unanswered_shard_handovers(draw: Draw, at_s: float) -> list[str]:
+    """A shard returns to its home; the handover's answer is lost, work arrives, and the home reaches only one zone."""
+    one = draw(OTHER_CONTROLLERS)
     lines = [
         f"at {at_s:.2f} crash {one} back={draw(st.sampled_from([5, 10]))}",
         f"at {at_s + 12:.2f} submit NEW tasks=300 run=2 rank=low",
@@ -348,23 +351,25 @@
     return [*lines, f"at {at_s + draw(tenths(20, 45)):.2f} {draw(st.sampled_from(['hang third 9', 'take busiest']))}"]
 
 
-def pipelines(draw: Draw, at_s: float) -> list[str]:
-    """Jobs that wait for others, of any shape, some cancelled at awkward moments, while owners change."""
+def dependent_jobs(draw: Draw, at_s: float) -> list[str]:
+    """Jobs of any shape wait for others, some are cancelled at awkward moments, and owners change."""
     lines = []
-    for place in range(draw(st.integers(3, 9))):
-        before = [f"req-{4000 + n:06d}" for n in range(place)] + JOBS[2:4]
-        needs = draw(st.lists(st.sampled_from(before), max_size=3))
-        after = f" after={','.join(needs)}" if needs else ""
+    for index in range(draw(st.integers(3, 9))):
+        before = [f"req-{4000 + n:06d}" for n in range(index)] + JOB_IDS[2:4]
+        dependencies = draw(st.lists(st.sampled_from(before), max_size=3))
+        after = f" after={','.join(dependencies)}" if dependencies else ""
         lines.append(
-            f"at {max(2.5, at_s - 6) + 0.3 * place:.2f} submit req-{4000 + place:06d} "
+            f"at {max(2.5, at_s - 6) + 0.3 * index:.2f} submit req-{4000 + index:06d} "
             f"tasks={draw(st.integers(1, 6))} run={draw(st.sampled_from([1, 3, 8]))}{after} "
             f"rank={draw(st.sampled_from(['low', 'normal', 'urgent']))} dueS={draw(st.sampled_from([30, 9]))}"
         )
         if draw(st.integers(0, 3)) == 0:
-            lines.append(f"at {at_s + draw(tenths(0, 20)):.2f} cancel req-{4000 + place:06d} by={draw(OTHERS)}")
+            lines.append(
+                f"at {at_s + draw(tenths(0, 20)):.2f} cancel req-{4000 + index:06d} by={draw(OTHER_CONTROLLERS)}"
+            )
     for _ in range(draw(st.integers(0, 3))):
         who = draw(st.sampled_from(["berth-0", "berth-1", "berth-0 berth-1 berth-2"]))
-        lines.append(f"at {at_s + draw(tenths(0, 25)):.2f} crash {who} back={draw(BACK)}")
+        lines.append(f"at {at_s + draw(tenths(0, 25)):.2f} crash {who} back={draw(RESTART_S)}")
     return [
         *lines,
         *([f"at {at_s:.2f} late all 20 at_once share=0.4"] if draw(st.booleans()) else []),
@@ -372,39 +377,39 @@
     ]
 
 
-SECOND_PAGE: list[Callable[[Draw, float], list[str]]] = [
-    limits,
-    looks,
-    muted,
-    unanswered,
-    for_the_next,
-    fresh,
-    hands,
-    island,
-    leaders,
-    crowd,
-    singles,
-    one_zone,
-    handed_over,
-    pipelines,
+SECOND_PAGE_SCENARIOS: list[Callable[[Draw, float], list[str]]] = [
+    team_limits,
+    inspecting_users,
+    muted_workers,
+    lost_transaction_answers,
+    stale_heartbeats_to_next_leader,
+    new_machines,
+    cancellations_during_handover,
+    isolated_zone,
+    frequent_leader_changes,
+    overload,
+    single_task_jobs,
+    zone_bound_jobs,
+    unanswered_shard_handovers,
+    dependent_jobs,
 ]
-MEETINGS: list[Callable[[Draw, float], list[str]]] = [
-    gap,
-    slow,
-    cut_leader,
-    change,
-    old_reports,
-    unreached,
-    commands,
-    late,
-    back,
-    *SECOND_PAGE,
+FAULT_SCENARIOS: list[Callable[[Draw, float], list[str]]] = [
+    state_service_outages,
+    slow_state_service,
+    leader_partition,
+    leader_changes,
+    stale_heartbeats,
+    unreachable_workers,
+    delayed_commands,
+    late_transactions,
+    controller_restarts,
+    *SECOND_PAGE_SCENARIOS,
 ]
 
 
-def reused(draw: Draw, at_s: float) -> list[str]:
-    """Machines are replaced by others at their addresses among slow links, lost answers and commands held up."""
-    disturbed = draw(
+def reused_machine_addresses(draw: Draw, at_s: float) -> list[str]:
+    """Other machines take over addresses amid slow links, lost answers and delayed commands."""
+    disturbance = draw(
         st.sampled_from(
             [
                 f"at {at_s - 1:.2f} slow_links 10 0.8",
@@ -415,16 +420,19 @@
         )
     )
     shape = st.sampled_from(["tasks=12", "tasks=4", "gang tasks=4", "service tasks=4 spot=false"])
-    lines = [disturbed, f"at {at_s:.2f} reboot {draw(st.sampled_from(['third', 'busiest', 'zone:a']))} other"]
+    lines = [disturbance, f"at {at_s:.2f} reboot {draw(st.sampled_from(['third', 'busiest', 'zone:a']))} other"]
     for _ in range(draw(st.integers(2, 5))):
         lines.append(f"at {at_s + draw(tenths(-1, 3)):.2f} submit NEW {draw(shape)} run=20 rank=production")
     if draw(st.booleans()):
         lines.append(f"at {at_s + draw(tenths(0, 3)):.2f} reboot third other")
-    lines += cancels(draw, at_s + 2)
-    return [*lines, f"at {at_s + draw(tenths(1, 6)):.2f} crash {draw(st.sampled_from(OWNERS))} back={draw(BACK)}"]
+    lines += cancellations(draw, at_s + 2)
+    return [
+        *lines,
+        f"at {at_s + draw(tenths(1, 6)):.2f} crash {draw(st.sampled_from(CONTROLLERS))} back={draw(RESTART_S)}",
+    ]
 
 
-def day(draw: Draw, meetings: list[Callable[[Draw, float], list[str]]]) -> str:
+def simulation_script(draw: Draw, scenarios: list[Callable[[Draw, float], list[str]]]) -> str:
     lines = [
         f"seed {draw(st.integers(1, 10**6))}",
         f"site size={draw(st.sampled_from([2, 3, 3]))}",
@@ -440,8 +448,8 @@
         f"at {draw(tenths(4, 12)):.1f} submit req-000006 tasks=2 run=9 apart=9",
     ]
     at_s = draw(tenths(6, 14))
-    for meeting in meetings:
-        lines += meeting(draw, at_s)
+    for scenario in scenarios:
+        lines += scenario(draw, at_s)
         at_s += draw(tenths(0, 12))
     if "site size=2" in lines:
         lines = [line.replace("berth-2", "berth-1") for line in lines]
@@ -449,58 +457,68 @@
 
 
 @st.composite
-def pairs(draw: Draw) -> str:
-    chosen = draw(st.lists(st.sampled_from(MEETINGS), min_size=2, max_size=3, unique=True))  # ids are used once
-    return day(draw, chosen)
+def overlapping_scenarios(draw: Draw) -> str:
+    chosen = draw(
+        st.lists(st.sampled_from(FAULT_SCENARIOS), min_size=2, max_size=3, unique=True)
+    )  # its job ids are used once
+    return simulation_script(draw, chosen)
 
 
 @st.composite
-def gaps(draw: Draw) -> str:
-    return day(draw, [gap])
+def outage_runs(draw: Draw) -> str:
+    return simulation_script(draw, [state_service_outages])
 
 
 @st.composite
-def second_page(draw: Draw) -> str:
-    """One of the second page, with one of either page beside it."""
-    first, other = draw(st.sampled_from(SECOND_PAGE)), draw(st.sampled_from(MEETINGS))
-    return day(draw, [first, other] if other is not first else [first])
+def second_page_runs(draw: Draw) -> str:
+    """A scenario of the second page, with one of either page beside it."""
+    first, other = draw(st.sampled_from(SECOND_PAGE_SCENARIOS)), draw(st.sampled_from(FAULT_SCENARIOS))
+    return simulation_script(draw, [first, other] if other is not first else [first])
 
 
 @st.composite
-def pipeline_days(draw: Draw) -> str:
-    return day(draw, [pipelines, draw(st.sampled_from([meeting for meeting in MEETINGS if meeting is not pipelines]))])
+def dependent_job_runs(draw: Draw) -> str:
+    return simulation_script(
+        draw,
+        [
+            dependent_jobs,
+            draw(st.sampled_from([scenario for scenario in FAULT_SCENARIOS if scenario is not dependent_jobs])),
+        ],
+    )
 
 
 @st.composite
-def reused_addresses(draw: Draw) -> str:
-    return day(draw, [reused, *draw(st.sampled_from([[], [draw(st.sampled_from(MEETINGS))]]))])
+def reused_address_runs(draw: Draw) -> str:
+    return simulation_script(
+        draw, [reused_machine_addresses, *draw(st.sampled_from([[], [draw(st.sampled_from(FAULT_SCENARIOS))]]))]
+    )
 
 
-@given(reused_addresses())
-@days
-def test_addresses_that_are_reused(text: str) -> None:
-    play(text)
+@given(reused_address_runs())
+@simulation_settings
+def test_reused_machine_addresses(script: str) -> None:
+    play(script)
 
 
-@given(pipeline_days())
-@days
-def test_pipelines_among_troubles(text: str) -> None:
-    play(text)
+@given(dependent_job_runs())
+@simulation_settings
+def test_dependent_jobs_during_faults(script: str) -> None:
+    play(script)
 
 
-@given(second_page())
-@days
-def test_the_second_page(text: str) -> None:
-    play(text)
+@given(second_page_runs())
+@simulation_settings
+def test_second_page_fault_scenarios(script: str) -> None:
+    play(script)
 
 
-@given(gaps())
-@days
-def test_the_gap(text: str) -> None:
-    play(text)
+@given(outage_runs())
+@simulation_settings
+def test_state_service_outages(script: str) -> None:
+    play(script)
 
 
-@given(pairs())
-@days
-def test_meetings_that_overlap(text: str) -> None:
-    play(text)
+@given(overlapping_scenarios())
+@simulation_settings
+def test_overlapping_fault_scenarios(script: str) -> None:
+    play(script)
--- a/tests/test_production_compatibility.py
+++ b/tests/test_production_compatibility.py
@@ -1,7 +1,7 @@
-"""Records and frames of the version in production (deploy/service.toml names it), as it wrote them.
+"""Compatibility with records and frames written by the version in production, which deploy/service.toml names.
 
-Both versions serve side by side during an upgrade: what that one wrote is read here, and rewritten without loss; what
-this one writes before the gate is open has no field that the other would drop on a rewrite.
+Both versions run side by side during an upgrade. This one must read what the production version wrote and rewrite it
+without loss; until the feature gate opens, it must not write a field that the production version drops on a rewrite.
 """
 
 import json
@@ -19,8 +19,8 @@
 from tests.simulation.inputs import job_spec
 
 SAMPLES = json.loads((Path(__file__).parent / "samples" / "production.json").read_text(encoding="utf-8"))
-#: fields that the version in production knows, by kind of record: it drops all others
-KNOWN: dict[str, set[str]] = {
+#: fields known to the version in production, by kind of record; it drops all others
+PRODUCTION_FIELDS: dict[str, set[str]] = {
     "job": {"state", "tasks", "spec", "shard", "chunk", "at_us", "parts", "done"},
     "part": {"own", "done", "zones"},
     "roster": {"shard", "type", "zone", "spot", "endpoint", "used"},
@@ -31,7 +31,7 @@
     "stray": {"strays"},
     "standstill": {"part", "times", "at_us"},
 }
-SPEC = {
+PRODUCTION_SPEC_FIELDS = {
     "uid",
     "lane",
     "crew",
@@ -55,11 +55,11 @@
 }
 
 
-def full(value: Any) -> Any:
-    """Without what is null or empty: a field that may be null may be left out."""
+def without_empty(value: Any) -> Any:
+    """Drop null and empty values, since optional fields may be omitted."""
     if not isinstance(value, dict):
         return value
-    return {k: full(v) for k, v in value.items() if v not in (None, [], "", 0, False)}
+    return {k: without_empty(v) for k, v in value.items() if v not in (None, [], "", 0, False)}
 
 
 @pytest.mark.parametrize("sample", SAMPLES["records"], ids=lambda s: s["k"])
@@ -67,34 +67,40 @@
     kind = StoreCache.split(sample["k"])[0]
     read = msgspec.convert(sample["v"], {**KINDS, **AllocationManager.kinds}[kind])
     written = json.loads(msgspec.json.encode(read))
-    assert full(written) == full(sample["v"])
-    if kind in KNOWN:
-        assert written.keys() <= KNOWN[kind] and (written.get("spec") or {}).keys() <= SPEC
+    assert without_empty(written) == without_empty(sample["v"])
+    if kind in PRODUCTION_FIELDS:
+        assert (
+            written.keys() <= PRODUCTION_FIELDS[kind] and (written.get("spec") or {}).keys() <= PRODUCTION_SPEC_FIELDS
+        )
 
 
-def test_all_kinds_have_a_sample() -> None:
+def test_every_record_kind_has_a_sample() -> None:
     kinds = {StoreCache.split(s["k"])[0] for s in SAMPLES["records"]}
     assert kinds >= {"term", "shard", "job", "part", "roster", "hire", "load", "types", "stray", "grant"}, kinds
 
 
-def test_frames_are_read() -> None:
-    heartbeat, seen = (bytes.fromhex(text) for text in SAMPLES["frames"])
-    for data in (heartbeat, seen):
+def test_frames_are_read_and_packed_unchanged() -> None:
+    heartbeat, observations = (bytes.fromhex(text) for text in SAMPLES["frames"])
+    for data in (heartbeat, observations):
         kind, length = frames.read_header(data[: frames.HEADER.size])
-        said = frames.read_frame(kind, data[frames.HEADER.size :])
+        content = frames.read_frame(kind, data[frames.HEADER.size :])
         assert length == len(data) - frames.HEADER.size
-        assert said is not None
-        again = (
-            frames.pack_heartbeat(said) if isinstance(said, frames.PeerHeartbeat) else frames.pack_observations(said)
+        assert content is not None
+        repacked = (
+            frames.pack_heartbeat(content)
+            if isinstance(content, frames.PeerHeartbeat)
+            else frames.pack_observations(content)
         )
-        assert again == data
+        assert repacked == data
 
 
-def test_what_is_written_before_the_gate_opens_is_known_to_production() -> None:
+def test_records_written_before_the_gate_opens_have_only_production_fields() -> None:
     spec = msgspec.convert(job_spec("req-000001", builds=["m"], yard="a", dueS=9.0), m.JobSpec)
     job = JobRecord(m.QUEUED, 3, spec, 1, PartitionRecord("0-2", "1", ["a"]), 17, [0, 1])
     for record in (job, final_record(job, m.DONE, 3, 18), final_record(job, m.CANCELLED, 1)):
         written = msgspec.to_builtins(record)
-        assert written.keys() <= KNOWN["job"] and (written.get("spec") or {}).keys() <= SPEC
-    # What waits for others has one more field: production would drop it, so it waits for the gate.
+        assert (
+            written.keys() <= PRODUCTION_FIELDS["job"] and (written.get("spec") or {}).keys() <= PRODUCTION_SPEC_FIELDS
+        )
+    # Dependencies need one more field, which production would drop; it is written only once the gate is open.
     assert "waitsOn" in msgspec.to_builtins(m.waiting_on(spec, ["req-000002"]))
--- a/tests/test_quota_properties.py
+++ b/tests/test_quota_properties.py
@@ -1,4 +1,4 @@
-"""Properties of quotas over random trees and random work, against oracles that recompute from scratch."""
+"""Properties of quotas with random trees and random jobs, against references that recompute from scratch."""
 
 import random
 from fractions import Fraction
@@ -12,37 +12,41 @@
 from quinceslip.quota.max_min import divide, fill
 from quinceslip.quota.tree import Level, Tree
 
-REST = (UNLIMITED, UNLIMITED, UNLIMITED)
-REST_OF_ALL = (UNLIMITED, *REST)
+UNLIMITED_REST = (UNLIMITED, UNLIMITED, UNLIMITED)
+UNLIMITED_ALL = (UNLIMITED, *UNLIMITED_REST)
 
 
 @st.composite
 def trees(draw: st.DrawFn) -> Tree:
-    """Up to three levels of groups with teams beneath; caps and guarantees in whole CPUs, legal together."""
-    levels = [Level("root", cap=(draw(st.integers(4, 40)) * 1000, *REST))]
+    """Draw up to three levels of groups with teams beneath; caps and guarantees are whole CPUs and valid together."""
+    levels = [Level("root", cap=(draw(st.integers(4, 40)) * 1000, *UNLIMITED_REST))]
     groups = draw(st.integers(1, 3))
     for g in range(groups):
-        above = draw(st.sampled_from(["root", *(f"g{i}" for i in range(g))]))
+        parent = draw(st.sampled_from(["root", *(f"g{i}" for i in range(g))]))
         cap = draw(st.one_of(st.just(UNLIMITED), st.integers(1, 40).map(lambda n: n * 1000)))
-        levels.append(Level(f"g{g}", above, draw(st.integers(1, 3)), (cap, *REST)))
+        levels.append(Level(f"g{g}", parent, draw(st.integers(1, 3)), (cap, *UNLIMITED_REST)))
     by_name = {level.name: level for level in levels}
 
     def room(level: Level) -> int:
-        """CPUs of guarantee that can still be given beneath a level."""
-        found, place = UNLIMITED, level
+        """Return the CPUs that can still be guaranteed beneath a level."""
+        found, ancestor = UNLIMITED, level
         while True:
-            given_out = sum(v.guarantee[0] for v in levels if v.team and _under(by_name, v, place))
-            found = min(found, place.cap[0] - given_out)
-            if not place.parent:
+            given_out = sum(v.guarantee[0] for v in levels if v.team and _is_beneath(by_name, v, ancestor))
+            found = min(found, ancestor.cap[0] - given_out)
+            if not ancestor.parent:
                 return found // 1000
-            place = by_name[place.parent]
+            ancestor = by_name[ancestor.parent]
 
     for t in range(draw(st.integers(2, 5))):
-        above = draw(st.sampled_from([f"g{i}" for i in range(groups)]))
+        parent = draw(st.sampled_from([f"g{i}" for i in range(groups)]))
         team = Level(
-            f"t{t}", above, draw(st.integers(1, 4)), (draw(st.sampled_from([UNLIMITED, 3000, 9000])), *REST), team=True
+            f"t{t}",
+            parent,
+            draw(st.integers(1, 4)),
+            (draw(st.sampled_from([UNLIMITED, 3000, 9000])), *UNLIMITED_REST),
+            team=True,
         )
-        own = min(draw(st.integers(0, 6)), room(by_name[above]), team.cap[0] // 1000)
+        own = min(draw(st.integers(0, 6)), room(by_name[parent]), team.cap[0] // 1000)
         if own > 0:
             team.guarantee = (own * 1000, 0, UNLIMITED, UNLIMITED)
         levels.append(team)
@@ -51,10 +55,10 @@
     return Tree([v for v in levels if v.team or v.name in with_teams])
 
 
-def _under(by_name: dict[str, Level], level: Level, place: Level) -> bool:
+def _is_beneath(by_name: dict[str, Level], level: Level, ancestor: Level) -> bool:
     while level.parent:
         level = by_name[level.parent]
-        if level is place:
+        if level is ancestor:
             return True
     return False
 
@@ -74,7 +78,7 @@
 
 
 def used_from_scratch(tree: Tree, bed: Bed) -> dict[str, int]:
-    """Thousandths of CPUs beneath each level, from what runs."""
+    """Compute the use beneath each level from the running attempts, in thousandths of CPUs."""
     used = dict.fromkeys(tree.by_name, 0)
     for attempt in bed.running():
         name = attempt.spec.team
@@ -101,9 +105,9 @@
         else:
             raise AssertionError("passes do not come to an end")
         for partition in bed.state.partitions.values():
-            # What could start without stopping anything must have been started.
+            # Whatever fits without preemption must have been started.
             if not partition.pending or (partition.spec.gang and partition.attempts):
-                continue  # the rest of a gang that lost a task ends by itself on real machines
+                continue  # on real machines, the rest of a gang that lost a task ends by itself
             whole = partition.spec.gang or (partition.spec.service and not partition.attempts)
             need = round(partition.spec.cpus * 1000) * (len(partition.pending) if whole else 1)
             path = [tree.levels[i] for i in tree.path(partition.spec.team)]
@@ -132,14 +136,14 @@
             bed.submit(other, 60)
     bed.run_pass()
     bed.submit(name, wanted)
-    bed.run_pass()  # whatever must stop for it is stopped in this one
+    bed.run_pass()  # this pass stops what must be preempted
     bed.run_pass()
     mine = [a for a in bed.running() if a.spec.team == name]
     assert len(mine) >= min(wanted, guarantee), (guarantee, used_from_scratch(tree, bed))
 
 
 def exact(amount: int, wants: list[tuple[int, int]]) -> list[Fraction]:
-    """Weighted max-min by progressive filling, in fractions."""
+    """Compute the weighted max-min division by progressive filling, in fractions."""
     found = [Fraction(0)] * len(wants)
     left, open_ = Fraction(amount), [i for i, (_, most) in enumerate(wants) if most > 0]
     while open_ and left > 0:
@@ -176,7 +180,7 @@
         assert all(f >= o for f, o in zip(found, own, strict=True))
 
 
-#: most by which placement differs from the exact division, in tasks: tasks are whole, at each of two levels
+#: largest difference of placement from the exact division, in tasks; tasks are rounded at each of two levels
 FAIR_WITHIN = 2
 
 
@@ -211,7 +215,7 @@
 
 
 def _scaled(amount: Fraction, leaves: list[tuple[int, int]]) -> list[Fraction]:
-    """The exact division of a fraction."""
+    """Compute the exact division of a fractional amount."""
     whole = amount.denominator
     return [f / whole for f in exact(amount.numerator, [(w, most * whole) for w, most in leaves])]
 
@@ -223,21 +227,22 @@
 @given(
     st.lists(st.integers(1, 3), min_size=2, max_size=4), arrivals, st.integers(4, 24), st.randoms(use_true_random=False)
 )
-def test_a_flood_leaves_every_team_its_part(
+def test_every_team_keeps_its_share_during_a_flood_of_jobs(
     weights: list[int], jobs: list[Any], slots: int, chance: random.Random
 ) -> None:
-    """No caps, no guarantees, nothing stopped. Whoever came first and with however much: once what ran when somebody
-    came has ended, every team has its part of the places, or all that it asked for.
+    """Guards against a team that loses its share to one that submitted earlier or more.
 
-    The reference fills a plain list of places: each that is free goes to the team with least for its weight.
+    There are no caps and no guarantees, and nothing is preempted.
+    Once the tasks that ran at a submission have ended, every team has its share of the slots, or all that it asked for.
+    The reference gives each slot to the team with the fewest slots for its weight.
     """
     bed = Bed(Tree([Level(f"t{i}", weight=w, team=True) for i, w in enumerate(weights)]), 1, float(slots))
     for team, tasks in jobs:
         bed.submit(f"t{team % len(weights)}", tasks)
-        there = sorted(bed.running(), key=lambda a: a.name)
-        chance.shuffle(there)
+        running_before = sorted(bed.running(), key=lambda a: a.name)
+        chance.shuffle(running_before)
         bed.run_pass()
-        for attempt in there:
+        for attempt in running_before:
             bed.finish(attempt)
             bed.run_pass()
         used, wants = [0] * len(weights), [0] * len(weights)
@@ -245,27 +250,28 @@
             used[int(attempt.spec.team[1:])] += round(attempt.spec.cpus)
         for partition in bed.state.partitions.values():
             wants[int(partition.spec.team[1:])] += round(partition.spec.cpus) * len(partition.pending)
-        places = [0] * len(weights)
+        expected_slots = [0] * len(weights)
         for _ in range(slots):
-            open_ = [i for i, most in enumerate(wants) if places[i] < most + used[i]]
+            open_ = [i for i, most in enumerate(wants) if expected_slots[i] < most + used[i]]
             if open_:
-                places[min(open_, key=lambda i: (places[i] / weights[i], i))] += 1
-        for got, part in zip(used, places, strict=True):
-            assert got >= part - 1 and 2 * got >= part - 1, (used, places, wants)
+                expected_slots[min(open_, key=lambda i: (expected_slots[i] / weights[i], i))] += 1
+        for got, part in zip(used, expected_slots, strict=True):
+            assert got >= part - 1 and 2 * got >= part - 1, (used, expected_slots, wants)
 
 
 def test_work_does_not_preempt_one_another_without_end() -> None:
-    """Guarantees of 10 CPUs on a machine of 8: each pass stops what the pass before has started, and work never ends.
+    """Guards against a preemption cycle: each pass stops what the last one started, so that no work ever finishes.
 
-    Found by `test_caps_hold_and_no_room_is_wasted` with 3,000 examples on seeds 1, 4 and 5 of 1 to 6. The bound: where
-    no task preempts one that would preempt it back, each pass but the last settles the place of one task at least.
+    It occurs with guarantees of 10 CPUs on a machine of 8, and was found by `test_caps_hold_and_no_room_is_wasted` with
+    3,000 examples on seeds 1, 4 and 5 of 1 to 6. If no task preempts one that would preempt it back, each pass but the
+    last settles the placement of at least one task, which gives the bound of 10 passes for 9 tasks.
     """
     owner = (5000, 0, UNLIMITED, UNLIMITED)
-    levels = [Level("root", cap=(40_000, *REST))]
+    levels = [Level("root", cap=(40_000, *UNLIMITED_REST))]
     for group in ("g0", "g1"):
-        levels.append(Level(group, "root", 1, REST_OF_ALL))
-        levels.append(Level(f"{group}-owner", group, 1, REST_OF_ALL, guarantee=owner, team=True))
-        levels.append(Level(f"{group}-other", group, 1, REST_OF_ALL, team=True))
+        levels.append(Level(group, "root", 1, UNLIMITED_ALL))
+        levels.append(Level(f"{group}-owner", group, 1, UNLIMITED_ALL, guarantee=owner, team=True))
+        levels.append(Level(f"{group}-other", group, 1, UNLIMITED_ALL, team=True))
     bed = Bed(Tree(levels), 1, 8.0)
     for team, tasks, priority_class in (
         ("g0-owner", 3, "production"),
--- a/tests/test_random_simulations.py
+++ b/tests/test_random_simulations.py
@@ -1,8 +1,8 @@
-"""Random days on the stand-ins: no rule of the protocol is broken and no controller logs an error.
+"""Random simulations: no rule of the protocol is broken and no controller logs an error.
 
-The first kind is the one that broke `ran_twice` (docs/incidents/exited-before-the-roster.md): preemption
-is busy while the owner ends and starts again. The second overlaps every trouble the stand-ins have.
-CI plays a few; HYPOTHESIS_PROFILE=long plays a thousand, with another `--hypothesis-seed` others.
+The first kind is the one that broke rule `ran_twice` (docs/incidents/exited-before-the-roster.md): many preemptions
+while the owner ends and restarts. The second overlaps all faults that the simulated services support. CI runs a few;
+HYPOTHESIS_PROFILE=long runs a thousand, and another `--hypothesis-seed` other ones.
 """
 
 import os
@@ -15,19 +15,21 @@
 settings.register_profile("ci", max_examples=6, derandomize=True)
 settings.register_profile("long", max_examples=170)
 settings.load_profile(os.environ.get("HYPOTHESIS_PROFILE", "ci"))
-days = settings(deadline=None, database=None, suppress_health_check=list(HealthCheck), report_multiple_bugs=False)
+simulation_settings = settings(
+    deadline=None, database=None, suppress_health_check=list(HealthCheck), report_multiple_bugs=False
+)
 
-WORKERS = st.sampled_from(["busiest", "busiest", "third", "zone:a", "all"])
-OWNERS = ["berth-0", "berth-1", "berth-2", "berth-0 berth-1 berth-2"]
+AFFECTED_WORKERS = st.sampled_from(["busiest", "busiest", "third", "zone:a", "all"])
+CONTROLLERS = ["berth-0", "berth-1", "berth-2", "berth-0 berth-1 berth-2"]
 
 
-def tenths(least: float, most: float) -> st.SearchStrategy[float]:
-    return st.integers(int(least * 10), int(most * 10)).map(lambda n: n / 10)
+def tenths(low: float, high: float) -> st.SearchStrategy[float]:
+    return st.integers(int(low * 10), int(high * 10)).map(lambda n: n / 10)
 
 
 @st.composite
-def preempting_days(draw: st.DrawFn) -> str:
-    """One controller, short production work that preempts a long array, three ends of the controller."""
+def preemption_runs(draw: st.DrawFn) -> str:
+    """One controller that restarts three times, and short production jobs that preempt a long array."""
     machines = draw(st.integers(5, 13))
     lines = [
         f"seed {draw(st.integers(1, 10**6))}",
@@ -48,13 +50,15 @@
         lines.append(f"at {draw(tenths(8, 20)):.2f} crash berth-0 back={draw(st.sampled_from([0.05, 0.3, 0.6, 2]))}")
     for _ in range(draw(st.integers(0, 3))):
         verb = draw(st.sampled_from(["hang", "cut", "mute", "unheard", "copies", "reboot"]))
-        lines.append(f"at {draw(tenths(8, 20)):.2f} {verb} {draw(WORKERS)} {draw(st.sampled_from([2, 6, 14, 25]))}")
+        lines.append(
+            f"at {draw(tenths(8, 20)):.2f} {verb} {draw(AFFECTED_WORKERS)} {draw(st.sampled_from([2, 6, 14, 25]))}"
+        )
     return "\n".join([*lines, "run calm"])
 
 
 @st.composite
-def overlapping_days(draw: st.DrawFn) -> str:
-    """Three controllers; ends, cuts, hangs, outages and late transactions over services, gangs and arrays."""
+def overlapping_fault_runs(draw: st.DrawFn) -> str:
+    """Three controllers; restarts, cuts, hangs, outages and late transactions with services, gangs and arrays."""
     seconds = st.sampled_from([1, 2, 6, 12, 14])
     lines = [
         f"seed {draw(st.integers(1, 10**6))}",
@@ -66,7 +70,7 @@
     ]
     at_s = draw(tenths(6, 10))
     for number in range(100000, 100000 + draw(st.integers(20, 34))):
-        what = draw(
+        event = draw(
             st.sampled_from(
                 [
                     "service",
@@ -94,7 +98,7 @@
                 ]
             )
         )
-        one = draw(st.sampled_from(OWNERS[:3]))
+        one = draw(st.sampled_from(CONTROLLERS[:3]))
         lines.append(
             f"at {at_s:.2f} "
             + {
@@ -102,14 +106,14 @@
                 f"spread={draw(st.sampled_from(['true', 'false']))} rank=production spot=false",
                 "work": f"submit req-{number} tasks={draw(st.sampled_from([6, 20]))} run=2 rank=production",
                 "gang": f"submit req-{number} gang tasks={draw(st.sampled_from([3, 6]))} run=5 rank=normal",
-                "crash": f"crash {draw(st.sampled_from(OWNERS))} back={draw(st.sampled_from([0.05, 0.3, 1, 5]))}",
-                "unheard": f"unheard {draw(WORKERS)} {draw(st.sampled_from([3, 9, 25]))} "
+                "crash": f"crash {draw(st.sampled_from(CONTROLLERS))} back={draw(st.sampled_from([0.05, 0.3, 1, 5]))}",
+                "unheard": f"unheard {draw(AFFECTED_WORKERS)} {draw(st.sampled_from([3, 9, 25]))} "
                 f"{draw(st.sampled_from(['', 'lost']))}",
-                "copies": f"copies {draw(WORKERS)} {draw(seconds)} times={draw(st.integers(1, 3))} "
+                "copies": f"copies {draw(AFFECTED_WORKERS)} {draw(seconds)} times={draw(st.integers(1, 3))} "
                 f"late={draw(seconds) + 16}",
                 "isolate": f"isolate {one} {draw(st.sampled_from([5, 14, 40]))} "
                 f"{draw(st.sampled_from(['held', 'refused', 'reset']))}",
-                "reboot": f"reboot {draw(WORKERS)} {draw(st.sampled_from(['', 'other']))}",
+                "reboot": f"reboot {draw(AFFECTED_WORKERS)} {draw(st.sampled_from(['', 'other']))}",
                 "cloud": f"outage cloud {draw(seconds)}",
                 "outage": f"outage state {draw(seconds)}",
                 "hang": f"hang busiest {draw(seconds)}",
@@ -120,17 +124,17 @@
                 "cancel": f"cancel req-{draw(st.integers(100000, number))}",
                 "deaf": f"deaf {one} {draw(seconds)}",
                 "refuse": f"refuse {one} {draw(seconds)}",
-            }[what]
+            }[event]
         )
         at_s += draw(tenths(0.1, 2.5))
     return "\n".join([*lines, "run calm"])
 
 
 @st.composite
-def crowded_days(draw: st.DrawFn) -> str:
-    """A stream of small, later work that nearly fills a fleet which cannot grow, and a few large jobs in it.
+def crowded_runs(draw: st.DrawFn) -> str:
+    """A stream of small jobs that nearly fills a fleet which cannot grow, and a few large jobs submitted among them.
 
-    The judge is the users' own rule: the largest of each class begin within 240 s, whatever comes later.
+    The rule that is checked for users: the largest jobs of each class start within 240 s, whatever arrives later.
     """
     machines, load = draw(st.integers(3, 5)), draw(st.sampled_from([0.6, 0.8, 0.9]))
     lines = [
@@ -143,7 +147,7 @@
         "objective finished large within=60 share=0.9",
     ]
     tasks, run_s = draw(st.sampled_from([6, 12])), draw(st.sampled_from([9, 15]))
-    # CPUs times seconds of a job of the stream over those of the fleet in a second; the large jobs come on top.
+    # Interval at which the stream takes the share `load` of the fleet; the large jobs come on top.
     every_s = tasks * 2 * run_s / (16 * machines * load)
     lines.append(
         f"at 1 submit_many 1000 {int(300 / every_s)} every={every_s:.3f} tasks={tasks} cpus=2 run={run_s} "
@@ -170,19 +174,19 @@
     return "\n".join([*lines, "run 310"])
 
 
-@given(preempting_days())
-@days
-def test_busy_preemption_and_three_ends(day: str) -> None:
-    play(day)
+@given(preemption_runs())
+@simulation_settings
+def test_preemption_with_controller_restarts(script: str) -> None:
+    play(script)
 
 
-@given(crowded_days())
-@days
-def test_nobody_waits_for_ever(day: str) -> None:
-    play(day)
+@given(crowded_runs())
+@simulation_settings
+def test_large_jobs_start_on_a_crowded_fleet(script: str) -> None:
+    play(script)
 
 
-@given(overlapping_days())
-@days
-def test_troubles_that_overlap(day: str) -> None:
-    play(day)
+@given(overlapping_fault_runs())
+@simulation_settings
+def test_random_overlapping_faults(script: str) -> None:
+    play(script)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Every file in scenarios/ is a test."""
+"""Runs every file in scenarios/ as a test."""
 
 from pathlib import Path
 
@@ -12,5 +12,5 @@
     play(path.read_text(encoding="utf-8"))
 
 
-def test_there_are_scenarios() -> None:
+def test_scenario_files_are_found() -> None:
     assert len(list(FOLDER.glob("*.txt"))) >= 20
--- a/tests/test_shard_summary.py
+++ b/tests/test_shard_summary.py
@@ -1,4 +1,4 @@
-"""The periodic log line of a shard: counts by state, short however many machines there are; machines at `debug`."""
+"""The periodic log summary of a shard: counts by machine state, in bounded length; single machines at `debug`."""
 
 import logging
 
@@ -39,7 +39,7 @@
     checkpoint_cost_s=0.0,
 )
 SERVICE = msgspec.structs.replace(BATCH, kind="standing", cpus=2.0)
-#: a line of the log stays readable up to this length
+#: longest log line that is still readable
 MAX_LINE_CHARACTERS = 250
 
 
@@ -47,17 +47,17 @@
     return Worker(name, TYPE, "z", spot, last_contact_us=1)
 
 
-def test_the_state_of_a_machine_names_why_it_gets_no_tasks() -> None:
-    usable, booting, out = worker("a"), Worker("b", TYPE, "z", False), worker("c")
-    drained, deleted, noticed = worker("d"), Worker("e", TYPE, "z", False, deleting=True), worker("f")
-    drained.draining, noticed.notice_us = "return", 5
+def test_machine_state_tells_why_a_machine_gets_no_tasks() -> None:
+    usable, booting, out_of_contact = worker("a"), Worker("b", TYPE, "z", False), worker("c")
+    returning, deleted, preempted_soon = worker("d"), Worker("e", TYPE, "z", False, deleting=True), worker("f")
+    returning.draining, preempted_soon.notice_us = "return", 5
     assert machine_state(usable, True) == MachineState.USABLE
     assert machine_state(booting, False) == MachineState.BOOTING
-    assert machine_state(out, False) == MachineState.OUT
-    assert {machine_state(w, False) for w in (drained, deleted, noticed)} == {MachineState.DRAINING}
+    assert machine_state(out_of_contact, False) == MachineState.OUT
+    assert {machine_state(w, False) for w in (returning, deleted, preempted_soon)} == {MachineState.DRAINING}
 
 
-def test_the_line_counts_machines_by_state_and_their_cpus() -> None:
+def test_summary_counts_machines_by_state_and_their_cpus() -> None:
     busy, spot, booting = worker("a"), worker("b", spot=True), Worker("c", None, "z", False)
     busy.add_usage(SERVICE, 1)
     busy.add_usage(BATCH, 1)
@@ -73,7 +73,7 @@
     )
 
 
-def test_lines_are_bounded_however_many_machines_there_are(caplog: pytest.LogCaptureFixture) -> None:
+def test_number_and_length_of_lines_are_bounded(caplog: pytest.LogCaptureFixture) -> None:
     statuses = [MachineStatus(worker(f"n-{n:06d}"), MachineState.USABLE) for n in range(3000)]
     statuses.append(MachineStatus(worker("z"), MachineState.OUT))
     assert len(str(summarize(100, 1_000_000, statuses))) <= MAX_LINE_CHARACTERS
@@ -88,7 +88,7 @@
     assert lines[-1] == f"machines not logged shard=0 count={len(statuses) - MAX_LOGGED_MACHINES}"
 
 
-def test_the_line_of_a_running_shard() -> None:
+def test_summary_of_a_running_shard() -> None:
     runner = Runner()
     for line in ("site size=1", "machines 2 m a", "at 2 submit req-000001 tasks=2 run=30", "run 8"):
         runner.line(line)
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -1,4 +1,4 @@
-"""The periods between owners, for all settings that are accepted: the sum that carries a cancellation holds."""
+"""Lease and grace periods for all accepted settings: a cancellation outlasts every lease that an old owner renews."""
 
 from fractions import Fraction
 from types import SimpleNamespace
@@ -16,8 +16,8 @@
 seconds = st.one_of(st.floats(0.01, 100.0), st.floats(0.01, 100_000.0), st.sampled_from([1.0, 4.0, 10.0, 15.25, 26.0]))
 
 
-def timing(report_s: float, lease_s: float, cancel_s: float) -> Timing | None:
-    """What is derived; None where the settings are refused, and then a field is named with its value."""
+def derive_timing(report_s: float, lease_s: float, cancel_s: float) -> Timing | None:
+    """Derive the periods; None if the settings are refused, with an error that names a field and its value."""
     facts = {**Runner().facts, "workers": {"report_s": report_s, "lease_s": lease_s, "cancel_s": cancel_s}, "size": 1}
     try:
         return Timing(settings_of(facts))
@@ -31,31 +31,33 @@
 
 @given(seconds, seconds, seconds)
 @settings(max_examples=400, deadline=None, database=None, derandomize=True)
-def test_a_cancellation_outlasts_what_an_owner_that_cannot_hear_of_it_renews(
+def test_cancellation_period_outlasts_leases_renewed_by_a_cut_off_owner(
     report_s: float, lease_s: float, cancel_s: float
 ) -> None:
-    found = timing(report_s, lease_s, cancel_s)
+    timing = derive_timing(report_s, lease_s, cancel_s)
     lease, cancel = Fraction(lease_s), Fraction(cancel_s)
-    if found is None:
-        # Refused is only what leaves an owner's lease no second, no lease between two reports, or is no such period.
+    if timing is None:
+        # Settings may be refused only if they leave less than a second for the owner's lease, if no lease fits between
+        # two reports, or if a period is too long.
         assert (
             cancel - lease < Fraction(31, 10) + cancel / 400
             or report_s * 1.25 >= lease_s
             or max(report_s, lease_s, cancel_s) > 86_400
         )
         return
-    slow = 1 + Fraction(DRIFT)  # a second by a clock that is slow lasts so long
-    # The owner's clock: from its last proof of contact to the end of its grace. The worker's: its lease, from a report
-    # that was sent before it was answered. A session ends within a report's time limit of its lease, when it looks.
-    ends = Fraction(found.leader_lease_us + found.grace_us, SECOND) * slow + lease * slow + 1
-    assert ends < cancel / slow
-    assert found.leader_lease_us >= SECOND and found.grace_us >= 0 and found.leader_lease_us <= 600 * SECOND
-    assert int(found.leader_lease_us * 0.95) - 50_000 > 0  # entitled for some time, and for less than the lease lasts
-    assert found.lease_expiry_us > lease * slow * slow * SECOND  # a worker's lease by our clock: never over too early
+    slow_clock = 1 + Fraction(DRIFT)  # duration of one second on a slow clock
+    # By the owner's clock: from its last contact to the end of its grace period. By the worker's clock: its lease, from
+    # a report sent before it was answered. The session ends at most one report timeout after the lease, when it checks.
+    session_end_s = Fraction(timing.leader_lease_us + timing.grace_us, SECOND) * slow_clock + lease * slow_clock + 1
+    assert session_end_s < cancel / slow_clock
+    assert timing.leader_lease_us >= SECOND and timing.grace_us >= 0 and timing.leader_lease_us <= 600 * SECOND
+    assert int(timing.leader_lease_us * 0.95) - 50_000 > 0  # may launch for some time, and for less than the lease
+    # A worker's lease by the controller's clock never expires too early.
+    assert timing.lease_expiry_us > lease * slow_clock * slow_clock * SECOND
 
 
-def test_settings_of_usual_sites_are_accepted_with_a_grace() -> None:
-    """Both deployments' orders of magnitude, the tests' own, and beyond."""
+def test_usual_settings_are_accepted_and_leave_a_grace_period() -> None:
+    """Settings in the range of both deployments, those of the tests, and larger ones."""
     for report_s, lease_s, cancel_s in (
         (4, 26, 46),
         (2.5, 15.25, 40.25),
@@ -65,22 +67,22 @@
         (30, 300, 900),
         (60, 3600, 10_000),
     ):
-        found = timing(report_s, lease_s, cancel_s)
-        assert found is not None and found.grace_us > found.leader_lease_us // 2, (report_s, lease_s, cancel_s)
+        timing = derive_timing(report_s, lease_s, cancel_s)
+        assert timing is not None and timing.grace_us > timing.leader_lease_us // 2, (report_s, lease_s, cancel_s)
 
 
 @given(st.integers(0, 60), st.integers(0, 60))
 @settings(max_examples=200, deadline=None, database=None, derandomize=True)
-def test_rights_end_by_the_earlier_proof_of_contact(renewed_s: int, watched_s: int) -> None:
-    """Whichever of the answered renewal and the answered watch was sent longer ago; before both there are none."""
-    found = timing(4.0, 26.0, 46.0)
-    assert found is not None
+def test_leader_rights_end_by_the_earlier_contact(renewed_s: int, watched_s: int) -> None:
+    """The earlier of the answered renewal and the answered watch counts; before both, a leader has no rights."""
+    timing = derive_timing(4.0, 26.0, 46.0)
+    assert timing is not None
     now_us = 1000 * SECOND
-    ctx: Any = SimpleNamespace(timing=found, now_us=now_us, settings=SimpleNamespace(facts=SimpleNamespace(size=1)))
-    rights = LeaderElection(ctx, 0, lambda *_: None, lambda _: None)
-    assert not rights.may_answer()  # one that has just started knows of no contact
-    rights.lease.lease_id, rights.lease.renewal_sent_us = 7, now_us - renewed_s * SECOND
-    rights.lease.watch_sent_us = now_us - watched_s * SECOND
-    ago_us = max(renewed_s, watched_s) * SECOND
-    assert rights.may_launch() == (ago_us < int(found.leader_lease_us * 0.95) - 50_000)
-    assert rights.may_answer() == (ago_us < found.leader_lease_us + found.grace_us)
+    ctx: Any = SimpleNamespace(timing=timing, now_us=now_us, settings=SimpleNamespace(facts=SimpleNamespace(size=1)))
+    election = LeaderElection(ctx, 0, lambda *_: None, lambda _: None)
+    assert not election.may_answer()  # no contact yet since the start
+    election.lease.lease_id, election.lease.renewal_sent_us = 7, now_us - renewed_s * SECOND
+    election.lease.watch_sent_us = now_us - watched_s * SECOND
+    age_us = max(renewed_s, watched_s) * SECOND
+    assert election.may_launch() == (age_us < int(timing.leader_lease_us * 0.95) - 50_000)
+    assert election.may_answer() == (age_us < timing.leader_lease_us + timing.grace_us)
