--- a/tests/scenario/store.py
+++ b/tests/scenario/store.py
@@ -131,7 +131,7 @@
         raw = msgspec.Raw(msgspec.json.encode(JobRecord("done", 4, done=4)))
         items = [m.Item(f"q/job/req-{n:06d}", raw, n + 1) for n in range(int(plain[0]))]
         node.handle(StoreListing(items, len(items), 0), 1)
-        assert node.ctx.progress() >= 2 * len(items)
+        assert node.ctx.progress_count() >= 2 * len(items)
 
     def do_listing_in_pages(self, plain: list[str], named: dict[str, Any]) -> None:
         """listing_in_pages FIRST LAST: read over these revisions; nothing is decided before the watch has the last"""
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quinceslip.coordination.actor.timing import DRIFT, SECOND, Timing
+from quinceslip.coordination.actor.timing import MAX_CLOCK_DRIFT, SECOND, Timing
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.protocol.settings import SettingsError
 from tests.scenario.runner import Runner
@@ -45,7 +45,7 @@
             or max(report_s, lease_s, cancel_s) > 86_400
         )
         return
-    slow_clock = 1 + Fraction(DRIFT)  # duration of one second on a slow clock
+    slow_clock = 1 + Fraction(MAX_CLOCK_DRIFT)  # duration of one second on a slow clock
     # By the owner's clock: from its last contact to the end of its grace period. By the worker's clock: its lease, from
     # a report sent before it was answered. The session ends at most one report timeout after the lease, when it checks.
     session_end_s = Fraction(timing.leader_lease_us + timing.grace_us, SECOND) * slow_clock + lease * slow_clock + 1
