--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from quinceslip.transport.watchdog import STATUS
+from quinceslip.transport.watchdog import STALL_EXIT_STATUS
 from tests.inputs import ROOT, settings_text
 from tests.simulation.inputs import job_spec
 
@@ -227,7 +227,7 @@
             begun = time.monotonic()
             status = process.wait(20)
             took_s = time.monotonic() - begun
-            assert status == STATUS and hold_s <= took_s < hold_s + 8.0, (status, took_s)
+            assert status == STALL_EXIT_STATUS and hold_s <= took_s < hold_s + 8.0, (status, took_s)
             # Whatever runs it starts it again. The same records are still there, and are not solved at once.
             process = start()
             _wait(lambda: _ready(port))
@@ -244,7 +244,7 @@
             mark.write_text("waits")
             begun = time.monotonic()
             status = process.wait(20)
-            assert status == STATUS and hold_s <= time.monotonic() - begun < hold_s + 8.0, status
+            assert status == STALL_EXIT_STATUS and hold_s <= time.monotonic() - begun < hold_s + 8.0, status
             assert outside.data["q/standstill/berth-0"][0]["times"] == 2
         finally:
             process.send_signal(signal.SIGKILL)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -19,7 +19,7 @@
 from quinceslip.coordination.actor.effects import Call, CallResult, HeartbeatReceived, Reply, UserRequest
 from quinceslip.protocol.settings import Limits
 from quinceslip.transport.capacity import CONNECTION_MB, max_api_connections, probe_threads, request_threads
-from quinceslip.transport.clients import Pool
+from quinceslip.transport.clients import ClientPool
 from quinceslip.transport.clock import steady_us
 from quinceslip.transport.connections import Connection, RequestReader
 from quinceslip.transport.deadlines import DeadlineQueue
@@ -80,9 +80,9 @@
         while (message := self.inbox.get()) is not None:
             self.user_requests += isinstance(message, UserRequest)
             if isinstance(message, HeartbeatReceived):
-                self.replies.give(Reply(message.request, 200, {"worker": message.heartbeat.worker}))
+                self.replies.deliver(Reply(message.request, 200, {"worker": message.heartbeat.worker}))
             elif isinstance(message, UserRequest) and message.verb not in self.ignored_verbs:
-                self.replies.give(Reply(message.request, 200, {"verb": message.verb, "uid": message.job_id}))
+                self.replies.deliver(Reply(message.request, 200, {"verb": message.verb, "uid": message.job_id}))
 
 
 @contextlib.contextmanager
@@ -221,7 +221,7 @@
         # The actor answers them late. Requests of several connections reach it in any order.
         wait_until(TIMEOUT_S, lambda: actor.user_requests == len(users))
         for number in range(1, 501 + 1):
-            actor.replies.give(Reply(number, 200, {"late": True}))
+            actor.replies.deliver(Reply(number, 200, {"late": True}))
         assert all(user.read_response()[2] == {"late": True} for user in users)
 
 
@@ -236,7 +236,7 @@
     actor = EchoActor()
     with running_server(actor):
         pass
-    actor.replies.give(Reply(1, 200))
+    actor.replies.deliver(Reply(1, 200))
 
 
 def test_full_inbox_gets_503() -> None:
@@ -250,7 +250,7 @@
     actor = EchoActor("ready")
     with running_server(actor) as api, Client(api) as user:
         assert user.request_response(request("GET", "/ready"))[0] == 503
-        actor.replies.give(Reply(1, 200, {"late": True}))
+        actor.replies.deliver(Reply(1, 200, {"late": True}))
         assert user.request_response(POLL)[2] == {"verb": "poll", "uid": "req-000001"}
 
 
@@ -300,7 +300,7 @@
     actor = EchoActor("poll")
     with running_server(actor, idle_timeout_s=0.1) as api, Client(api, POLL) as user:
         time.sleep(0.3)
-        actor.replies.give(Reply(1, 200))
+        actor.replies.deliver(Reply(1, 200))
         assert user.read_response()[0] == 200
 
 
@@ -315,7 +315,7 @@
     def post(self, message: Any) -> bool:
         if isinstance(message, UserRequest):
             self.last_request_s = time.monotonic()
-            self.replies.give(Reply(message.request, 200, self.text))
+            self.replies.deliver(Reply(message.request, 200, self.text))
             return True
         return super().post(message)
 
@@ -559,7 +559,7 @@
         refused.append(result)
         return False
 
-    pool = Pool("test", 0, post)
+    pool = ClientPool("test", 0, post)
     for number in range(2 * FLEET_WORKERS):
         pool.submit(Call("10.0.0.1:1", number, "GET", "/inspect"), "10.0.0.1:1")
     assert not refused
