--- a/tests/scenario/liveness_checks.py
+++ b/tests/scenario/liveness_checks.py
@@ -58,9 +58,9 @@
                 other = StallRecord(part, 1, now_us)
                 assert stall_records.is_suspended(other, part, now_us, lease_us) == (part == "moves")
         assert ends <= named["ends"], ends
-        assert note is not None and note.times == ends
+        assert note is not None and note.stalls == ends
         later_us = now_us + 3 * stall_records.pause_us(ends, lease_us)
-        assert stall_records.next_record(note, "levels", later_us, lease_us).times == 1  # long ago: it starts anew
+        assert stall_records.next_record(note, "levels", later_us, lease_us).stalls == 1  # long ago: it starts anew
 
     def do_loopback_standstill(self, plain: list[str], named: dict[str, Any]) -> None:
         """loopback_standstill: a process whose actor stands still ends itself"""
--- a/tests/test_production_compatibility.py
+++ b/tests/test_production_compatibility.py
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("sample", SAMPLES["records"], ids=lambda s: s["k"])
 def test_records_are_read_and_rewritten_without_loss(sample: dict[str, Any]) -> None:
-    kind = StoreCache.split(sample["k"])[0]
+    kind = StoreCache.split_key(sample["k"])[0]
     read = msgspec.convert(sample["v"], {**KINDS, **AllocationManager.kinds}[kind])
     written = json.loads(msgspec.json.encode(read))
     assert without_empty(written) == without_empty(sample["v"])
@@ -75,7 +75,7 @@
 
 
 def test_every_record_kind_has_a_sample() -> None:
-    kinds = {StoreCache.split(s["k"])[0] for s in SAMPLES["records"]}
+    kinds = {StoreCache.split_key(s["k"])[0] for s in SAMPLES["records"]}
     assert kinds >= {"term", "shard", "job", "part", "roster", "hire", "load", "types", "stray", "grant"}, kinds
 
 
@@ -103,4 +103,4 @@
             written.keys() <= PRODUCTION_FIELDS["job"] and (written.get("spec") or {}).keys() <= PRODUCTION_SPEC_FIELDS
         )
     # Dependencies need one more field, which production would drop; it is written only once the gate is open.
-    assert "waitsOn" in msgspec.to_builtins(m.waiting_on(spec, ["req-000002"]))
+    assert "waitsOn" in msgspec.to_builtins(m.with_dependencies(spec, ["req-000002"]))
