--- a/tests/scenario/breaches.py
+++ b/tests/scenario/breaches.py
@@ -5,7 +5,7 @@
 
 from tests.scenario.setup import WorldSetup
 from tests.simulation.checker import Checker
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.inputs import job_spec
 
 
@@ -61,16 +61,16 @@
         self._checker.cancellation_requested(args[0])
 
     def _breach_odd(self, args: list[str], named: dict[str, Any]) -> None:
-        self.w().odd[args[0]] = {}
+        self.w().invalid_submissions[args[0]] = {}
 
     def _breach_asked_ago(self, args: list[str], named: dict[str, Any]) -> None:
-        self._checker.answers.request_sent_us = self.w().now_us - int(float(args[0]) * US)
+        self._checker.answers.request_sent_us = self.w().now_us - int(float(args[0]) * SECOND_US)
 
     def _breach_trouble(self, args: list[str], named: dict[str, Any]) -> None:
-        self.w().trouble(float(args[0]))
+        self.w().begin_fault(float(args[0]))
 
     def _breach_wait(self, args: list[str], named: dict[str, Any]) -> None:
-        self.w().now_us += int(float(args[0]) * US)
+        self.w().now_us += int(float(args[0]) * SECOND_US)
 
     def _breach_answer(self, event: str, args: list[str]) -> None:
         handlers = {
--- a/tests/scenario/controllers.py
+++ b/tests/scenario/controllers.py
@@ -9,7 +9,7 @@
 from quinceslip.protocol.frames import HEADER, PeerHeartbeat, ShardLoad, pack_heartbeat, read_heartbeat
 from tests.scenario.state import RunnerState
 from tests.scenario.tools import COMPARE
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.faults import StoreCut, WorkerCut
 
 
@@ -18,12 +18,12 @@
 
     def on_crash(self, args: list[str], named: dict[str, Any]) -> None:
         """crash NAME... [back=S]: processes end, and start again after some seconds."""
-        self.w().trouble(named.get("back", 0))
+        self.w().begin_fault(named.get("back", 0))
         for name in args:
             host = self.w().controllers[name]
             host.crash()
             if "back" in named:
-                self.w().after(named["back"] * US, host.start)
+                self.w().after(named["back"] * SECOND_US, host.start)
 
     def on_upgrade(self, args: list[str], named: dict[str, Any], old: bool = False) -> None:
         """upgrade NAME... back=S: processes end, and come back with this version"""
@@ -41,37 +41,37 @@
 
     def on_hang_watch(self, args: list[str], named: dict[str, Any]) -> None:
         """hang_watch NAME S: a controller's watch brings nothing, while its other calls are answered."""
-        self.w().controllers[args[0]].store.watch_hung_until_us = self.w().trouble(float(args[1]))
+        self.w().controllers[args[0]].store.watch_hung_until_us = self.w().begin_fault(float(args[1]))
 
     def on_deaf(self, args: list[str], named: dict[str, Any]) -> None:
         """deaf NAME S [in]: no frames to or from its peers; with `in`, none to it, while its own arrive."""
-        host, until_us = self.w().controllers[args[0]], self.w().trouble(float(args[1]))
+        host, until_us = self.w().controllers[args[0]], self.w().begin_fault(float(args[1]))
         if "in" in args:
-            host.peers_unheard_until_us = until_us
+            host.inbound_peers_blocked_until_us = until_us
         else:
             host.peers_cut_until_us = until_us
 
     def on_isolate(self, args: list[str], named: dict[str, Any]) -> None:
         """isolate NAME S held|refused|reset: it loses the key-value store and its peers, but not its workers."""
-        host, until_us = self.w().controllers[args[0]], self.w().trouble(float(args[1]))
+        host, until_us = self.w().controllers[args[0]], self.w().begin_fault(float(args[1]))
         host.peers_cut_until_us = until_us
         if args[2] == "refused":
-            self.w().store.refused[args[0]] = until_us
+            self.w().store.refused_until_us[args[0]] = until_us
         else:
             host.store.cut = StoreCut(until_us, args[2])
 
     def on_cut_state(self, args: list[str], named: dict[str, Any]) -> None:
         """cut_state NAME S held|refused|reset: it loses the key-value store alone, keeps peers, workers and users"""
-        until_us = self.w().trouble(float(args[1]))
+        until_us = self.w().begin_fault(float(args[1]))
         if args[2] == "refused":
-            self.w().store.refused[args[0]] = until_us
+            self.w().store.refused_until_us[args[0]] = until_us
         else:
             self.w().controllers[args[0]].store.cut = StoreCut(until_us, args[2])
 
     def on_cut_workers(self, args: list[str], named: dict[str, Any]) -> None:
         """cut_workers NAME S [zone=Z]: nothing passes between a controller and any worker, or those of a zone."""
         self.w().controllers[args[0]].workers.cut = WorkerCut(
-            self.w().trouble(float(args[1])), str(named.get("zone", ""))
+            self.w().begin_fault(float(args[1])), str(named.get("zone", ""))
         )
 
     def on_load_told(self, args: list[str], named: dict[str, Any]) -> None:
@@ -84,7 +84,7 @@
         for host in self.w().controllers.values():
             if host.label != args[0]:
                 host.deliver(PeerFrameReceived(read_heartbeat(body)))
-        self.w().after(US // 2, lambda: self.on_load_told(args, named))
+        self.w().after(SECOND_US // 2, lambda: self.on_load_told(args, named))
 
     def check_levels(self, args: list[str], named: dict[str, Any]) -> None:
         """levels SHARD OP N: at every controller that is up"""
--- a/tests/scenario/liveness_checks.py
+++ b/tests/scenario/liveness_checks.py
@@ -12,7 +12,7 @@
 from tests.loopback import standstill
 from tests.scenario.state import RunnerState
 from tests.scenario.tools import at_once
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 
 
 class LivenessChecks(RunnerState):
@@ -25,19 +25,19 @@
         processor time is not known).
         `share`: its own processor time in a second. `gap`: the looks come so late, every time; `stop=S` once.
         """
-        limit_us, share = int(named.get("limit", 3) * US), float(named.get("share", plain[0] != "waits"))
+        limit_us, share = int(named.get("limit", 3) * SECOND_US), float(named.get("share", plain[0] != "waits"))
         judge = StallDetector(limit_us, 0)
         now_us, cpu_us, found = 0, 0, None
         for number in range(100_000):
-            passed_us = judge.period_us + int(named.get("gap", 0) * US)
+            passed_us = judge.period_us + int(named.get("gap", 0) * SECOND_US)
             cpu_us += int(share * passed_us)
-            now_us += passed_us + (int(named.get("stop", 0) * US) if number == 10 else 0)
-            turns = now_us // int(named["turn"] * US) if "turn" in named else 0
-            place = (1, 1) if plain[0] == "waits" and now_us >= named.get("settles", 0) * US else (number, 2)
+            now_us += passed_us + (int(named.get("stop", 0) * SECOND_US) if number == 10 else 0)
+            turns = now_us // int(named["turn"] * SECOND_US) if "turn" in named else 0
+            place = (1, 1) if plain[0] == "waits" and now_us >= named.get("settles", 0) * SECOND_US else (number, 2)
             if judge.add(Sample(now_us, turns, None if plain[0] == "blind" else cpu_us, place)):
-                found = now_us / US
+                found = now_us / SECOND_US
                 break
-            if now_us > named.get("for", 600) * US:
+            if now_us > named.get("for", 600) * SECOND_US:
                 break
         if named["after"] == "never":
             assert found is None, found
@@ -46,11 +46,11 @@
 
     def do_standstills_in(self, plain: list[str], named: dict[str, Any]) -> None:
         """standstills_in HOURS lease=S back=S ends=N: a process that stands still at once, each time it is started"""
-        lease_us, now_us, ends = int(named["lease"] * US), 0, 0
+        lease_us, now_us, ends = int(named["lease"] * SECOND_US), 0, 0
         note: StallRecord | None = None
-        while (now_us := max(now_us + int(named["back"] * US), stall_records.next_exit_us(note, lease_us))) < float(
-            plain[0]
-        ) * 3600 * US:
+        while (
+            now_us := max(now_us + int(named["back"] * SECOND_US), stall_records.next_exit_us(note, lease_us))
+        ) < float(plain[0]) * 3600 * SECOND_US:
             note, ends = stall_records.next_record(note, "levels", now_us, lease_us), ends + 1
             assert stall_records.is_suspended(note, "levels", now_us + lease_us, lease_us)
             assert not stall_records.is_suspended(note, "moves", now_us, lease_us)
--- a/tests/scenario/odd_requests.py
+++ b/tests/scenario/odd_requests.py
@@ -76,7 +76,7 @@
         """A submission that can never be accepted, under an id of its own."""
         world, job_id = self.runner.w(), f"req-{next(self.numbers)}"
         spec = self._spoil({**next(iter(world.jobs.values())), "uid": job_id})
-        world.odd[job_id] = spec
+        world.invalid_submissions[job_id] = spec
 
         def answered(status: int, body: Any) -> None:
             world.checker.answers.submission_answered(job_id, status, body)
--- a/tests/scenario/state.py
+++ b/tests/scenario/state.py
@@ -31,7 +31,7 @@
     """A poll that waits for its answer: whom it asked, and in which life of the process."""
 
     controller: SimulatedController
-    life: int
+    incarnation: int
 
 
 class RunnerState:
@@ -84,7 +84,7 @@
             return
         controller, asked_us = self.w().random.choice(alive), self.w().now_us
         if verb == "poll":
-            self.open_polls[asked_us, job_id] = OpenPoll(controller, controller.life)
+            self.open_polls[asked_us, job_id] = OpenPoll(controller, controller.incarnation)
 
         def answered(status: int, body: Any) -> None:
             if self.open_polls.pop((asked_us, job_id), None):
--- a/tests/scenario/store.py
+++ b/tests/scenario/store.py
@@ -17,7 +17,7 @@
 from quinceslip.storage.records import JobRecord
 from tests.scenario.state import RunnerState
 from tests.scenario.tools import COMPARE
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.faults import LateTransactions, LostAnswers, SlowAnswers
 from tests.simulation.inputs import settings_of
 from tests.simulation.world import World
@@ -28,15 +28,15 @@
 
     def on_outage(self, args: list[str], named: dict[str, Any]) -> None:
         """outage state|cloud S"""
-        until_us = self.w().trouble(float(args[1]))
+        until_us = self.w().begin_fault(float(args[1]))
         if args[0] == "state":
-            self.w().store.outage(int(float(args[1]) * US))
+            self.w().store.outage(int(float(args[1]) * SECOND_US))
         else:
             self.w().cloud.down_until_us = until_us
 
     def on_refuse(self, args: list[str], named: dict[str, Any]) -> None:
         """refuse NAME S: the key-value store answers 503 to this controller alone."""
-        self.w().store.refused[args[0]] = self.w().trouble(float(args[1]))
+        self.w().store.refused_until_us[args[0]] = self.w().begin_fault(float(args[1]))
 
     def on_late(self, args: list[str], named: dict[str, Any]) -> None:
         """late NAME S DELAY [MOST] [share=P]: of its transactions that share is carried out late, unanswered.
@@ -45,27 +45,29 @@
         """
         if args[2] == "at_once":
             for label in self.w().controllers if args[0] == "all" else args[:1]:
-                self.w().store.unanswered[label] = LostAnswers(
-                    self.w().trouble(float(args[1])), float(named.get("share", 1.0))
+                self.w().store.lost_transaction_answers[label] = LostAnswers(
+                    self.w().begin_fault(float(args[1])), float(named.get("share", 1.0))
                 )
             return
         least_s, most_s = float(args[2]), float(args[-1])
-        self.w().store.late[args[0]] = LateTransactions(
-            self.w().trouble(float(args[1])),
-            int(least_s * US),
-            int(most_s * US),
+        self.w().store.late_transactions[args[0]] = LateTransactions(
+            self.w().begin_fault(float(args[1])),
+            int(least_s * SECOND_US),
+            int(most_s * SECOND_US),
             float(named.get("share", 1.0)),
         )
-        self.w().trouble(float(args[1]) + most_s)
+        self.w().begin_fault(float(args[1]) + most_s)
 
     def on_slow(self, args: list[str], named: dict[str, Any]) -> None:
         """slow NAME|all S MOST: the key-value store takes up to so long to answer."""
         for label in self.w().controllers if args[0] == "all" else args[:1]:
-            self.w().store.slow[label] = SlowAnswers(self.w().trouble(float(args[1])), int(float(args[2]) * US))
+            self.w().store.slow_answers[label] = SlowAnswers(
+                self.w().begin_fault(float(args[1])), int(float(args[2]) * SECOND_US)
+            )
 
     def on_page_gap(self, args: list[str], named: dict[str, Any]) -> None:
         """page_gap S: a listing of the records is read in pages, so long after one another"""
-        self.w().store.page_gap_us = int(float(args[0]) * US)
+        self.w().store.page_gap_us = int(float(args[0]) * SECOND_US)
 
     def on_state_limits(self, args: list[str], named: dict[str, Any]) -> None:
         """state_limits value_kb=N txn_ops=N: larger values and transactions are answered 400 from now on"""
@@ -97,7 +99,7 @@
     def check_puts_per_s(self, args: list[str], named: dict[str, Any]) -> None:
         """in any ten seconds in a row, on average"""
         seconds = self.w().store.job_writes_in_second
-        first, last = self.counted["second"], self.w().now_us // US
+        first, last = self.counted["second"], self.w().now_us // SECOND_US
         most = max(sum(seconds.get(t + i, 0) for i in range(10)) / 10 for t in range(first, last - 9))
         assert COMPARE[args[0]](most, float(args[1])), f"{most} puts a second"
 
@@ -113,7 +115,7 @@
     def check_grant_writes_per_s(self, args: list[str], named: dict[str, Any]) -> None:
         """in any ten seconds in a row, on average"""
         seconds = self.w().store.quota_writes_in_second
-        most = max(sum(seconds.get(t + i, 0) for i in range(10)) / 10 for t in range(self.w().now_us // US))
+        most = max(sum(seconds.get(t + i, 0) for i in range(10)) / 10 for t in range(self.w().now_us // SECOND_US))
         assert COMPARE[args[0]](most, float(args[1])), f"{most} writes a second for quotas"
 
     def check_records(self, args: list[str], named: dict[str, Any]) -> None:
--- a/tests/scenario/troubles.py
+++ b/tests/scenario/troubles.py
@@ -6,7 +6,7 @@
 
 from tests.scenario.odd_requests import FIRST_ID, OddRequests
 from tests.scenario.users import UserVerbs
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.faults import LostHandOver, StoreCut, WorkerCut
 
 #: hosts of cancelled jobs that hang, at the most
@@ -31,7 +31,7 @@
     # What users do.
 
     def _cancel_in(self, job_id: str, seconds: float, by: str = "") -> None:
-        self.w().after(seconds * US, lambda: self.on_cancel([job_id], {"by": by} if by else {}))
+        self.w().after(seconds * SECOND_US, lambda: self.on_cancel([job_id], {"by": by} if by else {}))
 
     def on_close_looks(self, args: list[str], named: dict[str, Any]) -> None:
         """close_looks S [cancel=SHARE]: all controllers are asked within milliseconds of any news about a job
@@ -39,10 +39,10 @@
         The submission is repeated as well; of what has just been accepted that share is cancelled at once.
         """
         world, share = self.w(), float(named.get("cancel", 0))
-        until_us = world.trouble(float(args[0]))
+        until_us = world.begin_fault(float(args[0]))
 
         def news(job_id: str, status: str) -> None:
-            if world.now_us >= until_us or job_id in world.odd:
+            if world.now_us >= until_us or job_id in world.invalid_submissions:
                 return
             self._meets("close_looks")
             for label in world.controllers:
@@ -71,26 +71,26 @@
             if status not in ("done", "withdrawn") and world.random.random() < share:
                 self._cancel_in(job_id, 0.001)
 
-        world.on_news.append(news)
+        world.status_listeners.append(news)
 
     def on_odd_requests(self, args: list[str], named: dict[str, Any]) -> None:
         """odd_requests S [every=S]: repeats of unfinished jobs, as they were and spoilt; cancellations of what is done;
         jobs that fit no machine or lack a field"""
-        every_us = int(float(named.get("every", 0.3)) * US)
-        until_us = self.w().trouble(float(args[0]))
+        every_us = int(float(named.get("every", 0.3)) * SECOND_US)
+        until_us = self.w().begin_fault(float(args[0]))
         OddRequests(self, every_us, until_us, self._meets, self.odd_numbers).send_next()
 
     def on_cancel_at_end(self, args: list[str], named: dict[str, Any]) -> None:
         """cancel_at_end S [share=P]: of the jobs that end, that share is called off at the moment of the end"""
         world, share = self.w(), float(named.get("share", 1))
-        until_us = world.trouble(float(args[0]))
+        until_us = world.begin_fault(float(args[0]))
 
         def ends(job_id: str) -> None:
             if world.now_us < until_us and world.random.random() < share:
                 self._meets("cancel_at_end")
                 self._cancel_in(job_id, world.random.choice([0.0, 0.003, 0.02, 0.3]))
 
-        world.on_end.append(ends)
+        world.completion_listeners.append(ends)
 
     def on_cancel_now(self, args: list[str], named: dict[str, Any]) -> None:
         """cancel_now COUNT [within=S] [hang=S] [by=NAME]: so many jobs that run; their machines hang, eight at most"""
@@ -108,23 +108,26 @@
             hung += sorted({n for t, places in where.items() if t.startswith(job_id + "/") for n in places})
         for name in list(dict.fromkeys(hung))[:MAX_HUNG_MACHINES] if hang_s else []:
             self._meets("hung")
-            world.workers[name].hung_until_us = world.trouble(hang_s)
+            world.workers[name].hung_until_us = world.begin_fault(hang_s)
 
     # What the network does.
 
     def on_boots(self, args: list[str], named: dict[str, Any]) -> None:
         """boots S: machines rented from now on are up so soon"""
-        self.w().cloud.boot_us = int(float(args[0]) * US)
+        self.w().cloud.boot_us = int(float(args[0]) * SECOND_US)
 
     def on_slow_links(self, args: list[str], named: dict[str, Any]) -> None:
         """slow_links S MOST: every message takes up to so long, between whomever"""
         world = self.w()
-        world.links_slow_until_us, world.link_delay_us = world.trouble(float(args[0])), int(float(args[1]) * US)
+        world.links_slow_until_us, world.link_delay_us = (
+            world.begin_fault(float(args[0])),
+            int(float(args[1]) * SECOND_US),
+        )
 
     def on_island(self, args: list[str], named: dict[str, Any]) -> None:
         """island ZONE NAME S [MODE]: a zone with its workers and that controller is cut off from all else"""
         world = self.w()
-        until_us = world.trouble(float(args[2]))
+        until_us = world.begin_fault(float(args[2]))
         for label, host in world.controllers.items():
             host.workers.cut = WorkerCut(until_us, "!" + args[0] if label == args[1] else args[0])
         inside = world.controllers[args[1]]
@@ -136,8 +139,8 @@
 
         `hand_over_unanswered NAME S lost`: it is not carried out either.
         """
-        self.w().store.hand_over_lost[args[0]] = LostHandOver(int(float(args[1]) * US), "lost" in args)
+        self.w().store.lost_hand_overs[args[0]] = LostHandOver(int(float(args[1]) * SECOND_US), "lost" in args)
 
     def check_handed_over(self, args: list[str], named: dict[str, Any]) -> None:
         """handed_over: that has met"""
-        assert self.w().handed_over_us
+        assert self.w().hand_over_lost_us
--- a/tests/scenario/users.py
+++ b/tests/scenario/users.py
@@ -8,7 +8,7 @@
 from tests.scenario.state import RunnerState
 from tests.scenario.submission import MAX_RETRIES_US, Submission, read_spec
 from tests.scenario.tools import COMPARE
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 
 
 class UserVerbs(RunnerState):
@@ -23,11 +23,11 @@
 
         def write() -> None:
             with open(args[0], "a", encoding="utf-8") as out:
-                out.write(json.dumps({"at_s": world.now_us / US, "levels": merge_pages(pages)}) + "\n")
+                out.write(json.dumps({"at_s": world.now_us / SECOND_US, "levels": merge_pages(pages)}) + "\n")
 
         world.after(20_000, write)
-        if world.now_us < named["until"] * US:
-            world.after(named["every"] * US, lambda: self.on_sample(args, named))
+        if world.now_us < named["until"] * SECOND_US:
+            world.after(named["every"] * SECOND_US, lambda: self.on_sample(args, named))
 
     def on_submit(self, args: list[str], named: dict[str, Any]) -> None:
         """submit UID [gang|service] [run=S] [apart=S] [fails=N] [by=NAME] [poll=S] [lacks=FIELD] [FIELD=VALUE ...]
@@ -36,7 +36,7 @@
         each takes more than the one before; `fails` of its starts fail.
         """
         world, job_id = self.w(), args[0]
-        run_s, apart_s, failing = named.pop("run", 5), named.pop("apart", 0), named.pop("fails", 0)
+        run_s, run_increment_s, failing = named.pop("run", 5), named.pop("apart", 0), named.pop("fails", 0)
         by, poll_s, lacking = named.pop("by", ""), named.pop("poll", 2), named.pop("lacks", "")
         spec = read_spec(job_id, args, named)
         waits_on = spec["waitsOn"]
@@ -45,10 +45,10 @@
         if job_id in world.jobs:
             spec = spec if lacking else world.jobs[job_id] | {key: spec[key] for key in ("picks", "vcpus")}
         elif lacking:
-            world.odd[job_id] = spec
+            world.invalid_submissions[job_id] = spec
         else:
             world.jobs[job_id], world.run_s[job_id] = spec, run_s
-            world.failing[job_id], world.apart_s[job_id] = failing, apart_s
+            world.remaining_failures[job_id], world.run_increment_s[job_id] = failing, run_increment_s
         world.checker.submission_attempted(job_id)
         Submission(self, job_id, spec, waits_on, by, poll_s, world.now_us + MAX_RETRIES_US).attempt()
 
@@ -57,13 +57,13 @@
         by one; with `off`, each fourth is cancelled so long after; with `needs=N`, each needs the one N numbers before
         """
         needs = int(named.pop("needs", 0))
-        every_us, off_s, named = int(named.pop("every", 0) * US), named.pop("off", None), {**named}
+        every_us, off_s, named = int(named.pop("every", 0) * SECOND_US), named.pop("off", None), {**named}
         for place in range(int(args[1])):
             what = [f"req-{int(args[0]) + place:06d}", *args[2:]]
             after = {"after": f"req-{int(args[0]) + place - needs:06d}"} if needs else {}
             self.w().after(place * every_us + 1, partial(self.on_submit, what, {**named, **after}))
             if off_s is not None and place % 4 == 3:
-                self.w().after(place * every_us + off_s * US, partial(self.on_cancel, what[:1], {}))
+                self.w().after(place * every_us + off_s * SECOND_US, partial(self.on_cancel, what[:1], {}))
 
     def on_submit_teams(self, args: list[str], named: dict[str, Any]) -> None:
         """submit_teams FIRST COUNT ...: a job of each of the teams t-1, t-2, ..."""
@@ -86,7 +86,7 @@
             "starts": starts,
             "reads": self._reads(),
             "asked": world.cloud.rental_requests,
-            "second": world.now_us // US,
+            "second": world.now_us // SECOND_US,
             "grants": world.store.quota_writes,
         }
 
@@ -104,7 +104,7 @@
     def on_poll_many(self, args: list[str], named: dict[str, Any]) -> None:
         """poll_many UID COUNT over=S: spread evenly"""
         for number in range(int(args[1])):
-            self.w().after(number * named["over"] * US // int(args[1]), lambda: self.on_poll(args, {}))
+            self.w().after(number * named["over"] * SECOND_US // int(args[1]), lambda: self.on_poll(args, {}))
 
     def _reads(self) -> int:
         return sum(h.actor.user_requests.read_barriers for h in self.w().controllers.values() if h.actor is not None)
@@ -116,11 +116,11 @@
 
     def check_polls_within(self, args: list[str], named: dict[str, Any]) -> None:
         """polls_within S: no controller that went on has taken longer over a poll"""
-        limit_us = int(float(args[0]) * US)
+        limit_us = int(float(args[0]) * SECOND_US)
         late = [
             job_id
-            for (asked_us, job_id), (host, life) in self.open_polls.items()
-            if host.life == life and asked_us + limit_us < self.w().now_us
+            for (asked_us, job_id), (host, incarnation) in self.open_polls.items()
+            if host.incarnation == incarnation and asked_us + limit_us < self.w().now_us
         ]
         assert not late and self.slowest_us <= limit_us, (late[:3], self.slowest_us)
 
@@ -142,7 +142,7 @@
         def attempt() -> None:
             if not settled[0]:
                 self.ask("cancel", job_id, heard, by=named.get("by", ""))
-                world.after(2 * US, attempt)
+                world.after(2 * SECOND_US, attempt)
 
         attempt()
 
--- a/tests/scenario/workers.py
+++ b/tests/scenario/workers.py
@@ -5,7 +5,7 @@
 
 from tests.scenario.state import RunnerState
 from tests.scenario.tools import COMPARE
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.faults import HeartbeatCopies, SlowCommands
 
 
@@ -17,7 +17,7 @@
         if args[0] == "all":
             return list(world.workers.values())
         if args[0] == "busiest":
-            return sorted(world.workers.values(), key=lambda w: -w.runner.running_count())[:1]
+            return sorted(world.workers.values(), key=lambda w: -w.runner.running_task_count())[:1]
         if args[0].startswith("zone:"):
             return [w for w in world.workers.values() if w.host["yard"] == args[0][5:]]
         if args[0] == "third":
@@ -27,7 +27,7 @@
     def on_cut(self, args: list[str], named: dict[str, Any]) -> None:
         """cut WORKER|... S [lost]: the network delivers everything when it ends, or loses it."""
         for worker in self._workers(args):
-            worker.cut_until_us, worker.drops = self.w().trouble(float(args[1])), "lost" in args
+            worker.cut_until_us, worker.loses_undelivered = self.w().begin_fault(float(args[1])), "lost" in args
 
     def on_cut_zone(self, args: list[str], named: dict[str, Any]) -> None:
         """cut_zone ZONE S"""
@@ -36,7 +36,10 @@
     def on_unheard(self, args: list[str], named: dict[str, Any]) -> None:
         """unheard WORKER|busiest|third|zone:Z|all S [lost]: heartbeats arrive; answers, commands, questions do not."""
         for worker in self._workers(args):
-            worker.unheard_until_us, worker.drops = self.w().trouble(float(args[1])), "lost" in args
+            worker.inbound_blocked_until_us, worker.loses_undelivered = (
+                self.w().begin_fault(float(args[1])),
+                "lost" in args,
+            )
 
     def on_copies(self, args: list[str], named: dict[str, Any]) -> None:
         """copies WORKER|... S times=N late=S: each heartbeat comes again so often, a second to so long after.
@@ -45,16 +48,16 @@
         """
         if "for_next" in args:
             for worker in self._workers(args):
-                worker.for_next_until_us = self.w().trouble(float(args[1]))
+                worker.keep_copy_until_us = self.w().begin_fault(float(args[1]))
             return
         late_s, times = float(named.get("late", 3 * self.facts["workers"]["lease_s"])), named.get("times", 1)
         for worker in self._workers(args):
-            worker.copies = HeartbeatCopies(self.w().trouble(float(args[1])), times, int(late_s * US))
-            self.w().trouble(float(args[1]) + late_s)
+            worker.copies = HeartbeatCopies(self.w().begin_fault(float(args[1])), times, int(late_s * SECOND_US))
+            self.w().begin_fault(float(args[1]) + late_s)
 
     def on_reboot(self, args: list[str], named: dict[str, Any]) -> None:
         """reboot WORKER|... [other]: back at once with nothing; `other`: another machine at its address"""
-        self.w().trouble(0)
+        self.w().begin_fault(0)
         for worker in self._workers(args):
             if "other" in args:
                 cloud, host = self.w().cloud, worker.host
@@ -67,21 +70,24 @@
     def on_mute(self, args: list[str], named: dict[str, Any]) -> None:
         """mute WORKER|... S [refused]: it reaches no controller, while direct commands reach it."""
         for worker in self._workers(args):
-            worker.mute_until_us, worker.mute_refused = self.w().trouble(float(args[1])), "refused" in args
+            worker.outbound_blocked_until_us, worker.refuses_outbound = (
+                self.w().begin_fault(float(args[1])),
+                "refused" in args,
+            )
 
     def on_hang(self, args: list[str], named: dict[str, Any]) -> None:
         """hang WORKER|... S: the whole machine stands still"""
         for worker in self._workers(args):
-            worker.hung_until_us = self.w().trouble(float(args[1]))
+            worker.hung_until_us = self.w().begin_fault(float(args[1]))
 
     def on_take(self, args: list[str], named: dict[str, Any]) -> None:
         """take WORKER [notice=S]: the cloud takes the machine."""
         notice_s = named.get("notice", 0)
         for worker in self._workers(args):
-            self.w().trouble(notice_s)
-            worker.notice_us = self.w().now_us + int(notice_s * US)
+            self.w().begin_fault(notice_s)
+            worker.notice_us = self.w().now_us + int(notice_s * SECOND_US)
             worker.has_changed = True
-            self.w().after(notice_s * US + 1, partial(self.w().cloud.remove, worker.name))
+            self.w().after(notice_s * SECOND_US + 1, partial(self.w().cloud.remove, worker.name))
 
     def on_token(self, args: list[str], named: dict[str, Any]) -> None:
         """token WORKER N: the worker has seen a higher token than its leader's."""
@@ -90,15 +96,17 @@
 
     def on_cloud(self, args: list[str], named: dict[str, Any]) -> None:
         """cloud capacity|never_boot|lost_answers N"""
-        self.w().trouble(0)
+        self.w().begin_fault(0)
         setattr(self.w().cloud, args[0], int(args[1]))
 
     def on_slow_commands(self, args: list[str], named: dict[str, Any]) -> None:
         """slow_commands WORKER|... S there=MOST back=MOST: direct commands, or their answers, are held up alone"""
         there_s, back_s = float(named.get("there", 0)), float(named.get("back", 0))
         for worker in self._workers(args):
-            worker.slow_commands = SlowCommands(self.w().trouble(float(args[1])), int(there_s * US), int(back_s * US))
-            self.w().trouble(float(args[1]) + there_s)
+            worker.slow_commands = SlowCommands(
+                self.w().begin_fault(float(args[1])), int(there_s * SECOND_US), int(back_s * SECOND_US)
+            )
+            self.w().begin_fault(float(args[1]) + there_s)
 
     def check_nowhere(self, args: list[str], named: dict[str, Any]) -> None:
         """nowhere UID: no task of it runs"""
@@ -124,22 +132,24 @@
 
     def check_services_restarted_by(self, args: list[str], named: dict[str, Any]) -> None:
         """Some replica was started again, and the last such start was by then."""
-        again = [s[-1] / US for s in self.w().checker.observed.starts.values() if len(s) > 1]
+        again = [s[-1] / SECOND_US for s in self.w().checker.observed.starts.values() if len(s) > 1]
         assert again and max(again) <= float(args[0]), again
 
     def check_started_by(self, args: list[str], named: dict[str, Any]) -> None:
         """started_by UID T: the last start of any of its tasks was by that second"""
-        times = [s[-1] / US for t, s in self.w().checker.observed.starts.items() if t.startswith(args[0] + "/")]
+        times = [s[-1] / SECOND_US for t, s in self.w().checker.observed.starts.items() if t.startswith(args[0] + "/")]
         assert times and max(times) <= float(args[1]), times
 
     def check_together(self, args: list[str], named: dict[str, Any]) -> None:
         """together UID: the last starts of its tasks are less than three seconds apart"""
         times = [s[-1] for t, s in self.w().checker.observed.starts.items() if t.startswith(args[0] + "/")]
-        assert max(times) - min(times) < 3 * US, times
+        assert max(times) - min(times) < 3 * SECOND_US, times
 
     def check_killed(self, args: list[str], named: dict[str, Any]) -> None:
         """killed OP N: tasks that the lease of their worker ended"""
-        assert COMPARE[args[0]](self.w().killed, int(args[1])), f"{self.w().killed} tasks killed by their lease"
+        assert COMPARE[args[0]](self.w().tasks_ended_by_lease, int(args[1])), (
+            f"{self.w().tasks_ended_by_lease} tasks killed by their lease"
+        )
 
     def check_machines(self, args: list[str], named: dict[str, Any]) -> None:
         """machines OP N: so many are rented now"""
@@ -163,7 +173,7 @@
 
     def check_kept_came(self, args: list[str], named: dict[str, Any]) -> None:
         """kept_came N: so many old heartbeats at least arrived as a shard got a leader"""
-        assert self.w().kept_delivered >= int(args[0]), self.w().kept_delivered
+        assert self.w().kept_heartbeats_delivered >= int(args[0]), self.w().kept_heartbeats_delivered
 
     def check_looked_per_report(self, args: list[str], named: dict[str, Any]) -> None:
         """looked_per_report OP N reports=LEAST: workers that placement looked at since `count`, for each heartbeat"""
@@ -187,5 +197,7 @@
 
     def check_since_at_most(self, args: list[str], named: dict[str, Any]) -> None:
         """since_at_most LEVEL T N: CPUs in use beneath it at every start after T"""
-        later = [used for at_us, used in self.w().checker.quota.cpu_history[args[0]] if at_us >= float(args[1]) * US]
+        later = [
+            used for at_us, used in self.w().checker.quota.cpu_history[args[0]] if at_us >= float(args[1]) * SECOND_US
+        ]
         assert later and max(later) <= float(args[2]), max(later)
