--- a/tests/test_quota_properties.py
+++ b/tests/test_quota_properties.py
@@ -6,9 +6,9 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from quinceslip.quota.harness import ShardHarness
 
 from quinceslip.quota.amounts import UNLIMITED
+from quinceslip.quota.harness import ShardHarness
 from quinceslip.quota.max_min import divide, divide_by_weight
 from quinceslip.quota.tree import Level, Tree
 
