--- a/tests/inputs.py
+++ b/tests/inputs.py
@@ -1,4 +1,4 @@
-"""Bad input, by name: settings, command line, frames, and what users and workers may send."""
+"""Invalid input by kind: settings, command line, frames, jobs and quota trees."""
 
 import json
 import os
@@ -56,7 +56,7 @@
     good = tmp / "good.toml"
     good.write_text(settings_text())
     assert load_settings(good).facts.size == 1
-    for old, new, named in (
+    for old, new, message in (
         ("rps = 150.0", "", "rps"),
         ("size = 1", 'size = "x"', "facts.size"),
         ("lease_s = 10.0", "lease_s = -1.0", "lease_s"),
@@ -64,8 +64,8 @@
         ('state = "127.0.0.1:4"', 'state = "nowhere"', "outside.state"),
         ("size = 1", "size = 3", "facts.size"),
         *(
-            ("[facts.cloud]", f"[facts.state.next]\n{wrong}\n[facts.cloud]", f"state.next.{named}")
-            for wrong, named in (
+            ("[facts.cloud]", f"[facts.state.next]\n{line}\n[facts.cloud]", f"state.next.{field}")
+            for line, field in (
                 ("rps = 0", "rps"),
                 ('write_rps = "x"', "write_rps"),
                 ("value_kb = -2.0", "value_kb"),
@@ -76,7 +76,7 @@
     ):
         bad = tmp / "bad.toml"
         bad.write_text(settings_text().replace(old, new, 1))
-        with pytest.raises(SettingsError, match=named):
+        with pytest.raises(SettingsError, match=message):
             load_settings(bad)
     assert load_settings(good).facts.state.lasting() == load_settings(good).facts.state
     for announced, lasting in (
@@ -88,14 +88,14 @@
     ini = tmp / "own.ini"
     ini.write_text("[quinceslip]\nload_record_s = 7\n")
     assert load_tuning(ini).load_record_s == 7.0
-    for text, named in (
+    for text, message in (
         ("[quinceslip]\nload_record_s = -1\n", "load_record_s = -1"),
         ("[quinceslip]\nsurprise = 1\n", "surprise = 1"),
         ("[other]\n", "other"),
         ("junk", "own.ini"),
     ):
         ini.write_text(text)
-        with pytest.raises(SettingsError, match=named):
+        with pytest.raises(SettingsError, match=message):
             load_tuning(ini)
 
 
@@ -110,13 +110,13 @@
     assert run().returncode == run("surprise").returncode == run("--config", "x").returncode == 2
     bad = tmp / "bad.toml"
     bad.write_text(settings_text().replace("lease_s = 10.0", ""))
-    found = run("run", "--config", str(bad))
-    assert found.returncode == 2 and "lease_s" in found.stderr and len(found.stderr.strip().splitlines()) == 1
+    result = run("run", "--config", str(bad))
+    assert result.returncode == 2 and "lease_s" in result.stderr and len(result.stderr.strip().splitlines()) == 1
     good = tmp / "good.toml"
     good.write_text(settings_text())
     assert run("check", "--config", str(good)).returncode == 0
     assert run("check", "--config", str(tmp / "none.toml")).returncode == 2
-    # What is off is not imported.
+    # Disabled subsystems are not imported.
     script = (
         "import sys; from pathlib import Path; from quinceslip import service, subsystems; "
         "from quinceslip.protocol.settings import load_settings, read_operator_file; "
@@ -156,7 +156,7 @@
     tree = load(TREE)
     assert isinstance(tree, Tree) and [tree.levels[i].name for i in tree.path("team")] == ["team", "member", "guild"]
     assert tree.by_name["team"].cap[0] == 16_000 and tree.by_name["other"].cap[2] == 8_000
-    for old, new, named in (
+    for old, new, message in (
         ("version = 1", "", r"\[quota\] version"),
         ("version = 1", "version = 1.5", "version = 1.5"),
         ("cpus = 6", "cpus = 11", r"\[quota member\] cpus = 11: .* over that of guild"),
@@ -179,11 +179,11 @@
         ("cpus = 4", "weight = 0", r"\[quota other\] weight = 0: must be a number"),
     ):
         assert old in TREE
-        with pytest.raises(SettingsError, match=named):
+        with pytest.raises(SettingsError, match=message):
             load(TREE.replace(old, new, 1))
     with pytest.raises(SettingsError, match="two parents"):
         load(TREE + "[quota team]\nparent = other\n")
-    assert load("") is not None  # the platform's limit of a team is a tree of its own
+    assert load("") is not None  # the platform's team limits form a tree by themselves
     from quinceslip.cli import main
 
     path.write_text(TREE)
@@ -217,12 +217,12 @@
     data = frames.pack_heartbeat(heartbeat)
     kind, length = frames.read_header(data[: frames.HEADER.size])
     assert kind == frames.KIND_HEARTBEAT and frames.read_heartbeat(data[frames.HEADER.size :]) == heartbeat and length
-    # A frame without strays is what it was before they were sent.
+    # A heartbeat without misrouted workers has the format of earlier versions, which did not send them.
     assert (
         len(data) - len(frames.pack_heartbeat(frames.PeerHeartbeat(heartbeat.label, True, 42, heartbeat.loads)))
         == frames.MISROUTED.size
     )
-    # What an earlier version told on of refusals is read past.
+    # The stockouts that an earlier version sends in its heartbeats are skipped.
     size = frames.HEADER.size + frames.HEARTBEAT.size
     older = bytearray(data[frames.HEADER.size :])
     older[frames.HEARTBEAT.size - 2 : frames.HEARTBEAT.size] = (1).to_bytes(2, "big")
@@ -235,10 +235,12 @@
     ]
     data_seen = frames.pack_observations(frames.PeerObservations("berth-1", seen))
     kind, length = frames.read_header(data_seen[: frames.HEADER.size])
-    told = frames.read_frame(kind, data_seen[frames.HEADER.size :])
-    assert length <= frames.MAX_PAYLOAD and isinstance(told, frames.PeerObservations)
+    decoded = frames.read_frame(kind, data_seen[frames.HEADER.size :])
+    assert length <= frames.MAX_PAYLOAD and isinstance(decoded, frames.PeerObservations)
     assert (
-        told.label == "berth-1" and told.observations == seen[: len(told.observations)] and len(told.observations) > 30
+        decoded.label == "berth-1"
+        and decoded.observations == seen[: len(decoded.observations)]
+        and len(decoded.observations) > 30
     )
     assert frames.read_frame(77, b"whatever a later version says") is None
     for body in (b"", data_seen[frames.HEADER.size : -1], b"\xff" * 40):
@@ -282,9 +284,9 @@
         decoder.decode(json.dumps(job_spec("req-000001")).replace('"vcpus": 2.0', '"vcpus": 1e999'))
 
 
-def bad_input(what: str) -> None:
+def bad_input(kind: str) -> None:
     import tempfile
 
     with tempfile.TemporaryDirectory() as folder:
-        judged = {"settings": _settings, "command": _command, "frames": _frames, "jobs": _jobs, "tree": _tree}
-        judged[what](Path(folder))
+        checks = {"settings": _settings, "command": _command, "frames": _frames, "jobs": _jobs, "tree": _tree}
+        checks[kind](Path(folder))
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""The tests that are known to fail for a fault that is not mended yet: `KNOWN-RED.txt` at the root.
+"""Tests that are known to fail because of an unfixed fault, listed in `KNOWN-RED.txt` at the root.
 
-A line names a test, the cause, the issue, the command that shows it, its seed and what was seen, separated by ` | `.
-A listed test must fail, and one that passes fails the run. The exception is an entry whose last field begins with
-`N of M runs`: its test fails only at times, so it may pass or fail, and the run prints which.
+Each line has the fields test, cause, issue, command to reproduce, seed and what was seen, separated by ` | `.
+A listed test must fail; if it passes, the run fails. The exception is an entry whose last field begins with
+`N of M runs`: its test is intermittent, so it may pass or fail, and the run prints the outcome.
 """
 
 import re
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """One test that is known to fail."""
+    """A test that is known to fail."""
 
     node_id: str
     cause: str
@@ -28,16 +28,16 @@
 
     @property
     def is_intermittent(self) -> bool:
-        """Whether it fails only at times."""
+        """Whether the test fails in some runs only."""
         return _RUNS.match(self.seen) is not None
 
 
 def parse_known_red(text: str) -> list[KnownRed]:
-    """Read the list; raises ValueError for a line that is not complete or not credible, and for a test listed twice."""
+    """Parse the list. Raises ValueError for an incomplete or implausible line, and for a test that is listed twice."""
     entries = [_parse_line(line) for line in text.splitlines() if line.strip()]
-    listed = [entry.node_id for entry in entries]
-    for node_id in listed:
-        if listed.count(node_id) > 1:
+    node_ids = [entry.node_id for entry in entries]
+    for node_id in node_ids:
+        if node_ids.count(node_id) > 1:
             raise ValueError(f"listed twice: {node_id}")
     return entries
 
@@ -56,5 +56,5 @@
 
 
 def known_red() -> list[KnownRed]:
-    """The list as it stands; empty where there is no file."""
+    """Read the current list; it is empty if there is no file."""
     return parse_known_red(KNOWN_RED_PATH.read_text(encoding="utf-8")) if KNOWN_RED_PATH.exists() else []
