--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Starts a real process on loopback, with stand-ins for the state service, cloud and one worker."""
+"""Runs a real process over loopback, with fakes of the state service, the cloud and one worker."""
 
 import http.client
 import json
@@ -19,16 +19,16 @@
 from tests.simulation.inputs import job_spec
 
 
-class Outside:
-    """State service and cloud in one, just enough of both."""
+class FakeServices:
+    """Minimal fake of the state service and the cloud behind one port."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.revision = 0
         self.data: dict[str, tuple[Any, int]] = {}
         self.history: list[dict[str, Any]] = []
-        self.worker: Worker | None = None  # the machine that is asked directly
-        outside = self
+        self.worker: FakeWorker | None = None  # the worker that receives direct calls
+        services = self
 
         class Handler(BaseHTTPRequestHandler):
             protocol_version = "HTTP/1.1"
@@ -39,14 +39,14 @@
             def serve(self) -> None:
                 length = int(self.headers.get("Content-Length") or 0)
                 body = json.loads(self.rfile.read(length)) if length else None
-                status, answer = outside.answer(self.path, body)
+                status, answer = services.answer(self.path, body)
                 data = json.dumps(answer).encode()
                 try:
                     self.send_response(status)
                     self.send_header("Content-Length", str(len(data)))
                     self.end_headers()
                     self.wfile.write(data)
-                except OSError:  # the process was ended while it waited
+                except OSError:  # the process was terminated before the answer
                     self.close_connection = True
 
             do_GET = do_POST = do_DELETE = serve
@@ -59,7 +59,7 @@
     def answer(self, path: str, body: Any) -> tuple[int, Any]:
         if path in ("/inspect", "/do"):
             assert self.worker is not None
-            return self.worker.asked(body)
+            return self.worker.handle_call(body)
         if path.startswith("/changes"):
             since = int(path.split("since=")[1].split("&")[0])
             for _ in range(20):
@@ -119,7 +119,7 @@
         return int(probe.getsockname()[1])
 
 
-def _ask(port: int, method: str, path: str, body: Any = None) -> tuple[int, Any]:
+def _request(port: int, method: str, path: str, body: Any = None) -> tuple[int, Any]:
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=6)
     try:
         data = body if isinstance(body, bytes) or body is None else json.dumps(body).encode()
@@ -131,21 +131,21 @@
         connection.close()
 
 
-def _wait(condition: Any, seconds: float = 20.0) -> None:
-    ends = time.monotonic() + seconds
+def _wait_for(condition: Any, seconds: float = 20.0) -> None:
+    deadline_s = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < ends, "nothing came of it in time"
+        assert time.monotonic() < deadline_s, "timed out waiting for the condition"
         time.sleep(0.1)
 
 
 def loopback() -> None:
-    outside = Outside()
+    services = FakeServices()
     port = _free_port()
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder) / "service.toml"
-        # So little memory that no more than 64 connections are served at once.
+        # The memory limit allows no more than 64 connections at a time.
         config.write_text(
-            settings_text(api=port, peer=_free_port(), cloud=outside.port, state=outside.port)
+            settings_text(api=port, peer=_free_port(), cloud=services.port, state=services.port)
             + "[facts.limits]\nmemory_mb = 45.0\nmax_sockets = 80\n"
         )
         tree = Path(folder) / "quotas.ini"
@@ -155,14 +155,14 @@
             env={**os.environ, "LOG_LEVEL": "error"},
         )
         try:
-            _serve(process, port, outside)
+            _serve(process, port, services)
         finally:
             process.send_signal(signal.SIGKILL)
             process.wait(10)
 
 
-#: a controller whose levels are never solved while a file is there
-NEVER_SOLVED = """
+#: runs a controller that never finishes solving the fair levels while a file exists
+STALLING_CONTROLLER = """
 import os, sys, threading
 sys.path[:0] = [{root!r}, {deps!r}]
 from quinceslip.coordination.load_balancing import queueing_model
@@ -178,104 +178,118 @@
 """
 
 
-def standstill() -> None:
-    """The actor of a real process stands still and is ended; a process that was only stopped is not."""
-    outside = Outside()
+def stalled_actor() -> None:
+    """A real process exits when its actor has stalled, but not after it was merely stopped by a signal."""
+    services = FakeServices()
     port = _free_port()
     with tempfile.TemporaryDirectory() as folder:
-        config, own, mark = Path(folder) / "service.toml", Path(folder) / "own.ini", Path(folder) / "mark"
-        lease_s, hold_s = 6.0, 2.0
+        config, operator_config, stall_file = (
+            Path(folder) / "service.toml",
+            Path(folder) / "own.ini",
+            Path(folder) / "mark",
+        )
+        lease_s, stall_limit_s = 6.0, 2.0
         config.write_text(
-            settings_text(api=port, peer=_free_port(), cloud=outside.port, state=outside.port).replace(
+            settings_text(api=port, peer=_free_port(), cloud=services.port, state=services.port).replace(
                 "lease_s = 10.0", f"lease_s = {lease_s}"
             )
         )
-        own.write_text("[quinceslip]\nbalance_period_s = 0.3\n")
+        operator_config.write_text("[quinceslip]\nbalance_period_s = 0.3\n")
         log = (Path(folder) / "log").open("wb")
-        script = NEVER_SOLVED.format(root=str(ROOT), deps=str(ROOT / "target" / "deps"), mark=str(mark))
+        script = STALLING_CONTROLLER.format(root=str(ROOT), deps=str(ROOT / "target" / "deps"), mark=str(stall_file))
 
         def start() -> subprocess.Popen[bytes]:
             return subprocess.Popen(
-                [sys.executable, "-c", script, "run", "--config", str(config), "--operator-config", str(own)],
+                [
+                    sys.executable,
+                    "-c",
+                    script,
+                    "run",
+                    "--config",
+                    str(config),
+                    "--operator-config",
+                    str(operator_config),
+                ],
                 env={**os.environ, "LOG_LEVEL": "info"},
                 stderr=log,
             )
 
         process = start()
         try:
-            worker = Worker(port, outside)
-            _wait(lambda: _ready(port))
-            worker.runs("req-000001")
-            # Stopped for less than the limit, and for more: each time it goes on as it was.
-            for stopped_s in (hold_s / 2, 2 * hold_s):
+            worker = FakeWorker(port, services)
+            _wait_for(lambda: _ready(port))
+            worker.run_job("req-000001")
+            # Stopped for less and for more than the stall limit: each time the process continues.
+            for stopped_s in (stall_limit_s / 2, 2 * stall_limit_s):
                 process.send_signal(signal.SIGSTOP)
                 time.sleep(stopped_s)
                 process.send_signal(signal.SIGCONT)
-                worker.runs(f"req-1{int(10 * stopped_s):05d}")
-            until = time.monotonic() + hold_s
+                worker.run_job(f"req-1{int(10 * stopped_s):05d}")
+            deadline_s = time.monotonic() + stall_limit_s
 
-            def heartbeats_until_then() -> bool:
+            def heartbeat_until_deadline() -> bool:
                 worker.heartbeat()
-                return time.monotonic() > until
+                return time.monotonic() > deadline_s
 
-            _wait(heartbeats_until_then)
+            _wait_for(heartbeat_until_deadline)
             assert process.poll() is None
-            # Now the actor stands still in earnest: ended with its own status, after the limit and two calls. (A
-            # machine that is busy gives it half the limit of processor time later.)
-            _wait(lambda: _ask(port, "POST", "/v1/jobs", job_spec("req-000002"))[0] in (200, 201))
-            mark.touch()
-            begun = time.monotonic()
+            # Now the actor really stalls: the process exits with its own status, after the limit and two calls. (On a
+            # busy machine it takes longer to use processor time of half the limit.)
+            _wait_for(lambda: _request(port, "POST", "/v1/jobs", job_spec("req-000002"))[0] in (200, 201))
+            stall_file.touch()
+            started_s = time.monotonic()
             status = process.wait(20)
-            took_s = time.monotonic() - begun
-            assert status == STATUS and hold_s <= took_s < hold_s + 8.0, (status, took_s)
-            # Whatever runs it starts it again. The same records are still there, and are not solved at once.
+            took_s = time.monotonic() - started_s
+            assert status == STATUS and stall_limit_s <= took_s < stall_limit_s + 8.0, (status, took_s)
+            # The process is restarted. The same load records still exist; solving the fair levels is suspended.
             process = start()
-            _wait(lambda: _ready(port))
-            worker.runs("req-000002")
-            worker.runs("req-000003")
+            _wait_for(lambda: _ready(port))
+            worker.run_job("req-000002")
+            worker.run_job("req-000003")
             assert process.poll() is None
-            mark.unlink()
-            # The pause over, the levels are solved again.
-            assert outside.data["q/standstill/berth-0"][0]["times"] == 1
-            _wait(lambda: "fair workload levels resumed" in (Path(folder) / "log").read_text(encoding="utf-8"))
-            assert time.monotonic() > begun + took_s + 2 * lease_s - 1.0
+            stall_file.unlink()
+            # After the pause, the levels are solved again.
+            assert services.data["q/standstill/berth-0"][0]["times"] == 1
+            _wait_for(lambda: "fair workload levels resumed" in (Path(folder) / "log").read_text(encoding="utf-8"))
+            assert time.monotonic() > started_s + took_s + 2 * lease_s - 1.0
             assert _ready(port) and process.poll() is None
-            # It stands still again, waiting for nothing now: the second time in a row.
-            mark.write_text("waits")
-            begun = time.monotonic()
+            # The actor stalls for the second time in a row, this time blocked without using processor time.
+            stall_file.write_text("waits")
+            started_s = time.monotonic()
             status = process.wait(20)
-            assert status == STATUS and hold_s <= time.monotonic() - begun < hold_s + 8.0, status
-            assert outside.data["q/standstill/berth-0"][0]["times"] == 2
+            assert status == STATUS and stall_limit_s <= time.monotonic() - started_s < stall_limit_s + 8.0, status
+            assert services.data["q/standstill/berth-0"][0]["times"] == 2
         finally:
             process.send_signal(signal.SIGKILL)
             process.wait(10)
             log.close()
-        said = (Path(folder) / "log").read_text(encoding="utf-8")
-        assert said.count("the actor stands still: it has worked for ") == 1, said[-2000:]
-        assert said.count("the actor stands still: it waits at one place") == 1, said[-2000:]
-        assert "(levels), at" in said and ", in fair_levels" in said and "most recent call first" in said
-        assert said.count("fair workload levels suspended") == 1 and said.count("fair workload levels resumed") == 1, (
-            said[-2000:]
-        )
+        log_text = (Path(folder) / "log").read_text(encoding="utf-8")
+        assert log_text.count("the actor stands still: it has worked for ") == 1, log_text[-2000:]
+        assert log_text.count("the actor stands still: it waits at one place") == 1, log_text[-2000:]
+        assert "(levels), at" in log_text and ", in fair_levels" in log_text and "most recent call first" in log_text
+        assert (
+            log_text.count("fair workload levels suspended") == 1
+            and log_text.count("fair workload levels resumed") == 1
+        ), log_text[-2000:]
 
 
 def _ready(port: int) -> bool:
     try:
-        return _ask(port, "GET", "/ready")[0] == 200
+        return _request(port, "GET", "/ready")[0] == 200
     except OSError:
         return False
 
 
-class Worker:
-    """One machine that reports, answers when it is asked, and is done with each task at once."""
+class FakeWorker:
+    """A fake worker that sends heartbeats, answers direct calls and completes each task immediately."""
 
-    def __init__(self, port: int, outside: Outside) -> None:
+    def __init__(self, port: int, services: FakeServices) -> None:
         self.port = port
-        self.endpoint = f"127.0.0.1:{outside.port}"
+        self.endpoint = f"127.0.0.1:{services.port}"
         self.lock = threading.Lock()
         self.tasks: list[dict[str, Any]] = []
         self.tick = self.baton = 0
-        outside.worker = self
+        services.worker = self
 
     def state(self) -> dict[str, Any]:
         with self.lock:
@@ -293,7 +307,7 @@
                 "picks": list(self.tasks),
             }
 
-    def obey(self, answer: dict[str, Any]) -> None:
+    def apply_orders(self, answer: dict[str, Any]) -> None:
         with self.lock:
             if answer["baton"] < self.baton:
                 return
@@ -304,73 +318,75 @@
                 elif order["verb"] == "reap":
                     self.tasks = [t for t in self.tasks if t["pick"] != order["pick"]]
 
-    def asked(self, body: Any) -> tuple[int, Any]:
-        """`/inspect`, or `/do` with its orders."""
+    def handle_call(self, body: Any) -> tuple[int, Any]:
+        """Handle `/inspect`, or `/do` with its orders."""
         if body is not None:
-            self.obey(body)
+            self.apply_orders(body)
         return 200, self.state()
 
     def heartbeat(self) -> None:
         try:
-            status, answer = _ask(self.port, "POST", "/hello", self.state())
+            status, answer = _request(self.port, "POST", "/hello", self.state())
         except OSError:
             return
         if status == 200:
-            self.obey(answer)
+            self.apply_orders(answer)
 
-    def runs(self, job_id: str) -> None:
-        """Submit a job, report until it is done."""
-        _wait(lambda: _ask(self.port, "POST", "/v1/jobs", job_spec(job_id))[0] in (200, 201))
+    def run_job(self, job_id: str) -> None:
+        """Submit a job, and send heartbeats until it is done."""
+        _wait_for(lambda: _request(self.port, "POST", "/v1/jobs", job_spec(job_id))[0] in (200, 201))
 
         def done() -> bool:
             self.heartbeat()
-            return bool(_ask(self.port, "GET", f"/v1/jobs/{job_id}")[1].get("status") == "done")
+            return bool(_request(self.port, "GET", f"/v1/jobs/{job_id}")[1].get("status") == "done")
 
-        _wait(done)
+        _wait_for(done)
 
 
-def _serve(process: subprocess.Popen[bytes], port: int, outside: Outside) -> None:
-    _wait(lambda: _ready(port))
+def _serve(process: subprocess.Popen[bytes], port: int, services: FakeServices) -> None:
+    _wait_for(lambda: _ready(port))
     job_id = "req-000007"
     spec = job_spec(job_id)
-    _wait(lambda: _ask(port, "POST", "/v1/jobs", spec)[0] in (200, 201))
-    assert _ask(port, "POST", "/v1/jobs", {**spec, "picks": 9})[0] == 200
-    assert _ask(port, "POST", "/v1/jobs", b"{")[0] == 400
-    assert _ask(port, "POST", "/v1/jobs", b"[1]")[0] == 400
-    assert _ask(port, "POST", "/v1/jobs", job_spec("req-000008", crew="nobody"))[0] == 422
-    assert _ask(port, "POST", "/v1/jobs", job_spec("req-000009", vcpus=99.0))[0] == 422
-    assert _ask(port, "GET", "/v1/jobs/req-000404")[0] == 404
-    assert _ask(port, "GET", "/elsewhere")[0] == 404
-    assert "over the limit of guild" in _ask(port, "POST", "/v1/jobs", job_spec("req-000010", vcpus=9.0))[1]["error"]
-    assert _ask(port, "DELETE", f"/v1/jobs/{job_id}")[0] == 405
-    assert _ask(port, "PUT", "/hello", b"{}")[0] == 405
-    assert _ask(port, "POST", "/hello", b'{"berth":3}')[0] == 400
+    _wait_for(lambda: _request(port, "POST", "/v1/jobs", spec)[0] in (200, 201))
+    assert _request(port, "POST", "/v1/jobs", {**spec, "picks": 9})[0] == 200
+    assert _request(port, "POST", "/v1/jobs", b"{")[0] == 400
+    assert _request(port, "POST", "/v1/jobs", b"[1]")[0] == 400
+    assert _request(port, "POST", "/v1/jobs", job_spec("req-000008", crew="nobody"))[0] == 422
+    assert _request(port, "POST", "/v1/jobs", job_spec("req-000009", vcpus=99.0))[0] == 422
+    assert _request(port, "GET", "/v1/jobs/req-000404")[0] == 404
+    assert _request(port, "GET", "/elsewhere")[0] == 404
+    assert (
+        "over the limit of guild" in _request(port, "POST", "/v1/jobs", job_spec("req-000010", vcpus=9.0))[1]["error"]
+    )
+    assert _request(port, "DELETE", f"/v1/jobs/{job_id}")[0] == 405
+    assert _request(port, "PUT", "/hello", b"{}")[0] == 405
+    assert _request(port, "POST", "/hello", b'{"berth":3}')[0] == 400
     nowhere = b'{"berth":"n-1","endpoint":"nowhere","build":"m","yard":"a","stint":1,"tick":1,"baton":0}'
-    assert _ask(port, "POST", "/hello", nowhere)[0] == 400
+    assert _request(port, "POST", "/hello", nowhere)[0] == 400
     with socket.create_connection(("127.0.0.1", port), timeout=5) as large:
         large.sendall(b"POST /v1/jobs HTTP/1.1\r\nContent-Length: 9000000\r\n\r\n")
-        assert b" 413 " in large.recv(200)  # refused before the body is sent
+        assert b" 413 " in large.recv(200)  # rejected before the body is sent
     for body in (b"", b"\xff\xfe", b"null", b'{"uid":' * 500, b'{"uid":"req-1","picks":1e999}') * 20:
-        assert _ask(port, "POST", "/v1/jobs", body)[0] == 400
-    # More half-open and slow clients than the process has connections for, while the others are served:
-    # the one that has been quiet longest is closed, never a worker's.
-    slow = []
+        assert _request(port, "POST", "/v1/jobs", body)[0] == 400
+    # More half-open and slow clients than the process has connections for. The others are still served: the
+    # connection that has been idle longest is closed, but never one of a worker.
+    slow_clients = []
     for _ in range(100):
         connection = socket.create_connection(("127.0.0.1", port), timeout=5)
         connection.sendall(b"POST /hello HTTP/1.1\r\nContent-Le")
-        slow.append(connection)
-    # A worker appears, is told to launch the task, and reports it done.
-    Worker(port, outside).runs(job_id)
-    assert _ask(port, "GET", f"/v1/jobs/{job_id}")[1]["status"] == "done"
-    assert _ask(port, "POST", f"/v1/jobs/{job_id}/cancel")[1]["status"] == "done"
-    shown = subprocess.run(
+        slow_clients.append(connection)
+    # A worker connects, is ordered to launch the task, and reports it as done.
+    FakeWorker(port, services).run_job(job_id)
+    assert _request(port, "GET", f"/v1/jobs/{job_id}")[1]["status"] == "done"
+    assert _request(port, "POST", f"/v1/jobs/{job_id}/cancel")[1]["status"] == "done"
+    output = subprocess.run(
         [sys.executable, str(ROOT / "run.py"), "quota", "show", "--from", f"127.0.0.1:{port}", "--json"],
         capture_output=True,
         check=True,
         timeout=30,
     ).stdout
-    guild = json.loads(shown)["levels"][0]
+    guild = json.loads(output)["levels"][0]
     assert guild["level"] == "guild" and guild["cap"] == {"cpus": 8.0} and guild["held"], guild
-    for connection in slow:
+    for connection in slow_clients:
         connection.close()
     assert process.poll() is None
--- a/tests/scenario/breaches.py
+++ b/tests/scenario/breaches.py
@@ -1,4 +1,4 @@
-"""Lines that tell the checker of events directly, to show that it catches a breach of each rule."""
+"""Lines that report events directly to the checker, to show that it detects a breach of each rule."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -11,34 +11,38 @@
 
 @dataclass
 class WorkerStub:
-    """What the checker reads of a worker when a task starts there; it takes part in nothing else."""
+    """The attributes of a worker that the checker reads when a task starts there; it takes no other part in the run."""
 
     name: str
     host: dict[str, Any]
 
 
-class BreachVerbs(WorldSetup):
-    """Lines `breach EVENT ...`: an event that never happened in the world, reported to the checker."""
+class InjectionVerbs(WorldSetup):
+    """Lines `inject EVENT ...`: report an event to the checker that never happened in the simulated world."""
 
-    def do_breach(self, plain: list[str], named: dict[str, Any]) -> None:
-        """breach EVENT ...: job, on, off, complete, asks, ask, odd, asked_ago, trouble, wait, or an answer to a user"""
+    def do_inject(self, plain: list[str], named: dict[str, Any]) -> None:
+        """inject EVENT ...: report an event, or with `submitted`, `polled` or `cancelled` an answer to a user
+
+        The other events: job, task_started, task_stopped, task_completed, submission_attempted, request_age,
+        cancellation_requested, irregular_submission, fault, time_passed.
+        """
         if self.world is None:
             self.do_run(["0"], {})
         event, rest = plain[0], plain[1:]
         if event in ("submitted", "polled", "cancelled"):
-            self._breach_answer(event, rest)
+            self._inject_answer(event, rest)
         else:
-            getattr(self, f"_breach_{event}")(rest, named)
+            getattr(self, f"_inject_{event}")(rest, named)
 
     @property
     def _checker(self) -> Checker:
         return self.w().checker
 
-    def _breach_job(self, args: list[str], named: dict[str, Any]) -> None:
+    def _inject_job(self, args: list[str], named: dict[str, Any]) -> None:
         given = {key: str(v).split(",") if key in ("builds", "waitsOn") else v for key, v in named.items()}
         self.w().jobs[args[0]] = job_spec(args[0], **given)
 
-    def _breach_on(self, args: list[str], named: dict[str, Any]) -> None:
+    def _inject_task_started(self, args: list[str], named: dict[str, Any]) -> None:
         host = {
             "build": named.get("type", "m"),
             "yard": named.get("zone", "a"),
@@ -48,31 +52,31 @@
         self.w().workers[args[1]] = worker
         self._checker.machines.task_started(args[0], worker)
 
-    def _breach_off(self, args: list[str], named: dict[str, Any]) -> None:
+    def _inject_task_stopped(self, args: list[str], named: dict[str, Any]) -> None:
         self._checker.machines.task_stopped(args[0], args[1])
 
-    def _breach_complete(self, args: list[str], named: dict[str, Any]) -> None:
+    def _inject_task_completed(self, args: list[str], named: dict[str, Any]) -> None:
         self._checker.observed.completed.add(args[0])
 
-    def _breach_asks(self, args: list[str], named: dict[str, Any]) -> None:
+    def _inject_submission_attempted(self, args: list[str], named: dict[str, Any]) -> None:
         self._checker.submission_attempted(args[0])
 
-    def _breach_ask(self, args: list[str], named: dict[str, Any]) -> None:
+    def _inject_cancellation_requested(self, args: list[str], named: dict[str, Any]) -> None:
         self._checker.cancellation_requested(args[0])
 
-    def _breach_odd(self, args: list[str], named: dict[str, Any]) -> None:
+    def _inject_irregular_submission(self, args: list[str], named: dict[str, Any]) -> None:
         self.w().odd[args[0]] = {}
 
-    def _breach_asked_ago(self, args: list[str], named: dict[str, Any]) -> None:
+    def _inject_request_age(self, args: list[str], named: dict[str, Any]) -> None:
         self._checker.answers.request_sent_us = self.w().now_us - int(float(args[0]) * US)
 
-    def _breach_trouble(self, args: list[str], named: dict[str, Any]) -> None:
+    def _inject_fault(self, args: list[str], named: dict[str, Any]) -> None:
         self.w().trouble(float(args[0]))
 
-    def _breach_wait(self, args: list[str], named: dict[str, Any]) -> None:
+    def _inject_time_passed(self, args: list[str], named: dict[str, Any]) -> None:
         self.w().now_us += int(float(args[0]) * US)
 
-    def _breach_answer(self, event: str, args: list[str]) -> None:
+    def _inject_answer(self, event: str, args: list[str]) -> None:
         handlers = {
             "submitted": self._checker.answers.submission_answered,
             "polled": self._checker.answers.poll_answered,
--- a/tests/scenario/components.py
+++ b/tests/scenario/components.py
@@ -1,4 +1,4 @@
-"""Lines that check one component by itself, without a world."""
+"""Lines that check a single component, without a simulated world."""
 
 import tracemalloc
 from typing import Any
@@ -20,16 +20,16 @@
 from tests.inputs import ROOT, bad_input
 from tests.loopback import loopback
 from tests.scenario.state import RunnerState
-from tests.scenario.tools import unbounded
+from tests.scenario.tools import undocumented_loops
 from tests.simulation.clock import US
 from tests.simulation.inputs import job_spec
 
 
 class ComponentChecks(RunnerState):
-    """Lines that check one component by itself, without a world."""
+    """Lines that check a single component, without a simulated world."""
 
-    def do_set(self, plain: list[str], named: dict[str, Any]) -> None:
-        """set TEXT size=N: a stored set of tasks is read, and written as it was; odd numbers stay short"""
+    def do_task_set(self, plain: list[str], named: dict[str, Any]) -> None:
+        """task_set TEXT size=N: a stored set of tasks survives a round trip; a set of all odd numbers stays short"""
         numbers = task_sets.decode(plain[0])
         assert len(numbers) == named["size"]
         assert task_sets.decode(task_sets.encode(numbers)) == numbers
@@ -37,8 +37,8 @@
         assert task_sets.decode(task_sets.encode(odd)) == odd
         assert len(task_sets.encode(odd)) < 16_000
 
-    def do_foresee(self, plain: list[str], named: dict[str, Any]) -> None:
-        """foresee CPUS_PER_S NAME:tasks:estimate:due,... late=NAME,...: jobs of 2 CPUs that are put back"""
+    def do_deadline_order(self, plain: list[str], named: dict[str, Any]) -> None:
+        """deadline_order CPUS_PER_S NAME:tasks:estimate:due,... late=NAME,...: which jobs of 2 CPUs are late"""
         partitions = []
         for place, part in enumerate(plain[1].split(",")):
             name, tasks, estimate, due = part.split(":")
@@ -48,19 +48,19 @@
                 partition.pending.push(index)
             partitions.append(partition)
         order_by_deadline(partitions, float(plain[0]), 0)
-        found = {c.job_id for c in partitions if c.missed_due_times}
-        assert found == set(str(named.get("late", "")).split(",")) - {""}, found
+        late = {p.job_id for p in partitions if p.missed_due_times}
+        assert late == set(str(named.get("late", "")).split(",")) - {""}, late
 
-    def do_urgency(self, plain: list[str], named: dict[str, Any]) -> None:
-        """urgency NAME...: calls to the key-value store come out in the order of their urgency"""
+    def do_call_order(self, plain: list[str], named: dict[str, Any]) -> None:
+        """call_order URGENCY...: queued calls to the key-value store are sent in order of urgency"""
         pool = Pool("test", 0, lambda answer: True, Budget(1000.0, 1000.0, 1))
         for number, name in enumerate(plain):
             pool.submit(Call("", number, "POST", "/txn", None, 5_000_000, 1, Urgency[name]), "10.0.0.1:1")
-        out = [pool._next()[3].urgency for _ in plain]
-        assert out == sorted(out), out
+        sent = [pool._next()[3].urgency for _ in plain]
+        assert sent == sorted(sent), sent
 
-    def do_budget(self, plain: list[str], named: dict[str, Any]) -> None:
-        """budget SIZE: refusals shrink a controller's share, but never below an equal part"""
+    def do_call_budget(self, plain: list[str], named: dict[str, Any]) -> None:
+        """call_budget SIZE: refusals reduce a controller's share of the call budget, but never below an equal share"""
         budget = Budget(100.0, 20.0, int(plain[0]))
         for _ in range(40):
             budget.cut_us = 0
@@ -68,7 +68,7 @@
         assert budget.share == pytest.approx(1 / int(plain[0]))
 
     def do_memory_per_job(self, plain: list[str], named: dict[str, Any]) -> None:
-        """memory_per_job BYTES: what a view keeps of a job that is over"""
+        """memory_per_job BYTES: upper bound of the memory that the store cache uses for each finished job"""
         cache, count = StoreCache(), 5000
         raw = msgspec.Raw(msgspec.json.encode(JobRecord("done", 40, done=40)))
         tracemalloc.start()
@@ -79,26 +79,26 @@
         assert len(cache.by_kind["job"]) == count and used < float(plain[0]), used
 
     def do_bounded_loops(self, plain: list[str], named: dict[str, Any]) -> None:
-        """bounded_loops PATTERN... [!PATTERN...]: each `while` and each function that calls itself says what bounds it
+        """bounded_loops PATTERN... [!PATTERN...]: each `while` loop and recursive function documents its bound
 
         A pattern that matches no file fails, so that moved files stay checked.
         """
         package = ROOT / "quinceslip"
         matches = {pattern: set(package.glob(pattern.lstrip("!"))) for pattern in plain}
         assert all(matches.values()), f"no file matches {[pattern for pattern, paths in matches.items() if not paths]}"
-        left_out = set().union(*(paths for pattern, paths in matches.items() if pattern.startswith("!")))
-        for path in sorted(set().union(*matches.values()) - left_out):
+        excluded = set().union(*(paths for pattern, paths in matches.items() if pattern.startswith("!")))
+        for path in sorted(set().union(*matches.values()) - excluded):
             text = path.read_text(encoding="utf-8")
-            loops = unbounded(text)
-            assert not loops, f"{path.relative_to(package)}: no bound is said at {loops}"
-        assert unbounded("x = 1\nwhile x:\n    x += 1\n") == [2]
-        assert unbounded("def f(x):\n    return f(x)\n") == [1]
-        assert unbounded("# Bound: x falls.\nwhile x:\n    x -= 1\n") == []
+            loops = undocumented_loops(text)
+            assert not loops, f"{path.relative_to(package)}: no bound is documented at lines {loops}"
+        assert undocumented_loops("x = 1\nwhile x:\n    x += 1\n") == [2]
+        assert undocumented_loops("def f(x):\n    return f(x)\n") == [1]
+        assert undocumented_loops("# Bound: x falls.\nwhile x:\n    x -= 1\n") == []
 
-    def do_input(self, plain: list[str], named: dict[str, Any]) -> None:
-        """input NAME: bad input of that kind is refused as it must be (tests/inputs.py)"""
+    def do_bad_input(self, plain: list[str], named: dict[str, Any]) -> None:
+        """bad_input KIND: invalid input of that kind is rejected (tests/inputs.py)"""
         bad_input(plain[0])
 
     def do_loopback(self, plain: list[str], named: dict[str, Any]) -> None:
-        """loopback: one controller over real sockets (tests/loopback.py)"""
+        """loopback: run one controller over real sockets (tests/loopback.py)"""
         loopback()
--- a/tests/scenario/controllers.py
+++ b/tests/scenario/controllers.py
@@ -1,4 +1,4 @@
-"""What happens to controllers, and what is expected of them."""
+"""Verbs for faults of controllers and the state expected of them."""
 
 from typing import Any
 
@@ -14,45 +14,45 @@
 
 
 class ControllerVerbs(RunnerState):
-    """What happens to controllers, and what is expected of them."""
+    """Verbs for faults of controllers and the state expected of them."""
 
     def on_crash(self, args: list[str], named: dict[str, Any]) -> None:
-        """crash NAME... [back=S]: processes end, and start again after some seconds."""
-        self.w().trouble(named.get("back", 0))
+        """crash NAME... [restart_after=S]: terminate the processes, and restart them after that time"""
+        self.w().trouble(named.get("restart_after", 0))
         for name in args:
             host = self.w().controllers[name]
             host.crash()
-            if "back" in named:
-                self.w().after(named["back"] * US, host.start)
+            if "restart_after" in named:
+                self.w().after(named["restart_after"] * US, host.start)
 
-    def on_upgrade(self, args: list[str], named: dict[str, Any], old: bool = False) -> None:
-        """upgrade NAME... back=S: processes end, and come back with this version"""
+    def on_upgrade(self, args: list[str], named: dict[str, Any], previous_version: bool = False) -> None:
+        """upgrade NAME... restart_after=S: terminate the processes, and restart them with this version"""
         for name in args:
-            self.w().controllers[name].runs_previous_version = old
+            self.w().controllers[name].runs_previous_version = previous_version
         self.on_crash(args, named)
 
     def on_downgrade(self, args: list[str], named: dict[str, Any]) -> None:
-        """downgrade NAME... back=S: processes end, and come back with the version before"""
-        self.on_upgrade(args, named, old=True)
+        """downgrade NAME... restart_after=S: terminate the processes, and restart them with the previous version"""
+        self.on_upgrade(args, named, previous_version=True)
 
     def on_start(self, args: list[str], named: dict[str, Any]) -> None:
-        """start NAME: the process starts, unless it is up"""
+        """start NAME: start the process, unless it is running"""
         self.w().controllers[args[0]].start()
 
     def on_hang_watch(self, args: list[str], named: dict[str, Any]) -> None:
-        """hang_watch NAME S: a controller's watch brings nothing, while its other calls are answered."""
+        """hang_watch NAME S: the controller's watch delivers nothing, while its other calls are answered"""
         self.w().controllers[args[0]].store.watch_hung_until_us = self.w().trouble(float(args[1]))
 
-    def on_deaf(self, args: list[str], named: dict[str, Any]) -> None:
-        """deaf NAME S [in]: no frames to or from its peers; with `in`, none to it, while its own arrive."""
+    def on_partition_peers(self, args: list[str], named: dict[str, Any]) -> None:
+        """partition_peers NAME S [inbound]: drop frames to and from its peers; with `inbound`, only those sent to it"""
         host, until_us = self.w().controllers[args[0]], self.w().trouble(float(args[1]))
-        if "in" in args:
+        if "inbound" in args:
             host.peers_unheard_until_us = until_us
         else:
             host.peers_cut_until_us = until_us
 
     def on_isolate(self, args: list[str], named: dict[str, Any]) -> None:
-        """isolate NAME S held|refused|reset: it loses the key-value store and its peers, but not its workers."""
+        """isolate NAME S held|refused|reset: cut it off from the key-value store and its peers, but not its workers"""
         host, until_us = self.w().controllers[args[0]], self.w().trouble(float(args[1]))
         host.peers_cut_until_us = until_us
         if args[2] == "refused":
@@ -60,22 +60,22 @@
         else:
             host.store.cut = StoreCut(until_us, args[2])
 
-    def on_cut_state(self, args: list[str], named: dict[str, Any]) -> None:
-        """cut_state NAME S held|refused|reset: it loses the key-value store alone, keeps peers, workers and users"""
+    def on_partition_store(self, args: list[str], named: dict[str, Any]) -> None:
+        """partition_store NAME S held|refused|reset: cut it off from the key-value store only"""
         until_us = self.w().trouble(float(args[1]))
         if args[2] == "refused":
             self.w().store.refused[args[0]] = until_us
         else:
             self.w().controllers[args[0]].store.cut = StoreCut(until_us, args[2])
 
-    def on_cut_workers(self, args: list[str], named: dict[str, Any]) -> None:
-        """cut_workers NAME S [zone=Z]: nothing passes between a controller and any worker, or those of a zone."""
+    def on_partition_workers(self, args: list[str], named: dict[str, Any]) -> None:
+        """partition_workers NAME S [zone=Z]: block traffic between a controller and all workers, or those of a zone"""
         self.w().controllers[args[0]].workers.cut = WorkerCut(
             self.w().trouble(float(args[1])), str(named.get("zone", ""))
         )
 
-    def on_load_told(self, args: list[str], named: dict[str, Any]) -> None:
-        """load_told NAME SHARD,... slots=N rate=R: a peer's frame tells every other controller so; twice a second"""
+    def on_inject_peer_load(self, args: list[str], named: dict[str, Any]) -> None:
+        """inject_peer_load NAME SHARD,... slots=N rate=R: send this load to all others as NAME, twice a second"""
         loads = [
             ShardLoad(int(shard), 0, named.get("slots", 8), 0, float(named.get("rate", 0.1)), [0, 0])
             for shard in args[1].split(",")
@@ -84,24 +84,24 @@
         for host in self.w().controllers.values():
             if host.label != args[0]:
                 host.deliver(PeerFrameReceived(read_heartbeat(body)))
-        self.w().after(US // 2, lambda: self.on_load_told(args, named))
+        self.w().after(US // 2, lambda: self.on_inject_peer_load(args, named))
 
-    def check_levels(self, args: list[str], named: dict[str, Any]) -> None:
-        """levels SHARD OP N: at every controller that is up"""
-        up = [h.actor.load_balancer for h in self.w().controllers.values() if h.actor is not None]
-        found = [load_balancer.levels.get(int(args[0])) for load_balancer in up]
-        assert all(set(load_balancer.levels) <= set(range(self.facts["size"])) for load_balancer in up)
-        assert found and all(n is not None and COMPARE[args[1]](n, int(args[2])) for n in found), found
+    def check_fair_level(self, args: list[str], named: dict[str, Any]) -> None:
+        """fair_level SHARD OP N: the fair workload level of that shard at every running controller"""
+        load_balancers = [h.actor.load_balancer for h in self.w().controllers.values() if h.actor is not None]
+        levels = [load_balancer.levels.get(int(args[0])) for load_balancer in load_balancers]
+        assert all(set(load_balancer.levels) <= set(range(self.facts["size"])) for load_balancer in load_balancers)
+        assert levels and all(n is not None and COMPARE[args[1]](n, int(args[2])) for n in levels), levels
 
     def check_least_loaded(self, args: list[str], named: dict[str, Any]) -> None:
-        """least_loaded NAME not SHARD: where that controller sends a job while no shard is below its level"""
+        """least_loaded NAME not SHARD: without fair levels, that controller assigns a new job to another shard"""
         node = self.w().controllers[args[0]].actor
         assert node is not None
         node.load_balancer.levels = {}
         assert node.load_balancer.shard_for_new_job() not in (None, int(args[2]))
 
     def check_gate(self, args: list[str], named: dict[str, Any]) -> None:
-        """gate open|shut: at all controllers of this version that are up"""
+        """gate open|closed: the pipelines feature gate at all running controllers of this version"""
         found = {
             h.label: h.actor.ctx.feature_active(PIPELINES)
             for h in self.w().controllers.values()
@@ -110,35 +110,35 @@
         assert found and set(found.values()) == {args[0] == "open"}, found
 
     def check_ready(self, args: list[str], named: dict[str, Any]) -> None:
-        """ready NAME true|false, now"""
+        """ready NAME true|false: whether the controller reports readiness now"""
         node = self.w().controllers[args[0]].actor
         assert node is not None
         node.ctx.now_us = self.w().now_us
         assert node.ready() is (args[1] == "true")
 
     def check_terms(self, args: list[str], named: dict[str, Any]) -> None:
-        """terms OP N: shards got a leader so often"""
+        """terms OP N: leadership terms that have begun, over all shards"""
         count = self.w().store.data["q/term"][0]["term"]
         assert COMPARE[args[0]](count, int(args[1])), f"{count} terms"
 
-    def check_told_something(self, args: list[str], named: dict[str, Any]) -> None:
-        """told_something: stockouts were observed and passed on, misrouted workers and wants recorded"""
+    def check_observations_shared(self, args: list[str], named: dict[str, Any]) -> None:
+        """observations_shared: stockouts were observed and sent to peers; misrouted workers and demand were recorded"""
         kinds = {e.get("write", "").split("/")[1] for e in self.w().store.history if "write" in e}
         assert {"stray", "want", "load"} <= kinds, kinds
-        known = [
+        observations = [
             h.actor.autoscaler.capacity.all_observations() for h in self.w().controllers.values() if h.actor is not None
         ]
-        assert any(len(cache) > 1 and any(cache.values()) for cache in known), known
+        assert any(len(cache) > 1 and any(cache.values()) for cache in observations), observations
 
-    def check_died_out(self, args: list[str], named: dict[str, Any]) -> None:
-        """died_out: no observation of the past is passed on or counted any more, at any controller"""
+    def check_observations_expired(self, args: list[str], named: dict[str, Any]) -> None:
+        """observations_expired: no controller sends or counts outdated observations any more"""
         world = self.w()
         for host in world.controllers.values():
             node = host.actor
             assert node is not None
-            supply = node.autoscaler.capacity
-            assert not supply.own_observations(world.now_us)
-            assert not any(supply.is_backing_off(kind, world.now_us) for kind in list(supply.backoffs))
+            capacity = node.autoscaler.capacity
+            assert not capacity.own_observations(world.now_us)
+            assert not any(capacity.is_backing_off(kind, world.now_us) for kind in list(capacity.backoffs))
             assert not node.connectivity.misrouted.counts() and not any(
                 node.connectivity.misrouted.recorded_by_peers(s) for s in range(self.facts["size"])
             )
@@ -148,10 +148,10 @@
                 for shard in other.actor.shards.values() if other.actor is not None and other is not host else ():
                     assert abs(loads[shard.index].free_slots - shard.free_slots()) <= 8, (loads, shard.free_slots())
                     assert abs(loads[shard.index].quick_service_cpus - shard.quick_room()) <= 16
-        left = [key for key in world.store.data if key.split("/")[1] in ("want", "stray", "hire", "standstill")]
-        assert not left, left
+        remaining = [key for key in world.store.data if key.split("/")[1] in ("want", "stray", "hire", "standstill")]
+        assert not remaining, remaining
 
-    def check_roster(self, args: list[str], named: dict[str, Any]) -> None:
-        """roster: the machine registry has as many records as the cloud has machines"""
+    def check_registry_matches_cloud(self, args: list[str], named: dict[str, Any]) -> None:
+        """registry_matches_cloud: the machine registry has as many records as the cloud has machines"""
         machine_records = [k for k in self.w().store.data if k.startswith("q/roster/")]
         assert len(machine_records) == len(self.w().cloud.machines), (machine_records, list(self.w().cloud.machines))
--- a/tests/scenario/fields.py
+++ b/tests/scenario/fields.py
@@ -1,11 +1,11 @@
-"""The `name=value` words of a scenario line."""
+"""The options (`name=value` words) of a scenario line."""
 
 from collections.abc import Iterator
 from typing import Any
 
 
 def value(text: str) -> Any:
-    """A word of a line as a boolean, a number or text."""
+    """Parse a word of a line as a boolean, a number or text."""
     if text in ("true", "false"):
         return text == "true"
     for kind in (int, float):
@@ -16,41 +16,41 @@
     return text
 
 
-class Fields(dict[str, Any]):
-    """The `name=value` words of a line; one that its verb never looks at is an error, not ignored."""
+class Options(dict[str, Any]):
+    """The options of a line. It records which ones the verb reads, so that an unknown option is an error."""
 
     def __init__(self, given: dict[str, Any]) -> None:
         super().__init__(given)
-        self.left = set(given)
+        self.unused = set(given)
 
     def __getitem__(self, key: str) -> Any:
-        self.left.discard(key)
+        self.unused.discard(key)
         return super().__getitem__(key)
 
     def get(self, key: str, default: Any = None) -> Any:
-        """The value of a field, which is used by this."""
-        self.left.discard(key)
+        """Return the value of an option, and mark it as used."""
+        self.unused.discard(key)
         return super().get(key, default)
 
     def pop(self, key: str, *default: Any) -> Any:
-        """The value of a field, which is used by this and gone."""
-        self.left.discard(key)
+        """Remove an option and return its value."""
+        self.unused.discard(key)
         return super().pop(key, *default)
 
     def __contains__(self, key: object) -> bool:
-        self.left.discard(str(key))
+        self.unused.discard(str(key))
         return super().__contains__(key)
 
     def items(self) -> Any:
-        """All fields, which are used by this."""
-        self.left.clear()
+        """Return all options, and mark them as used."""
+        self.unused.clear()
         return super().items()
 
     def __iter__(self) -> Iterator[str]:
-        self.left.clear()
+        self.unused.clear()
         return super().__iter__()
 
     def keys(self) -> Any:
-        """The names of all fields, which are used by this."""
-        self.left.clear()
+        """Return the names of all options, and mark them as used."""
+        self.unused.clear()
         return super().keys()
--- a/tests/scenario/liveness_checks.py
+++ b/tests/scenario/liveness_checks.py
@@ -1,4 +1,4 @@
-"""Lines that check how a process judges that its actor stands still, and what it does then."""
+"""Lines that check how a process detects that its actor has stalled, and how it reacts."""
 
 import time
 from typing import Any
@@ -9,76 +9,77 @@
 from quinceslip.liveness.stall_detector import Sample, StallDetector
 from quinceslip.storage.records import StallRecord
 from quinceslip.transport.actor import ActorThread
-from tests.loopback import standstill
+from tests.loopback import stalled_actor
 from tests.scenario.state import RunnerState
-from tests.scenario.tools import at_once
+from tests.scenario.tools import time_limit
 from tests.simulation.clock import US
 
 
 class LivenessChecks(RunnerState):
-    """Lines that check how a process judges that its actor stands still, and what it does then."""
+    """Lines that check how a process detects that its actor has stalled, and how it reacts."""
 
-    def do_standstill(self, plain: list[str], named: dict[str, Any]) -> None:
-        """standstill KIND [limit=S] [gap=S] [share=P] [for=S] after=S|never: when an actor is judged to stand still
+    def do_stall(self, plain: list[str], named: dict[str, Any]) -> None:
+        """stall KIND [limit=S] [sample_delay=S] [cpu_share=P] [for=S] after=S|never: when an actor counts as stalled
 
-        KIND: works (its place changes), waits (it does not, from `settles` on), blind (as `works`, but its
-        processor time is not known).
-        `share`: its own processor time in a second. `gap`: the looks come so late, every time; `stop=S` once.
+        KIND: busy (its code position changes), blocked (it does not, from `blocked_from` on), unmeasured (as `busy`,
+        but without a measured processor time).
+        `cpu_share`: processor time that it uses in a second. `sample_delay`: every sample is late by this;
+        `pause=S`: one sample is. `turn_every=S`: it completes a turn this often.
         """
-        limit_us, share = int(named.get("limit", 3) * US), float(named.get("share", plain[0] != "waits"))
-        judge = StallDetector(limit_us, 0)
-        now_us, cpu_us, found = 0, 0, None
+        limit_us, share = int(named.get("limit", 3) * US), float(named.get("cpu_share", plain[0] != "blocked"))
+        detector = StallDetector(limit_us, 0)
+        now_us, cpu_us, detected_s = 0, 0, None
         for number in range(100_000):
-            passed_us = judge.period_us + int(named.get("gap", 0) * US)
-            cpu_us += int(share * passed_us)
-            now_us += passed_us + (int(named.get("stop", 0) * US) if number == 10 else 0)
-            turns = now_us // int(named["turn"] * US) if "turn" in named else 0
-            place = (1, 1) if plain[0] == "waits" and now_us >= named.get("settles", 0) * US else (number, 2)
-            if judge.add(Sample(now_us, turns, None if plain[0] == "blind" else cpu_us, place)):
-                found = now_us / US
+            elapsed_us = detector.period_us + int(named.get("sample_delay", 0) * US)
+            cpu_us += int(share * elapsed_us)
+            now_us += elapsed_us + (int(named.get("pause", 0) * US) if number == 10 else 0)
+            turns = now_us // int(named["turn_every"] * US) if "turn_every" in named else 0
+            position = (1, 1) if plain[0] == "blocked" and now_us >= named.get("blocked_from", 0) * US else (number, 2)
+            if detector.add(Sample(now_us, turns, None if plain[0] == "unmeasured" else cpu_us, position)):
+                detected_s = now_us / US
                 break
             if now_us > named.get("for", 600) * US:
                 break
         if named["after"] == "never":
-            assert found is None, found
+            assert detected_s is None, detected_s
         else:
-            assert found == pytest.approx(named["after"], abs=0.2 * named.get("limit", 3)), found
+            assert detected_s == pytest.approx(named["after"], abs=0.2 * named.get("limit", 3)), detected_s
 
-    def do_standstills_in(self, plain: list[str], named: dict[str, Any]) -> None:
-        """standstills_in HOURS lease=S back=S ends=N: a process that stands still at once, each time it is started"""
-        lease_us, now_us, ends = int(named["lease"] * US), 0, 0
-        note: StallRecord | None = None
-        while (now_us := max(now_us + int(named["back"] * US), stall_records.next_exit_us(note, lease_us))) < float(
-            plain[0]
-        ) * 3600 * US:
-            note, ends = stall_records.next_record(note, "levels", now_us, lease_us), ends + 1
-            assert stall_records.is_suspended(note, "levels", now_us + lease_us, lease_us)
-            assert not stall_records.is_suspended(note, "moves", now_us, lease_us)
+    def do_repeated_stalls(self, plain: list[str], named: dict[str, Any]) -> None:
+        """repeated_stalls HOURS lease=S restart_after=S max_exits=N: a process that stalls right after every start"""
+        lease_us, now_us, exits = int(named["lease"] * US), 0, 0
+        record: StallRecord | None = None
+        while (
+            now_us := max(now_us + int(named["restart_after"] * US), stall_records.next_exit_us(record, lease_us))
+        ) < float(plain[0]) * 3600 * US:
+            record, exits = stall_records.next_record(record, "levels", now_us, lease_us), exits + 1
+            assert stall_records.is_suspended(record, "levels", now_us + lease_us, lease_us)
+            assert not stall_records.is_suspended(record, "moves", now_us, lease_us)
             for part in ("moves", "rights", "machines", "Tick"):
                 other = StallRecord(part, 1, now_us)
                 assert stall_records.is_suspended(other, part, now_us, lease_us) == (part == "moves")
-        assert ends <= named["ends"], ends
-        assert note is not None and note.times == ends
-        later_us = now_us + 3 * stall_records.pause_us(ends, lease_us)
-        assert stall_records.next_record(note, "levels", later_us, lease_us).times == 1  # long ago: it starts anew
+        assert exits <= named["max_exits"], exits
+        assert record is not None and record.times == exits
+        later_us = now_us + 3 * stall_records.pause_us(exits, lease_us)
+        assert stall_records.next_record(record, "levels", later_us, lease_us).times == 1  # the count has expired
 
-    def do_loopback_standstill(self, plain: list[str], named: dict[str, Any]) -> None:
-        """loopback_standstill: a process whose actor stands still ends itself"""
-        standstill()
+    def do_loopback_stall(self, plain: list[str], named: dict[str, Any]) -> None:
+        """loopback_stall: a real process exits when its actor has stalled"""
+        stalled_actor()
 
-    def do_actor_goes_on(self, plain: list[str], named: dict[str, Any]) -> None:
-        """actor_goes_on: neither a message nor an effect that fails ends the actor's thread"""
+    def do_actor_survives_errors(self, plain: list[str], named: dict[str, Any]) -> None:
+        """actor_survives_errors: a failing message or effect does not terminate the actor's thread"""
         self.errors_expected.append("while ")
-        seen: list[Any] = []
+        attempted: list[Any] = []
 
         def carry_out(effect: Any) -> None:
-            seen.append(effect)
+            attempted.append(effect)
             raise ValueError("no such target")
 
         actor = ActorThread(lambda message, now_us: [message], carry_out, 20_000, 10)
         actor.start()
-        with at_once(10.0):
-            while len(seen) < 20 or actor.turns < 20:
+        with time_limit(10.0):
+            while len(attempted) < 20 or actor.turns < 20:
                 time.sleep(0.01)
         assert actor.thread.is_alive()
-        actor.handle, actor.tick_period_us = lambda message, now_us: [], 10**12  # it sleeps from here on
+        actor.handle, actor.tick_period_us = lambda message, now_us: [], 10**12  # idle from here on
--- a/tests/scenario/queueing_checks.py
+++ b/tests/scenario/queueing_checks.py
@@ -1,4 +1,4 @@
-"""Lines that check the queueing model against worked values."""
+"""Lines that check the queueing model against precomputed values."""
 
 from itertools import combinations_with_replacement, permutations
 from typing import Any
@@ -14,14 +14,14 @@
 )
 from quinceslip.coordination.load_balancing.queueing_model import choose_shard, fair_levels, load, shares
 from tests.scenario.state import RunnerState
-from tests.scenario.tools import at_once
+from tests.scenario.tools import time_limit
 
 
 class QueueingChecks(RunnerState):
-    """Lines that check the queueing model against worked values."""
+    """Lines that check the queueing model against precomputed values."""
 
-    def do_queue(self, plain: list[str], named: dict[str, Any]) -> None:
-        """queue m u arrivals: P_m and W against worked values."""
+    def do_mmm_queue(self, plain: list[str], named: dict[str, Any]) -> None:
+        """mmm_queue m u arrivals: P_m and W against precomputed values"""
         station, arrivals = Station(int(plain[0]), float(plain[1])), float(plain[2])
         if "p" in named:
             assert wait_probability(station.slots, arrivals / station.rate) == pytest.approx(named["p"], rel=1e-6)
@@ -38,31 +38,31 @@
             numeric = (cost(arrivals + step) - cost(arrivals - step)) / (2 * step)
             assert marginal_cost(station, arrivals) == pytest.approx(numeric, rel=1e-3)
 
-    def do_levels(self, plain: list[str], named: dict[str, Any]) -> None:
-        """levels m:u,m:u,... total -> shares and levels, at once; 1/60 is a number too"""
+    def do_fair_levels(self, plain: list[str], named: dict[str, Any]) -> None:
+        """fair_levels m:u,m:u,... total: shares and levels, within a time limit; numbers may be fractions"""
 
         def number(text: str) -> float:
-            above, _, below = text.partition("/")
-            return float(above) / float(below or 1)
+            numerator, _, denominator = text.partition("/")
+            return float(numerator) / float(denominator or 1)
 
         stations = [Station(int(a), number(b)) for a, _, b in (p.partition(":") for p in plain[0].split(","))]
         total = number(plain[1])
-        with at_once(5.0):
-            self._levels(stations, total, named)
+        with time_limit(5.0):
+            self._check_levels(stations, total, named)
 
-    def do_levels_at_capacity(self, plain: list[str], named: dict[str, Any]) -> None:
-        """levels_at_capacity MOST: three shards of up to so many slots, as many arrivals in a minute as slots"""
-        most = int(plain[0])
-        with at_once(20.0):
-            for slots in combinations_with_replacement(range(most + 1), 3):
+    def do_fair_levels_at_capacity(self, plain: list[str], named: dict[str, Any]) -> None:
+        """fair_levels_at_capacity MAX: three shards of up to MAX slots each, with as many arrivals a minute as slots"""
+        max_slots = int(plain[0])
+        with time_limit(20.0):
+            for slots in combinations_with_replacement(range(max_slots + 1), 3):
                 for order in sorted(set(permutations(slots))):
                     stations = [Station(m, 1 / 60) for m in order]
                     assert fair_levels(stations, sum(order) / 60) == list(order), order
 
-    def _levels(self, stations: list[Station], total: float, named: dict[str, Any]) -> None:
+    def _check_levels(self, stations: list[Station], total: float, named: dict[str, Any]) -> None:
         if "shares" in named:
-            wanted = [float(s) for s in str(named["shares"]).split(",")]
-            assert shares(stations, total) == pytest.approx(wanted, abs=1e-4)
+            expected = [float(s) for s in str(named["shares"]).split(",")]
+            assert shares(stations, total) == pytest.approx(expected, abs=1e-4)
         if "levels" in named:
             assert fair_levels(stations, total) == [int(x) for x in str(named["levels"]).split(",")]
         if 0 < total < sum(s.capacity for s in stations) * (1 - 1e-9) and all(map(is_plausible, stations)):
@@ -71,8 +71,8 @@
             slopes = [marginal_cost(s, f * total) for s, f in zip(stations, found, strict=True) if f > 1e-9]
             assert max(slopes) == pytest.approx(min(slopes), rel=2e-2)
 
-    def do_choose(self, plain: list[str], named: dict[str, Any]) -> None:
-        """choose HOME m:u:waiting:level,... shard=N"""
+    def do_choose_shard(self, plain: list[str], named: dict[str, Any]) -> None:
+        """choose_shard HOME m:u:waiting:level,... shard=N: the shard that a new job is assigned to"""
         parts = [p.split(":") for p in plain[1].split(",")]
         stations = {i: Station(int(p[0]), float(p[1])) for i, p in enumerate(parts)}
         waiting = {i: int(p[2]) for i, p in enumerate(parts)}
--- a/tests/scenario/submission.py
+++ b/tests/scenario/submission.py
@@ -1,4 +1,4 @@
-"""One user's attempts to submit a job, and the polls that follow once it is accepted."""
+"""A user's attempts to submit a job, and the polls once it is accepted."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -8,7 +8,7 @@
 from tests.simulation.clock import US
 from tests.simulation.inputs import job_spec
 
-#: words of scenarios for fields of a job's description
+#: field of a job's description, by the option of a scenario line
 FIELD_NAMES = {
     "tasks": "picks",
     "cpus": "vcpus",
@@ -17,20 +17,20 @@
     "spot": "loaners",
     "zone": "yard",
     "estimate": "expectS",
-    "checkpoint": "markEveryS",
-    "save": "markCostS",
+    "checkpoint_every": "markEveryS",
+    "checkpoint_cost": "markCostS",
 }
 FLOAT_FIELDS = ("vcpus", "memGb", "gpus", "dueS", "expectS", "markEveryS", "markCostS")
 
 RETRY_US = 2 * US
-#: a user tries for so long
+#: users stop retrying after this time
 MAX_RETRIES_US = 60 * US
-#: how often a user looks whether the jobs that his waits for are accepted
+#: interval at which a user checks whether the dependencies of a job are accepted
 DEPENDENCY_RETRY_US = US // 5
 
 
 def read_spec(job_id: str, words: list[str], named: dict[str, Any]) -> dict[str, Any]:
-    """A job's description from the words of a line: `gang` or `service`, and fields in the scenarios' names."""
+    """Return the job's description for the words `gang` or `service` and the options of a line."""
     given = {FIELD_NAMES.get(key, key): value for key, value in named.items()}
     if "after" in given:
         given["waitsOn"] = str(given.pop("after")).split(",")
@@ -45,28 +45,28 @@
 
 @dataclass
 class Submission:
-    """Attempts until an answer settles the matter; users name what was accepted, so they wait for that first."""
+    """Attempts until a conclusive answer. Users submit a job only after its dependencies are accepted."""
 
     runner: RunnerState
     job_id: str
     spec: dict[str, Any]
     waits_on: list[str]
-    by: str  # label of the controller that is asked; empty for any
-    poll_s: float
+    via: str  # label of the controller that receives the requests; empty for any
+    poll_period_s: float
     until_us: int
-    is_settled: bool = False
+    is_concluded: bool = False
 
     def attempt(self) -> None:
-        """Submit the job now, and again until it is answered."""
+        """Submit the job now, and retry until it is accepted or refused."""
         world = self.runner.w()
         if self._waits_for_acceptance() and world.now_us < self.until_us:
             world.after(DEPENDENCY_RETRY_US, self.attempt)
-        elif not self.is_settled and world.now_us < self.until_us:
-            self.runner.ask("submit", self.job_id, self._answered, self.spec, self.by)
+        elif not self.is_concluded and world.now_us < self.until_us:
+            self.runner.ask("submit", self.job_id, self._answered, self.spec, self.via)
             world.after(RETRY_US, self.attempt)
 
     def _waits_for_acceptance(self) -> bool:
-        """Whether a job that this one waits for is still on its way; one that is never submitted is not."""
+        """Whether a dependency that was submitted is neither accepted nor refused yet."""
         world = self.runner.w()
         return any(
             other in world.jobs
@@ -79,16 +79,16 @@
     def _answered(self, status: int, body: Any) -> None:
         self.runner.statuses.setdefault(self.job_id, []).append(status)
         self.runner.w().checker.answers.submission_answered(self.job_id, status, body)
-        if status in ACCEPTED_STATUSES and not self.is_settled:
-            self.is_settled = True
+        if status in ACCEPTED_STATUSES and not self.is_concluded:
+            self.is_concluded = True
             self._poll()
         elif status in REFUSED_STATUSES:
-            self.is_settled = True
+            self.is_concluded = True
             self.runner.reasons[self.job_id] = body
 
     def _poll(self) -> None:
-        """Ask for the job now, and again for as long as the run lasts."""
+        """Poll the job now, and periodically until the end of the run."""
         world = self.runner.w()
         answers = world.checker.answers
         self.runner.ask("poll", self.job_id, lambda status, body: answers.poll_answered(self.job_id, status, body))
-        world.after(self.poll_s * US, self._poll)
+        world.after(self.poll_period_s * US, self._poll)
--- a/tests/scenario/tools.py
+++ b/tests/scenario/tools.py
@@ -1,4 +1,4 @@
-"""What several lines of scenarios need: comparisons, time limits, errors in the log, loops without a bound."""
+"""Helpers of scenario lines: comparisons, time limits, logged errors and unbounded loops."""
 
 import ast
 import logging
@@ -11,9 +11,9 @@
 COMPARE = {"==": operator.eq, "<=": operator.le, ">=": operator.ge}
 
 
-def unbounded(source: str) -> list[int]:
-    """Lines of loops and recursions beside which no comment or docstring begins with `Bound:`."""
-    lines, found = source.splitlines(), []
+def undocumented_loops(source: str) -> list[int]:
+    """Return the lines of loops and recursive functions that have no comment or docstring with `Bound: `."""
+    lines, undocumented = source.splitlines(), []
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.While):
             first, last = max(0, node.lineno - 3), node.lineno
@@ -25,33 +25,33 @@
         else:
             continue
         if not any("Bound: " in line for line in lines[first:last]):
-            found.append(node.lineno)
-    return found
+            undocumented.append(node.lineno)
+    return undocumented
 
 
 @contextmanager
-def at_once(seconds: float) -> Iterator[None]:
-    """What takes longer fails instead of hanging the suite: it has a bound in steps, of which this is no measure."""
+def time_limit(seconds: float) -> Iterator[None]:
+    """Fail a test that takes longer, so that it cannot hang the suite. This does not measure the bound in steps."""
 
-    def time_over(*_: Any) -> None:
-        raise AssertionError(f"no end within {seconds:g} s")
+    def fail(*_: Any) -> None:
+        raise AssertionError(f"not finished within {seconds:g} s")
 
-    before = signal.signal(signal.SIGALRM, time_over)
+    previous = signal.signal(signal.SIGALRM, fail)
     signal.setitimer(signal.ITIMER_REAL, seconds)
     try:
         yield
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0)
-        signal.signal(signal.SIGALRM, before)
+        signal.signal(signal.SIGALRM, previous)
 
 
 @contextmanager
-def collected_errors(found: list[str]) -> Iterator[None]:
-    """Collect the messages that the program logs as errors meanwhile."""
+def collected_errors(errors: list[str]) -> Iterator[None]:
+    """Append the messages of logged errors to `errors` while the context is open."""
 
     class Collector(logging.Handler):
         def emit(self, record: logging.LogRecord) -> None:
-            found.append(record.getMessage())
+            errors.append(record.getMessage())
 
     collector, logger = Collector(logging.ERROR), logging.getLogger("quinceslip")
     logger.addHandler(collector)
--- a/tests/test_hearing.py
+++ b/tests/test_hearing.py
@@ -56,7 +56,7 @@
     """A direct reply overtakes a report whose sender still waits: the answer renews its lease, and so the books."""
     runner = Runner()
     for line in ("site size=1", "machines 1 m a", "at 2 submit req-000001 tasks=2 run=30", "run 6"):
-        runner.line(line)
+        runner.execute_line(line)
     node = runner.w().controllers["berth-0"].actor
     assert node is not None
     shard = node.shards[0]
--- a/tests/test_odd_heartbeats.py
+++ b/tests/test_odd_heartbeats.py
@@ -43,7 +43,7 @@
     """A controller and its one worker, which has just finished the two tasks of a job."""
     runner = Runner()
     for line in ("site size=1", "machines 1 m a", f"at 2 submit {JOB} tasks=2 run=2", "run 4"):
-        runner.line(line)
+        runner.execute_line(line)
     return runner
 
 
@@ -56,7 +56,7 @@
     heartbeat.update(fields)
     statuses: list[int] = []
     world.controllers["berth-0"].receive_heartbeat(heartbeat, lambda status, body: statuses.append(status))
-    runner.line(f"run {world.now_us / 1e6 + 0.1}")
+    runner.execute_line(f"run {world.now_us / 1e6 + 0.1}")
     return statuses
 
 
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -10,7 +10,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from tests.scenario.runner import play
+from tests.scenario.runner import run_scenario
 
 settings.register_profile("ci", max_examples=6, derandomize=True)
 settings.register_profile("long", max_examples=170)
@@ -34,7 +34,7 @@
         f"machines {machines} m a",
         "site size=1",
         f"at 0 cloud capacity {machines}",
-        f"at 1 submit req-000001 tasks={machines * 16} run=40 rank=low checkpoint=5 save=0.3",
+        f"at 1 submit req-000001 tasks={machines * 16} run=40 rank=low checkpoint_every=5 checkpoint_cost=0.3",
     ]
     at_s = draw(tenths(5, 9))
     for number in range(draw(st.integers(8, 18))):
@@ -45,11 +45,15 @@
         )
         at_s += draw(tenths(0.2, 1.5))
     for _ in range(3):
-        lines.append(f"at {draw(tenths(8, 20)):.2f} crash berth-0 back={draw(st.sampled_from([0.05, 0.3, 0.6, 2]))}")
+        lines.append(
+            f"at {draw(tenths(8, 20)):.2f} crash berth-0 restart_after={draw(st.sampled_from([0.05, 0.3, 0.6, 2]))}"
+        )
     for _ in range(draw(st.integers(0, 3))):
-        verb = draw(st.sampled_from(["hang", "cut", "mute", "unheard", "copies", "reboot"]))
+        verb = draw(
+            st.sampled_from(["hang", "partition", "block_outbound", "block_inbound", "duplicate_heartbeats", "reboot"])
+        )
         lines.append(f"at {draw(tenths(8, 20)):.2f} {verb} {draw(WORKERS)} {draw(st.sampled_from([2, 6, 14, 25]))}")
-    return "\n".join([*lines, "run calm"])
+    return "\n".join([*lines, "run quiescent"])
 
 
 @st.composite
@@ -61,7 +65,7 @@
         f"machines {draw(st.integers(3, 7))} m a",
         f"machines {draw(st.integers(3, 7))} m b",
         "at 0 cloud capacity 14",
-        "at 1 submit req-000001 tasks=160 run=30 rank=low checkpoint=5 save=0.5",
+        "at 1 submit req-000001 tasks=160 run=30 rank=low checkpoint_every=5 checkpoint_cost=0.5",
         "at 1.5 submit req-000002 tasks=40 run=8 rank=normal",
     ]
     at_s = draw(tenths(6, 10))
@@ -77,16 +81,16 @@
                     "crash",
                     "outage",
                     "hang",
-                    "cut",
-                    "cut_zone",
-                    "late",
-                    "take",
+                    "partition",
+                    "partition_zone",
+                    "lose_transaction_answers",
+                    "reclaim",
                     "cancel",
-                    "deaf",
-                    "refuse",
-                    "unheard",
-                    "unheard",
-                    "copies",
+                    "partition_peers",
+                    "refuse_store_calls",
+                    "block_inbound",
+                    "block_inbound",
+                    "duplicate_heartbeats",
                     "isolate",
                     "isolate",
                     "reboot",
@@ -102,28 +106,29 @@
                 f"spread={draw(st.sampled_from(['true', 'false']))} rank=production spot=false",
                 "work": f"submit req-{number} tasks={draw(st.sampled_from([6, 20]))} run=2 rank=production",
                 "gang": f"submit req-{number} gang tasks={draw(st.sampled_from([3, 6]))} run=5 rank=normal",
-                "crash": f"crash {draw(st.sampled_from(OWNERS))} back={draw(st.sampled_from([0.05, 0.3, 1, 5]))}",
-                "unheard": f"unheard {draw(WORKERS)} {draw(st.sampled_from([3, 9, 25]))} "
+                "crash": f"crash {draw(st.sampled_from(OWNERS))} "
+                f"restart_after={draw(st.sampled_from([0.05, 0.3, 1, 5]))}",
+                "block_inbound": f"block_inbound {draw(WORKERS)} {draw(st.sampled_from([3, 9, 25]))} "
                 f"{draw(st.sampled_from(['', 'lost']))}",
-                "copies": f"copies {draw(WORKERS)} {draw(seconds)} times={draw(st.integers(1, 3))} "
-                f"late={draw(seconds) + 16}",
+                "duplicate_heartbeats": f"duplicate_heartbeats {draw(WORKERS)} {draw(seconds)} "
+                f"times={draw(st.integers(1, 3))} max_delay={draw(seconds) + 16}",
                 "isolate": f"isolate {one} {draw(st.sampled_from([5, 14, 40]))} "
                 f"{draw(st.sampled_from(['held', 'refused', 'reset']))}",
-                "reboot": f"reboot {draw(WORKERS)} {draw(st.sampled_from(['', 'other']))}",
+                "reboot": f"reboot {draw(WORKERS)} {draw(st.sampled_from(['', 'replaced']))}",
                 "cloud": f"outage cloud {draw(seconds)}",
-                "outage": f"outage state {draw(seconds)}",
+                "outage": f"outage store {draw(seconds)}",
                 "hang": f"hang busiest {draw(seconds)}",
-                "cut": f"cut busiest {draw(seconds)}",
-                "cut_zone": f"cut_zone {draw(st.sampled_from(['a', 'b']))} {draw(seconds)}",
-                "late": f"late {one} {draw(seconds)} 2",
-                "take": "take busiest notice=0",
+                "partition": f"partition busiest {draw(seconds)}",
+                "partition_zone": f"partition_zone {draw(st.sampled_from(['a', 'b']))} {draw(seconds)}",
+                "lose_transaction_answers": f"lose_transaction_answers {one} {draw(seconds)} 2",
+                "reclaim": "reclaim busiest notice=0",
                 "cancel": f"cancel req-{draw(st.integers(100000, number))}",
-                "deaf": f"deaf {one} {draw(seconds)}",
-                "refuse": f"refuse {one} {draw(seconds)}",
+                "partition_peers": f"partition_peers {one} {draw(seconds)}",
+                "refuse_store_calls": f"refuse_store_calls {one} {draw(seconds)}",
             }[what]
         )
         at_s += draw(tenths(0.1, 2.5))
-    return "\n".join([*lines, "run calm"])
+    return "\n".join([*lines, "run quiescent"])
 
 
 @st.composite
@@ -137,7 +142,7 @@
         f"seed {draw(st.integers(1, 10**6))}",
         "site size=1",
         "team guest",
-        "cloud_full",
+        "no_cloud_capacity",
         f"machines {machines} m a",
         "objective deadline small share=0.9",
         "objective finished large within=60 share=0.9",
@@ -148,7 +153,7 @@
     lines.append(
         f"at 1 submit_many 1000 {int(300 / every_s)} every={every_s:.3f} tasks={tasks} cpus=2 run={run_s} "
         f"estimate={run_s * draw(st.sampled_from([0.5, 1, 1.5]))} lane=small dueS={3 * run_s} "
-        f"rank={draw(st.sampled_from(['normal', 'low']))} poll=15"
+        f"rank={draw(st.sampled_from(['normal', 'low']))} poll_every=15"
     )
     for number in range(draw(st.integers(1, 2))):
         shape = draw(
@@ -173,16 +178,16 @@
 @given(preempting_days())
 @days
 def test_busy_preemption_and_three_ends(day: str) -> None:
-    play(day)
+    run_scenario(day)
 
 
 @given(crowded_days())
 @days
 def test_nobody_waits_for_ever(day: str) -> None:
-    play(day)
+    run_scenario(day)
 
 
 @given(overlapping_days())
 @days
 def test_troubles_that_overlap(day: str) -> None:
-    play(day)
+    run_scenario(day)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from tests.scenario.runner import FOLDER, play
+from tests.scenario.runner import FOLDER, run_scenario
 
 
 @pytest.mark.parametrize("path", sorted(FOLDER.glob("*.txt")), ids=lambda p: p.stem)
 def test_scenario(path: Path) -> None:
-    play(path.read_text(encoding="utf-8"))
+    run_scenario(path.read_text(encoding="utf-8"))
 
 
 def test_there_are_scenarios() -> None:
--- a/tests/test_shard_summary.py
+++ b/tests/test_shard_summary.py
@@ -91,7 +91,7 @@
 def test_the_line_of_a_running_shard() -> None:
     runner = Runner()
     for line in ("site size=1", "machines 2 m a", "at 2 submit req-000001 tasks=2 run=30", "run 8"):
-        runner.line(line)
+        runner.execute_line(line)
     actor = runner.w().controllers["berth-0"].actor
     assert actor is not None
     line = actor.shards[0].summary()
