--- a/quinceslip/coordination/actor/compare_and_swap.py
+++ b/quinceslip/coordination/actor/compare_and_swap.py
@@ -52,7 +52,7 @@
         super().__init__(now_us, timeout_us)
         self.limits = limits
         self.cache = StoreCache()
-        self.store_ok_us = 0  # when the store last answered
+        self.last_store_answer_us = 0  # when the store last answered
         #: called with the keys of the records that a write of this controller has changed in the cache
         self.on_records_changed: Callable[[Iterable[str]], None] = lambda keys: None
         self._rejected_changes: dict[bytes, None] = {}  # digests, oldest first
@@ -60,12 +60,12 @@
 
     def store_available(self) -> bool:
         """Whether the store answered this controller lately, and the cache is in sync."""
-        return self.now_us - self.store_ok_us < STORE_AVAILABLE_US and self.cache.synced
+        return self.now_us - self.last_store_answer_us < STORE_AVAILABLE_US and self.cache.synced
 
-    def note_store_status(self, status: int) -> None:
+    def record_store_status(self, status: int) -> None:
         """Take note of the status that a request to the store was answered with."""
         if status in _ANSWERED_STATUSES:
-            self.store_ok_us = self.now_us
+            self.last_store_answer_us = self.now_us
 
     def compare_and_swap(
         self,
@@ -73,7 +73,7 @@
         puts: Puts,
         drops: list[str],
         on_result: CompareAndSwapCallback,
-        urgency: Urgency = Urgency.REST,
+        urgency: Urgency = Urgency.BACKGROUND,
     ) -> None:
         """Put and drop records if every key in `conditions` is at that `mod_revision` (0: it does not exist).
 
@@ -98,7 +98,7 @@
         )
 
     def _handle_write_result(self, write: _PendingWrite, status: int, body: bytes) -> None:
-        self.note_store_status(status)
+        self.record_store_status(status)
         if status in _REJECTED_STATUSES and messages.NO_LEASE not in body:
             status = 400
             self._reject(write.request, body)
@@ -136,17 +136,17 @@
         if len(self._rejected_changes) > MAX_REJECTED_CHANGES:
             del self._rejected_changes[next(iter(self._rejected_changes))]
 
-    def answer_rejected_again(self) -> None:
+    def report_rejected_writes(self) -> None:
         """Report 400 for the writes that were not sent, since the store had rejected the same changes before."""
         callbacks, self._rejected_again = self._rejected_again, []
         for on_result in callbacks:
             on_result(400, [])
 
-    def fits_record(self, value: Any) -> bool:
+    def fits_value_limit(self, value: Any) -> bool:
         """Whether a value is within the limit on values, present or announced."""
         return len(msgspec.json.encode(value)) <= self.limits.value_kb * 1024
 
-    def delete_unneeded(self, keys: list[str]) -> None:
+    def delete_obsolete(self, keys: list[str]) -> None:
         """Delete records that nothing reads any more, as many at a time as a compare-and-swap takes.
 
         Once: what fails is left behind, and costs its bytes alone.
--- a/quinceslip/coordination/actor/context.py
+++ b/quinceslip/coordination/actor/context.py
@@ -36,7 +36,7 @@
         self.wall_offset_us = wall_us - now_us
         self.teams = {team.name: team for team in settings.facts.teams}
         #: the cloud's machine types by label, and those of them on which services start soon enough
-        self.types: dict[str, messages.MachineType] = {}
+        self.machine_types: dict[str, messages.MachineType] = {}
         self.quick_types: set[str] = set()
         self.graph = DependencyGraph(self.cache.job, self._job_urgency, self.expected_duration_us)
         #: whether all controllers act by a level (`quinceslip.feature_gate`)
@@ -83,7 +83,7 @@
 
         The estimate counts as it is: a longer time would make whatever comes before an urgent job as urgent at once.
         """
-        rates = (machine_type.fetch_gb_per_s for machine_type in self.types.values())
+        rates = (machine_type.fetch_gb_per_s for machine_type in self.machine_types.values())
         slowest = max(min(rates, default=DEFAULT_FETCH_GB_PER_S), MIN_FETCH_GB_PER_S)
         return micros(spec.estimated_run_s + spec.image_gb / slowest) + JOB_OVERHEAD_US
 
@@ -94,6 +94,6 @@
         note = self.cache.by_kind["standstill"].get(self.settings.label)
         return stall_records.is_suspended(note, part, self.wall_us, self.timing.worker_lease_us)
 
-    def progress(self) -> int:
+    def progress_count(self) -> int:
         """Grows while a long message is handled: a listing of all records is no stall."""
         return self.cache.records_taken + self.records_applied
--- a/quinceslip/coordination/actor/effects.py
+++ b/quinceslip/coordination/actor/effects.py
@@ -40,7 +40,7 @@
     USER = 0  # a user waits for it, or the leadership of a shard does
     LAUNCH = 1  # launches wait for it
     RESULT = 2
-    REST = 3
+    BACKGROUND = 3
 
 
 # Effects.
@@ -71,13 +71,13 @@
 
 
 @dataclass(slots=True)
-class ToPeers:
+class PeerBroadcast:
     """Frames for every other controller: a heartbeat, and observations of the cloud's capacity behind it."""
 
     frames: bytes
 
 
-Effect = Call | Reply | ToPeers
+Effect = Call | Reply | PeerBroadcast
 
 
 # Messages to the actor.
--- a/quinceslip/coordination/actor/timing.py
+++ b/quinceslip/coordination/actor/timing.py
@@ -6,7 +6,7 @@
 SECOND = 1_000_000
 
 #: the steady clocks of two machines drift apart by at most this (PROTOCOL)
-DRIFT = 0.0005
+MAX_CLOCK_DRIFT = 0.0005
 
 #: the key-value store takes leases of up to ten minutes (PROTOCOL); a shorter one than a second is lost by any hiccup
 MIN_LEASE_US, MAX_LEASE_US = SECOND, 600 * SECOND
@@ -44,7 +44,7 @@
         self.heartbeat_period_us = micros(workers.report_s)
         self.worker_lease_us = micros(workers.lease_s)
         cancel_us = micros(workers.cancel_s)
-        self.margin_us = SECOND + int(2 * DRIFT * cancel_us)
+        self.margin_us = SECOND + int(2 * MAX_CLOCK_DRIFT * cancel_us)
         # What a cancellation leaves to a leader that cannot hear of it (docs/design.md, "The gap").
         left_us = cancel_us - self.worker_lease_us - 2 * self.margin_us
         if left_us < MIN_LEASE_US:
@@ -63,9 +63,9 @@
         # grace period and a worker's lease must end before a cancellation that it cannot hear of falls due.
         self.grace_us = left_us - self.leader_lease_us
         #: after so long without an answer the lease of a worker has expired, by the leader's clock
-        self.lease_expiry_us = int(self.worker_lease_us * (1 + 2 * DRIFT)) + self.margin_us
+        self.lease_expiry_us = int(self.worker_lease_us * (1 + 2 * MAX_CLOCK_DRIFT)) + self.margin_us
         self.probe_after_us = int(PROBE_AFTER_PERIODS * self.heartbeat_period_us) + PROBE_MARGIN_US
-        self.fresh_us = max(int(FRESH_PERIODS * self.heartbeat_period_us), MIN_FRESH_US)
+        self.max_contact_age_us = max(int(FRESH_PERIODS * self.heartbeat_period_us), MIN_FRESH_US)
 
 
 def _check_periods(workers: WorkerFacts) -> None:
--- a/quinceslip/coordination/autoscaling/absorption.py
+++ b/quinceslip/coordination/autoscaling/absorption.py
@@ -22,7 +22,7 @@
 
 def absorbed_cpus(ctx: Context, shard: Shard, fraction: float) -> float:
     """Return the CPUs of waiting work that `fraction` of the shard's slots can take on during the shortest boot."""
-    boot_times_s = [machine_type.boot_s for machine_type in ctx.types.values()]
+    boot_times_s = [machine_type.boot_s for machine_type in ctx.machine_types.values()]
     slots, rate = shard.queueing_station()
     cpus, _ = shard.mean_task()
     return fraction * slots * cpus * rate * min(boot_times_s) if boot_times_s else 0.0
--- a/quinceslip/coordination/autoscaling/autoscaler.py
+++ b/quinceslip/coordination/autoscaling/autoscaler.py
@@ -52,7 +52,7 @@
         """Query the cloud; if this controller may launch, also scale out and in."""
         self.machine_types.request_if_due()
         self.inventory.list_if_due()
-        if not self.election.may_launch() or not self.ctx.cache.synced or not self.ctx.types:
+        if not self.election.may_launch() or not self.ctx.cache.synced or not self.ctx.machine_types:
             return
         self.inventory.reconcile()
         self.requests.process_open()
--- a/quinceslip/coordination/autoscaling/consolidation.py
+++ b/quinceslip/coordination/autoscaling/consolidation.py
@@ -94,7 +94,9 @@
     def _unit_price(self) -> float:
         """Return the lowest hourly price per CPU of on-demand machines."""
         prices = (
-            machine_type.price / machine_type.cpus for machine_type in self.ctx.types.values() if machine_type.cpus > 0
+            machine_type.price / machine_type.cpus
+            for machine_type in self.ctx.machine_types.values()
+            if machine_type.cpus > 0
         )
         return min(prices, default=0.0)
 
--- a/quinceslip/coordination/autoscaling/machine_choice.py
+++ b/quinceslip/coordination/autoscaling/machine_choice.py
@@ -75,7 +75,7 @@
         machines_in_zone: dict[str, int] = defaultdict(int)
         for worker in shard.workers.values():
             machines_in_zone[worker.zone] += 1
-        for machine_type in self.ctx.types.values():
+        for machine_type in self.ctx.machine_types.values():
             if not self._is_suitable(machine_type, demand):
                 continue
             counts = self._machine_counts(shard, demand, machine_type)
@@ -127,7 +127,7 @@
 
     def _affordable_headroom(self, demand: MachineDemand, options: list[PurchaseOption]) -> list[PurchaseOption]:
         """Filter out costly options: headroom is for a few tasks, so a large machine costs more than it can save."""
-        types = self.ctx.types
+        types = self.ctx.machine_types
         fitting = [t for t in types.values() if fits(Resources.of_type(t), demand.partition.spec)]
         cheapest = min(t.price * max(1, math.ceil(demand.cpus / t.cpus)) for t in fitting)
         return [
--- a/quinceslip/coordination/autoscaling/machine_list.py
+++ b/quinceslip/coordination/autoscaling/machine_list.py
@@ -69,7 +69,7 @@
 
     def _request_page(self, after: str, on_page: Callable[[int, bytes], None]) -> None:
         path = m.machines_path(after)
-        self.ctx.call("cloud", "GET", path, None, on_page, timeout_us=REQUEST_TIMEOUT_US, urgency=Urgency.REST)
+        self.ctx.call("cloud", "GET", path, None, on_page, timeout_us=REQUEST_TIMEOUT_US, urgency=Urgency.BACKGROUND)
 
     def _finish(self) -> None:
         self.in_progress = False
--- a/quinceslip/coordination/autoscaling/machine_types.py
+++ b/quinceslip/coordination/autoscaling/machine_types.py
@@ -20,7 +20,7 @@
 
 
 class MachineTypeCatalog:
-    """Keeps `Context.types` and `Context.quick_types` up to date."""
+    """Keeps `Context.machine_types` and `Context.quick_types` up to date."""
 
     def __init__(self, ctx: Context, shards: dict[int, Shard]) -> None:
         self.ctx = ctx
@@ -45,7 +45,7 @@
             None,
             self._on_types_answered,
             timeout_us=REQUEST_TIMEOUT_US,
-            urgency=Urgency.REST,
+            urgency=Urgency.BACKGROUND,
         )
 
     def update_quick_types(self) -> None:
@@ -54,7 +54,7 @@
         specs = [job.spec for job in self.ctx.cache.open_services.values() if job.spec is not None]
         self.ctx.quick_types = {
             machine_type.label
-            for machine_type in self.ctx.types.values()
+            for machine_type in self.ctx.machine_types.values()
             if 2 * sum(placement.fetches_in_time(machine_type, spec) for spec in specs) > len(specs)
         }
 
@@ -66,12 +66,12 @@
         except msgspec.DecodeError as error:
             log.error("cloud sent invalid machine types: %s", error)
             return
-        is_first_answer = not self.ctx.types
+        is_first_answer = not self.ctx.machine_types
         self._replace_types(types)
         self.next_request_us = self.ctx.now_us + REFRESH_PERIOD_US
         mod_revision = self.ctx.cache.mod_revision(records.TYPES)
         # Types that exceed one record are not stored: with only some of them, users would be told that jobs never run.
-        if (is_first_answer or mod_revision == 0) and self.ctx.fits_record(types):
+        if (is_first_answer or mod_revision == 0) and self.ctx.fits_value_limit(types):
             self.ctx.compare_and_swap(
                 {records.TYPES: mod_revision},
                 {records.TYPES: (types, None)},
@@ -80,12 +80,12 @@
             )
 
     def _replace_types(self, types: list[m.MachineType]) -> None:
-        self.ctx.types.clear()
-        self.ctx.types.update({machine_type.label: machine_type for machine_type in types})
+        self.ctx.machine_types.clear()
+        self.ctx.machine_types.update({machine_type.label: machine_type for machine_type in types})
         machine_records = self.ctx.cache.by_kind["roster"]
         for shard in self.shards.values():
             for worker in shard.workers.values():
                 record = machine_records.get(worker.name)
                 if record is not None:
-                    worker.type = self.ctx.types.get(record.type, worker.type)
+                    worker.type = self.ctx.machine_types.get(record.type, worker.type)
             shard.needs_placement = True
--- a/quinceslip/coordination/autoscaling/service_headroom.py
+++ b/quinceslip/coordination/autoscaling/service_headroom.py
@@ -47,7 +47,7 @@
         since_us = self.ctx.wall_us - ARRIVAL_WINDOW_US
         recent = [job.tasks for job in jobs if job.at_us > since_us]
         task_cpus = max(MIN_SERVICE_CPUS, *(job.spec.cpus for job in jobs if job.spec is not None))
-        boot_s = min((machine_type.boot_s for machine_type in self.ctx.types.values()), default=0.0)
+        boot_s = min((machine_type.boot_s for machine_type in self.ctx.machine_types.values()), default=0.0)
         # If none arrived within the window, one slot is enough to start the next one.
         typical = sum(job.tasks for job in jobs) / len(jobs) if recent else 1.0
         arriving = sum(recent) * SECOND / ARRIVAL_WINDOW_US * boot_s
--- a/quinceslip/coordination/autoscaling/unmet_demand.py
+++ b/quinceslip/coordination/autoscaling/unmet_demand.py
@@ -77,7 +77,7 @@
         if worker.type and _is_booting(ctx, worker, worker.type)
     ]
     for request in requests.open_requests.values():
-        machine_type = ctx.types.get(request.record.type)
+        machine_type = ctx.machine_types.get(request.record.type)
         if request.shard != shard.index or not machine_type:
             continue
         for _ in range(request.expected_machines()):
--- a/quinceslip/coordination/connectivity/misrouted.py
+++ b/quinceslip/coordination/connectivity/misrouted.py
@@ -52,7 +52,7 @@
                 worker: number for worker, number in self._latest_heartbeats.items() if worker in machine_records
             }
 
-    def counts(self) -> list[tuple[int, int]]:
+    def counts_by_shard(self) -> list[tuple[int, int]]:
         """Shard and number of its workers that reported here lately, without shards that have none."""
         since_us = self.ctx.now_us - COUNTED_US
         found = []
@@ -70,7 +70,7 @@
         if self._write_pending or self.ctx.now_us < self._next_write_us:
             return
         label = self.ctx.settings.label
-        misrouted = [(shard, count) for shard, count in self.counts() if count >= MIN_SILENT_WORKERS]
+        misrouted = [(shard, count) for shard, count in self.counts_by_shard() if count >= MIN_SILENT_WORKERS]
         if not misrouted and label not in self.ctx.cache.by_kind["stray"]:
             return
         self._write_pending = True
@@ -90,7 +90,7 @@
         """The record of a peer has changed in the cache."""
         self._peer_record_us[label] = self.ctx.now_us
 
-    def recorded_by_peers(self, shard: int) -> int:
+    def count_recorded_by_peers(self, shard: int) -> int:
         """How many workers of a shard reported to peers lately, by their records and the clock of this controller."""
         since_us = self.ctx.now_us - RECORD_COUNTED_US
         total = 0
--- a/quinceslip/coordination/controller/cancellations.py
+++ b/quinceslip/coordination/controller/cancellations.py
@@ -84,7 +84,7 @@
         def on_written(status: int, failed: list[str]) -> None:
             if status == 200:
                 log.info("job cancelled job=%s", job_id)
-                ctx.delete_unneeded(obsolete_keys[max_deletes:])
+                ctx.delete_obsolete(obsolete_keys[max_deletes:])
                 ctx.reply(request, 200, m.job_answer(job_id, m.CANCELLED))
             elif status == 409 and attempts_left > 1:
                 due_us = ctx.now_us + RETRY_DELAY_US
--- a/quinceslip/coordination/controller/controller.py
+++ b/quinceslip/coordination/controller/controller.py
@@ -110,7 +110,7 @@
     def _make_periodic_components(self) -> list[PeriodicComponent]:
         """Return the components that a tick runs, in order; their names appear in stall records."""
         return [
-            PeriodicComponent("refused", self.ctx.answer_rejected_again),
+            PeriodicComponent("refused", self.ctx.report_rejected_writes),
             PeriodicComponent("rights", self.election.tick),
             PeriodicComponent("rollout", self.feature_gate.tick),
             PeriodicComponent("shards", self._tick_shards),
@@ -165,7 +165,7 @@
 
     def _handle_store_changes(self, message: StoreChanges) -> None:
         self.election.lease.watch_answered(message.requested_us)
-        self.ctx.store_ok_us = self.ctx.now_us
+        self.ctx.last_store_answer_us = self.ctx.now_us
         self.record_changes.apply(self.ctx.cache.apply_changes(message.events, message.revision))
         self.user_requests.cache_advanced()
 
--- a/quinceslip/coordination/controller/peer_heartbeats.py
+++ b/quinceslip/coordination/controller/peer_heartbeats.py
@@ -1,7 +1,7 @@
 """Heartbeats of this controller to its peers, followed by its observations of the cloud's capacity."""
 
 from quinceslip.coordination.actor.context import Context
-from quinceslip.coordination.actor.effects import ToPeers
+from quinceslip.coordination.actor.effects import PeerBroadcast
 from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.coordination.autoscaling.capacity import CapacityObservations
 from quinceslip.coordination.connectivity.connectivity import WorkerConnectivity
@@ -44,10 +44,10 @@
             self.ctx.cache.revision,
             self.load_balancer.loads(),
             self.connectivity.yielding,
-            self.connectivity.misrouted.counts(),
+            self.connectivity.misrouted.counts_by_shard(),
         )
         frame_bytes = frames.pack_heartbeat(heartbeat)
         observations = self.capacity.own_observations(self.ctx.now_us)
         if observations:
             frame_bytes += frames.pack_observations(frames.PeerObservations(label, observations))
-        self.ctx.effects.append(ToPeers(frame_bytes))
+        self.ctx.effects.append(PeerBroadcast(frame_bytes))
--- a/quinceslip/coordination/controller/read_barrier.py
+++ b/quinceslip/coordination/controller/read_barrier.py
@@ -116,7 +116,7 @@
         Bound: called only for an answer of the key-value store, so calls do not nest.
         """
         self.reading = False
-        self.ctx.note_store_status(status)
+        self.ctx.record_store_status(status)
         revision = _store_revision(status, body)
         if revision is None:
             for entry in pending:
--- a/quinceslip/coordination/controller/shard_hand_over.py
+++ b/quinceslip/coordination/controller/shard_hand_over.py
@@ -85,7 +85,7 @@
         reported = 0
         for peer in self.peers.alive():
             reported += sum(count for index, count in peer.heartbeat.misrouted if index == shard)
-        return reported + self.connectivity.misrouted.recorded_by_peers(shard)
+        return reported + self.connectivity.misrouted.count_recorded_by_peers(shard)
 
 
 def _is_fenced_or_unreachable(worker: Worker) -> bool:
--- a/quinceslip/coordination/controller/submission_checks.py
+++ b/quinceslip/coordination/controller/submission_checks.py
@@ -19,7 +19,7 @@
 
     def rejection_reason(self, job: records.JobRecord, spec: m.JobSpec) -> str | None:
         """Return the reason, for the user, why a job can never run; None if it can."""
-        if not self.ctx.fits_record(job):
+        if not self.ctx.fits_value_limit(job):
             return "its description is larger than a record may be"
         if self.ctx.team(spec.team) is None:
             return f"unknown team {spec.team}"
@@ -54,7 +54,7 @@
 
     def _no_fitting_type_reason(self, spec: m.JobSpec) -> str | None:
         """Return why no allowed machine type can hold one task; None if one can."""
-        allowed = [t for t in self.ctx.types.values() if spec.types is None or t.label in spec.types]
+        allowed = [t for t in self.ctx.machine_types.values() if spec.types is None or t.label in spec.types]
         if any(_can_hold_task(machine_type, spec) for machine_type in allowed):
             return None
         zone_text = "" if spec.zone is None else f" in {spec.zone}"
--- a/quinceslip/coordination/controller/submissions.py
+++ b/quinceslip/coordination/controller/submissions.py
@@ -44,7 +44,7 @@
         if ctx.cache.job(spec.job_id) is not None:
             self.polls.poll(request, spec.job_id)
             return
-        if not ctx.cache.synced or not ctx.types or not ctx.store_available():
+        if not ctx.cache.synced or not ctx.machine_types or not ctx.store_available():
             reply_unavailable(ctx, request)
             return
         spec = m.waiting_on(spec, list(dict.fromkeys(spec.dependencies)))  # drop duplicates
--- a/quinceslip/coordination/jobs/fenced_write.py
+++ b/quinceslip/coordination/jobs/fenced_write.py
@@ -49,7 +49,7 @@
             job = self.ctx.cache.job(partition.job_id)
             if status == HTTPStatus.OK and job is not None and job.state == m.DONE:
                 log.info("job done job=%s", partition.job_id)
-                self.ctx.delete_unneeded(list(delete_later))
+                self.ctx.delete_obsolete(list(delete_later))
 
         conditions = {**self.state.election.fencing_condition(self.state.index), **mod_revisions}
         self.ctx.compare_and_swap(conditions, {key: (value, None)}, list(delete), on_written, urgency)
--- a/quinceslip/coordination/jobs/partition_mover.py
+++ b/quinceslip/coordination/jobs/partition_mover.py
@@ -156,7 +156,7 @@
         conditions = len(plan.job.parts) + FIXED_COMPLETION_CONDITIONS
         if conditions > CONDITIONS_PER_TXN_OP * self.ctx.limits.txn_ops:
             return False
-        return all(map(self.ctx.fits_record, plan.record_variants()))
+        return all(map(self.ctx.fits_value_limit, plan.record_variants()))
 
     def _mark_moving(self, partition: JobPartition, moved: set[int]) -> None:
         for index in moved:
@@ -182,7 +182,7 @@
         puts = plan.puts(job_id)
         conditions = dict(self.state.election.fencing_condition(self.state.index))
         conditions.update((key, self.ctx.cache.mod_revision(key)) for key in puts)
-        urgency = Urgency.USER if partition.spec.service else Urgency.REST
+        urgency = Urgency.USER if partition.spec.service else Urgency.BACKGROUND
         self.ctx.compare_and_swap(conditions, puts, [], on_written, urgency)
 
 
--- a/quinceslip/coordination/jobs/result_writer.py
+++ b/quinceslip/coordination/jobs/result_writer.py
@@ -106,14 +106,14 @@
         None if no result fits and no move has to be resolved: further results may make the encoded set shorter again.
         """
         record = self._record(partition, job, partition.done | partition.unrecorded_done)
-        if self.ctx.fits_record(record):
+        if self.ctx.fits_value_limit(record):
             return record
         results = sorted(partition.unrecorded_done)
         fitting, too_many = 0, len(results)
         # Bound: the logarithm of the number of results; each iteration halves the interval.
         while fitting + 1 < too_many:
             middle = (fitting + too_many) // 2
-            if self.ctx.fits_record(self._record(partition, job, partition.done | set(results[:middle]))):
+            if self.ctx.fits_value_limit(self._record(partition, job, partition.done | set(results[:middle]))):
                 fitting = middle
             else:
                 too_many = middle
--- a/quinceslip/coordination/leadership/claims.py
+++ b/quinceslip/coordination/leadership/claims.py
@@ -29,10 +29,12 @@
 class ShardClaims:
     """Claims shards that have no leader, the home shard first and then those before it in the ring."""
 
-    def __init__(self, ctx: Context, lease: LeaderLease, led: LedShards, home: int, on_gained: ShardGained) -> None:
+    def __init__(
+        self, ctx: Context, lease: LeaderLease, led_shards: LedShards, home: int, on_gained: ShardGained
+    ) -> None:
         self.ctx = ctx
         self.lease = lease
-        self.led = led
+        self.led_shards = led_shards
         self.home = home
         self.on_gained = on_gained
         self.next_claim_us = 0
@@ -43,7 +45,7 @@
 
         The caller has made sure that the lease permits it.
         """
-        if self.led.write_pending or self.ctx.now_us < self.next_claim_us or not self.ctx.cache.synced:
+        if self.led_shards.write_pending or self.ctx.now_us < self.next_claim_us or not self.ctx.cache.synced:
             return
         size = self.ctx.settings.facts.size
         for distance in range(size):
@@ -54,7 +56,7 @@
 
     def _is_due(self, shard: int, distance: int, yielding: bool) -> bool:
         """Whether a shard has had no leader for long enough; also keeps account of since when."""
-        if shard in self.led.mod_revisions:
+        if shard in self.led_shards.mod_revisions:
             return False
         record = self.ctx.cache.shard(shard)
         if record is not None and record.leader != self.ctx.settings.label:
@@ -83,17 +85,17 @@
     def claim(self, shard: int, above: int = 0) -> None:
         """Claim a shard, or raise the term of one that this controller leads, to a term greater than `above`."""
         lease_id = self.lease.lease_id
-        if self.led.write_pending or lease_id is None:
+        if self.led_shards.write_pending or lease_id is None:
             return
         cache = self.ctx.cache
         term = self._next_term(above)
         key = records.shard_key(shard)
         conditions = {records.TERM: cache.mod_revision(records.TERM), key: cache.mod_revision(key)}
         own_term_before_restart = self._own_term_before_restart(shard)
-        self.led.write_pending = True
+        self.led_shards.write_pending = True
 
         def on_claimed(status: int, failed: list[str]) -> None:
-            self.led.write_pending = False
+            self.led_shards.write_pending = False
             if status == 200 and self.lease.lease_id == lease_id:
                 self._claimed(shard, term, own_term_before_restart)
             else:
@@ -114,8 +116,8 @@
         return record.term if record is not None and record.leader == self.ctx.settings.label else 0
 
     def _claimed(self, shard: int, term: int, own_term_before_restart: int) -> None:
-        raised = shard in self.led.mod_revisions
-        self.led.mod_revisions[shard] = self.ctx.cache.mod_revision(records.shard_key(shard))
+        raised = shard in self.led_shards.mod_revisions
+        self.led_shards.mod_revisions[shard] = self.ctx.cache.mod_revision(records.shard_key(shard))
         self._leaderless_since_us.pop(shard, None)
         log.info("%s shard=%d term=%d", "term raised" if raised else "leadership gained", shard, term)
         self.on_gained(shard, term, own_term_before_restart)
--- a/quinceslip/coordination/leadership/election.py
+++ b/quinceslip/coordination/leadership/election.py
@@ -29,15 +29,15 @@
     def __init__(self, ctx: Context, home: int, on_gained: ShardGained, on_lost: Callable[[int], None]) -> None:
         self.ctx = ctx
         self.home = home
-        self.size = ctx.settings.facts.size
+        self.shard_count = ctx.settings.facts.size
         #: this controller does not reach its workers: others go first
         self.yielding = False
-        self.led = LedShards(ctx, on_lost)
-        self.lease = LeaderLease(ctx, self.led.drop_all)
-        self._claims = ShardClaims(ctx, self.lease, self.led, home, on_gained)
-        self._hand_overs = HandOvers(ctx, self.led)
+        self.led_shards = LedShards(ctx, on_lost)
+        self.lease = LeaderLease(ctx, self.led_shards.drop_all)
+        self._claims = ShardClaims(ctx, self.lease, self.led_shards, home, on_gained)
+        self._hand_overs = HandOvers(ctx, self.led_shards)
         #: by shard that this controller leads, the version of its record
-        self.mod_revisions = self.led.mod_revisions
+        self.mod_revisions = self.led_shards.mod_revisions
 
     def may_launch(self, shard: int | None = None) -> bool:
         """Whether this controller may launch and decide, in a shard that it leads if one is named.
@@ -46,7 +46,7 @@
         may be lost while the next leader has read it: what came to the shard since is new to both, and both would start
         it. What was there before, the next leader inherits as unreconciled.
         """
-        return shard not in self.led.handing_over and self.lease.permits_launch()
+        return shard not in self.led_shards.handing_over and self.lease.permits_launch()
 
     def may_answer(self) -> bool:
         """Whether this controller may still answer the heartbeats of its workers (lease and grace period)."""
@@ -63,20 +63,20 @@
 
     def fencing_condition(self, shard: int) -> dict[str, int]:
         """The condition of every write for a shard that this controller leads; raises KeyError for other shards."""
-        return self.led.fencing_condition(shard)
+        return self.led_shards.fencing_condition(shard)
 
     def tick(self) -> None:
         """Keep the lease; drop, hand over and claim shards."""
         self.lease.tick()
-        if not self.led.write_pending:
-            self.led.drop_replaced()
+        if not self.led_shards.write_pending:
+            self.led_shards.drop_replaced()
             self._hand_overs.retry()
         if self.may_launch():
             self._claims.claim_next(self.yielding)
 
     def shard_record_changed(self, shard: int) -> None:
         """The record of a shard has changed in the cache."""
-        self.led.record_changed(shard)
+        self.led_shards.record_changed(shard)
 
     def claim(self, shard: int, above: int = 0) -> None:
         """Claim a shard, or raise the term of one that this controller leads, to a term greater than `above`."""
--- a/quinceslip/coordination/leadership/hand_over.py
+++ b/quinceslip/coordination/leadership/hand_over.py
@@ -22,40 +22,40 @@
 class HandOvers:
     """Deletes shard records and retries until the outcome of each deletion is certain."""
 
-    def __init__(self, ctx: Context, led: LedShards) -> None:
+    def __init__(self, ctx: Context, led_shards: LedShards) -> None:
         self.ctx = ctx
-        self.led = led
+        self.led_shards = led_shards
         self._next_retry_us = 0
 
     def retry(self) -> None:
         """Send the first hand-over of unknown outcome once more; it is called while no write is pending."""
-        if self.led.handing_over and self.ctx.now_us >= self._next_retry_us:
-            self.hand_over(next(iter(self.led.handing_over)))
+        if self.led_shards.handing_over and self.ctx.now_us >= self._next_retry_us:
+            self.hand_over(next(iter(self.led_shards.handing_over)))
 
     def hand_over(self, shard: int) -> None:
         """Give up a shard, unless another claim or hand-over is pending."""
-        if self.led.write_pending or shard not in self.led.mod_revisions:
+        if self.led_shards.write_pending or shard not in self.led_shards.mod_revisions:
             return
-        self.led.write_pending = True
-        self.led.handing_over.setdefault(shard, HandOverState.SENT)
+        self.led_shards.write_pending = True
+        self.led_shards.handing_over.setdefault(shard, HandOverState.SENT)
         self._next_retry_us = self.ctx.now_us + RETRY_US
 
         def on_record_deleted(status: int, failed: list[str]) -> None:
-            self.led.write_pending = False
-            if shard in self.led.mod_revisions:
+            self.led_shards.write_pending = False
+            if shard in self.led_shards.mod_revisions:
                 self._answered(shard, status)
 
-        conditions = self.led.fencing_condition(shard)
+        conditions = self.led_shards.fencing_condition(shard)
         self.ctx.compare_and_swap(conditions, {}, [records.shard_key(shard)], on_record_deleted, Urgency.USER)
 
     def _answered(self, shard: int, status: int) -> None:
-        indeterminate = self.led.handing_over.get(shard) is HandOverState.INDETERMINATE
+        indeterminate = self.led_shards.handing_over.get(shard) is HandOverState.INDETERMINATE
         if status == 200:
             log.info("shard handed over shard=%d", shard)
-            self.led.drop(shard)
+            self.led_shards.drop(shard)
         elif status in NOT_APPLIED_STATUSES and not indeterminate:
-            self.led.handing_over.pop(shard, None)  # no attempt of it can be applied any more
+            self.led_shards.handing_over.pop(shard, None)  # no attempt of it can be applied any more
         else:
             # Applied without an answer, or still to be applied: it is retried until it succeeds or its condition
             # fails. Where that has failed, the record has changed, and the watch is about to say so.
-            self.led.handing_over[shard] = HandOverState.INDETERMINATE
+            self.led_shards.handing_over[shard] = HandOverState.INDETERMINATE
--- a/quinceslip/coordination/leadership/leader_lease.py
+++ b/quinceslip/coordination/leadership/leader_lease.py
@@ -80,7 +80,7 @@
 
         def on_lease_created(status: int, body: bytes) -> None:
             self._request_pending = False
-            self.ctx.note_store_status(status)
+            self.ctx.record_store_status(status)
             if status != 200:
                 self._next_attempt_us = self.ctx.now_us + CREATE_RETRY_US
                 return
@@ -97,7 +97,7 @@
 
         def on_lease_renewed(status: int, body: bytes) -> None:
             self._request_pending = False
-            self.ctx.note_store_status(status)
+            self.ctx.record_store_status(status)
             if lease_id != self.lease_id:
                 return
             if status == 200:
--- a/quinceslip/coordination/load_balancing/load_balancer.py
+++ b/quinceslip/coordination/load_balancing/load_balancer.py
@@ -69,7 +69,7 @@
 
     def quick_service_cpus(self) -> list[int]:
         """CPUs of every shard that services could use on machines that start quickly enough for them."""
-        cpus = {shard.index: shard.quick_room() for shard in self.shards.values()}
+        cpus = {shard.index: shard.quick_service_cpus() for shard in self.shards.values()}
         for load in self.peers.loads():
             cpus.setdefault(load.shard, load.quick_service_cpus)
         return list(cpus.values())
@@ -77,7 +77,7 @@
     def shard_for_new_job(self) -> int | None:
         """Choose a new job's shard: home below its level, else by the paper's rule; None if no shard has a leader."""
         loads = self.load_collector.collect()
-        led = {shard for shard in range(self.election.size) if self.election.leader(shard)}
+        led = {shard for shard in range(self.election.shard_count) if self.election.leader(shard)}
         if not led:
             return None
         home = self.election.home if self.election.home in led else min(led)
--- a/quinceslip/coordination/load_balancing/service_moves.py
+++ b/quinceslip/coordination/load_balancing/service_moves.py
@@ -37,7 +37,7 @@
         """Return the loads of all other shards; only the room for services of those that this controller leads."""
         loads = {load.shard: load for load in self.peers.loads()}
         for shard in self.shards.values():
-            loads[shard.index] = frames.ShardLoad(shard.index, 0, 0, 0, 0.0, shard.service_room())
+            loads[shard.index] = frames.ShardLoad(shard.index, 0, 0, 0, 0.0, shard.available_service_cpus())
         loads.pop(source, None)
         return list(loads.values())
 
@@ -45,7 +45,7 @@
         """Whether this is a service that waits for room and was not moved recently."""
         if not partition.spec.service or not partition.pending or partition.on_hold:
             return False
-        return self.ctx.now_us >= shard.moved_us.get(partition.job_id, 0) + MIN_MOVE_INTERVAL_US
+        return self.ctx.now_us >= shard.last_move_us.get(partition.job_id, 0) + MIN_MOVE_INTERVAL_US
 
     def _move(self, shard: Shard, partition: JobPartition, loads: list[frames.ShardLoad]) -> None:
         """Move the waiting tasks of a service to the shard with the most room, if one has enough."""
@@ -62,7 +62,7 @@
         # Count the room that the target reported as used until its next heartbeat.
         needed_cpus = math.ceil(partition.spec.cpus * len(partition.pending))
         target.service_cpus = [max(0, room - needed_cpus) for room in target.service_cpus]
-        shard.moved_us[partition.job_id] = self.ctx.now_us
+        shard.last_move_us[partition.job_id] = self.ctx.now_us
         shard.persistence.move(partition, sorted(partition.pending), target.shard, split)
 
     def _best_target(
--- a/quinceslip/coordination/load_balancing/shard_loads.py
+++ b/quinceslip/coordination/load_balancing/shard_loads.py
@@ -54,7 +54,7 @@
 
         An implausible load counts as that of a shard without machines.
         """
-        if not 0 <= shard < self.election.size:
+        if not 0 <= shard < self.election.shard_count:
             return False
         station = mmm_queue.Station(reported.slots, reported.rate)
         plausible = reported.slots == 0 or mmm_queue.is_plausible(station)
@@ -71,6 +71,6 @@
         slots,
         shard.free_slots(),
         rate,
-        shard.service_room(),
-        shard.quick_room(),
+        shard.available_service_cpus(),
+        shard.quick_service_cpus(),
     )
--- a/quinceslip/coordination/reconciliation/reconciler.py
+++ b/quinceslip/coordination/reconciliation/reconciler.py
@@ -101,7 +101,7 @@
         worker.endpoint = heartbeat.endpoint
         worker.last_contact_us = self.ctx.now_us
         if worker.type is None:
-            worker.type = self.ctx.types.get(heartbeat.type)
+            worker.type = self.ctx.machine_types.get(heartbeat.type)
         worker.zone = heartbeat.zone
         worker.spot = heartbeat.spot
         if heartbeat.notice_s is not None and not worker.notice_us:
--- a/quinceslip/coordination/scheduling/ageing.py
+++ b/quinceslip/coordination/scheduling/ageing.py
@@ -45,7 +45,7 @@
 
         `run_s` is the run time of a typical task, `slots` the number of such tasks that the shard runs at a time.
         """
-        boot_times_us = [micros(machine_type.boot_s) for machine_type in self.ctx.types.values()]
+        boot_times_us = [micros(machine_type.boot_s) for machine_type in self.ctx.machine_types.values()]
         bound_us = starvation_bound_us(max(boot_times_us, default=0), micros(run_s))
         for partition in queue:
             precedence = self._precedence(partition, bound_us) if self.ctx.tuning.bound_waits else NORMAL
--- a/quinceslip/coordination/scheduling/machine_eligibility.py
+++ b/quinceslip/coordination/scheduling/machine_eligibility.py
@@ -24,7 +24,7 @@
         self.state = state
         self.ctx = state.ctx
         self.max_heartbeat_silence_us = timing.worker_lease_us // 2
-        self.max_contact_age_us = timing.fresh_us
+        self.max_contact_age_us = timing.max_contact_age_us
 
     def usable(self, worker: Worker) -> bool:
         """Whether a launch sent to the machine now can be expected to run there."""
--- a/quinceslip/coordination/shard/capacity.py
+++ b/quinceslip/coordination/shard/capacity.py
@@ -41,8 +41,8 @@
     """Sums over the usable machines of a shard, as of one moment."""
 
     at_us: int
-    service_room: dict[str, float]  # CPUs by zone that services could have: free, or of what they may preempt
-    quick_room: float = 0.0  # the part of it on machines that fetch a usual image of a service in time
+    available_service_cpus: dict[str, float]  # CPUs by zone that services could have: free, or of what they may preempt
+    quick_service_cpus: float = 0.0  # the part of it on machines that fetch a usual image of a service in time
     batch_cpus: float = 0.0  # CPUs that services leave
     free_cpus: list[float] = field(default_factory=list)  # of each machine
 
@@ -108,9 +108,11 @@
             summary.free_cpus.append(worker.type.cpus - worker.used_cpus)
             if not worker.spot:
                 room = max(0.0, worker.service_room())
-                summary.service_room[worker.zone] = summary.service_room.get(worker.zone, 0.0) + room
+                summary.available_service_cpus[worker.zone] = (
+                    summary.available_service_cpus.get(worker.zone, 0.0) + room
+                )
                 if starts_quickly(worker.type):
-                    summary.quick_room += room
+                    summary.quick_service_cpus += room
         return summary
 
     def queueing_station(self) -> QueueingStation:
@@ -135,11 +137,11 @@
             if worker.type is not None and not worker.last_contact_us and not worker.deleting
         )
 
-    def service_room(self) -> list[int]:
+    def available_service_cpus(self) -> list[int]:
         """CPUs that services could have in each zone, in the order of the settings: free, or to be preempted."""
-        room = self.summary().service_room
+        room = self.summary().available_service_cpus
         return [int(room[zone]) for zone in self.ctx.settings.facts.zones]
 
-    def quick_room(self) -> int:
+    def quick_service_cpus(self) -> int:
         """The part of it on machines that fetch a usual image of a service in time."""
-        return int(self.summary().quick_room)
+        return int(self.summary().quick_service_cpus)
--- a/quinceslip/coordination/shard/log_summary.py
+++ b/quinceslip/coordination/shard/log_summary.py
@@ -23,7 +23,7 @@
     USABLE = "usable"
     DRAINING = "draining"  # drained, about to be reclaimed by the cloud, or being deleted
     BOOTING = "booting"  # it has sent no heartbeat yet
-    OUT = "out"  # silent, unreachable, not fenced, or not registered
+    UNAVAILABLE = "out"  # silent, unreachable, not fenced, or not registered
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
         return MachineState.USABLE
     if worker.draining or worker.deleting or worker.notice_us:
         return MachineState.DRAINING
-    return MachineState.OUT if worker.last_contact_us else MachineState.BOOTING
+    return MachineState.UNAVAILABLE if worker.last_contact_us else MachineState.BOOTING
 
 
 def machine_statuses(shard: "Shard") -> list[MachineStatus]:
--- a/quinceslip/coordination/shard/registration.py
+++ b/quinceslip/coordination/shard/registration.py
@@ -59,7 +59,7 @@
         shard = self.shard
         worker = shard.workers.get(name)
         if worker is None:
-            worker = Worker(name, shard.ctx.types.get(record.type), record.zone, record.spot, record.endpoint)
+            worker = Worker(name, shard.ctx.machine_types.get(record.type), record.zone, record.spot, record.endpoint)
             worker.registered_us = worker.idle_since_us = worker.lease_renewed_us = shard.ctx.now_us
             shard.workers[name] = worker
         worker.registered = record.used
--- a/quinceslip/coordination/shard/shard.py
+++ b/quinceslip/coordination/shard/shard.py
@@ -50,7 +50,7 @@
         self.registration = MachineRegistration(self)
         self.silence_check = SilenceCheck(self)
         self.capacity = CapacityFigures(self)
-        self.moved_us: dict[str, int] = {}  # when tasks of a job were moved to another shard; by the load balancer
+        self.last_move_us: dict[str, int] = {}  # when tasks of a job were moved to another shard; by the load balancer
         self.next_deadline_order_us = 0
         self.registration.inherit_workers()
         for job_id in list(ctx.cache.open_jobs):
@@ -171,13 +171,13 @@
         """Slots that are free right now; none while tasks wait for a machine."""
         return self.capacity.free_slots()
 
-    def service_room(self) -> list[int]:
+    def available_service_cpus(self) -> list[int]:
         """CPUs that services could have in each zone, in the order of the settings."""
-        return self.capacity.service_room()
+        return self.capacity.available_service_cpus()
 
-    def quick_room(self) -> int:
+    def quick_service_cpus(self) -> int:
         """The part of it on machines that fetch a usual image of a service in time."""
-        return self.capacity.quick_room()
+        return self.capacity.quick_service_cpus()
 
     def summary(self) -> str:
         """One short line for the log, with counts; logs the machines one by one itself, at `debug`."""
--- a/quinceslip/models/gap_leader.py
+++ b/quinceslip/models/gap_leader.py
@@ -64,11 +64,11 @@
             timing=self.timing,
             now_us=now_us,
             started_us=0,
-            types={},
+            machine_types={},
             cache=SimpleNamespace(job=lambda job_id: job),
         )
         election = LeaderElection(ctx, SHARD, lambda *_: None, lambda _: None)
-        election.led.write_pending = True
+        election.led_shards.write_pending = True
         watch_age = state.watch_age if CHECK_WATCH in self.checks else state.renewal_age
         election.lease.lease_id = 1
         election.lease.renewal_sent_us = now_us - state.renewal_age * self.unit_us
--- a/quinceslip/models/takeover/leader.py
+++ b/quinceslip/models/takeover/leader.py
@@ -45,7 +45,7 @@
         return SimpleNamespace(
             now_us=0,
             timeout_us=1,
-            types={},
+            machine_types={},
             call=self._network.call,
             cache=cache,
             settings=SimpleNamespace(facts=SimpleNamespace(cloud=cloud)),
--- a/quinceslip/quota/allocation_writer.py
+++ b/quinceslip/quota/allocation_writer.py
@@ -99,7 +99,7 @@
 
         puts: Puts = {} if value is None else {key: (value, None)}
         drops = [key] if value is None else []
-        self.ctx.compare_and_swap(conditions, puts, drops, on_written, Urgency.REST)
+        self.ctx.compare_and_swap(conditions, puts, drops, on_written, Urgency.BACKGROUND)
 
 
 def _outcome_of(status: int) -> MoveOutcome:
--- a/quinceslip/quota/tree_updates.py
+++ b/quinceslip/quota/tree_updates.py
@@ -105,7 +105,7 @@
             self._levels_refreshed += 1
         if self._levels_refreshed >= len(levels) and self._found_stale:
             self._levels_refreshed, self._found_stale = 0, False  # some may have failed: look again
-        self.quota.writer.send(batch, Urgency.REST)
+        self.quota.writer.send(batch, Urgency.BACKGROUND)
 
     def _is_stale(self, name: str) -> bool:
         record = self.quota.actor.cache.by_kind[GRANT].get(name)
@@ -133,4 +133,4 @@
             batch.add(allocation, allocation.give(shard, None, excess, used, fencing))
             if batch.is_full:
                 break
-        self.quota.writer.send(batch, Urgency.REST)
+        self.quota.writer.send(batch, Urgency.BACKGROUND)
--- a/quinceslip/service.py
+++ b/quinceslip/service.py
@@ -98,7 +98,7 @@
         # The leader's lease, a third of a worker's: until then nothing is lost, then a peer has the shards anyway.
         Watchdog(
             self.actor.thread,
-            lambda: self.actor.turns + context.progress(),
+            lambda: self.actor.turns + context.progress_count(),
             lambda: context.active_part or self.actor.current_message,
             timing.leader_lease_us,
             StallJournal(self.settings.label, timing.worker_lease_us, store),
--- a/tests/scenario/controllers.py
+++ b/tests/scenario/controllers.py
@@ -139,15 +139,15 @@
             capacity = node.autoscaler.capacity
             assert not capacity.own_observations(world.now_us)
             assert not any(capacity.is_backing_off(kind, world.now_us) for kind in list(capacity.backoffs))
-            assert not node.connectivity.misrouted.counts() and not any(
-                node.connectivity.misrouted.recorded_by_peers(s) for s in range(self.facts["size"])
+            assert not node.connectivity.misrouted.counts_by_shard() and not any(
+                node.connectivity.misrouted.count_recorded_by_peers(s) for s in range(self.facts["size"])
             )
             loads = {load.shard: load for load in node.load_balancer.peer_loads()}
             assert not any(load.waiting for load in [*loads.values(), *node.load_balancer.loads()])
             for other in world.controllers.values():
                 for shard in other.actor.shards.values() if other.actor is not None and other is not host else ():
                     assert abs(loads[shard.index].free_slots - shard.free_slots()) <= 8, (loads, shard.free_slots())
-                    assert abs(loads[shard.index].quick_service_cpus - shard.quick_room()) <= 16
+                    assert abs(loads[shard.index].quick_service_cpus - shard.quick_service_cpus()) <= 16
         remaining = [key for key in world.store.data if key.split("/")[1] in ("want", "stray", "hire", "standstill")]
         assert not remaining, remaining
 
--- a/tests/scenario/store.py
+++ b/tests/scenario/store.py
@@ -131,7 +131,7 @@
         raw = msgspec.Raw(msgspec.json.encode(JobRecord("done", 4, done=4)))
         items = [m.Item(f"q/job/req-{n:06d}", raw, n + 1) for n in range(int(plain[0]))]
         node.handle(StoreListing(items, len(items), 0), 1)
-        assert node.ctx.progress() >= 2 * len(items)
+        assert node.ctx.progress_count() >= 2 * len(items)
 
     def do_paged_listing(self, plain: list[str], named: dict[str, Any]) -> None:
         """paged_listing FIRST LAST: list over these revisions; no shard is claimed until the watch reaches LAST"""
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -89,7 +89,7 @@
     def _carry_out(self, effect: Any) -> None:
         if isinstance(effect, fx.Reply):
             self._reply(effect)
-        elif isinstance(effect, fx.ToPeers):
+        elif isinstance(effect, fx.PeerBroadcast):
             self._send_to_peers(effect)
         else:
             self._call(effect)
@@ -101,7 +101,7 @@
             body = json.loads(msgspec.json.encode(reply.body))
             self.world.after(self.world.latency(), partial(handler, reply.status, body))
 
-    def _send_to_peers(self, effect: fx.ToPeers) -> None:
+    def _send_to_peers(self, effect: fx.PeerBroadcast) -> None:
         self.write_trace("out", "peers", effect.frames.hex())
         world = self.world
         for other in world.controllers.values():
--- a/tests/test_shard_summary.py
+++ b/tests/test_shard_summary.py
@@ -53,7 +53,7 @@
     drained.draining, noticed.notice_us = "return", 5
     assert machine_state(usable, True) == MachineState.USABLE
     assert machine_state(booting, False) == MachineState.BOOTING
-    assert machine_state(out, False) == MachineState.OUT
+    assert machine_state(out, False) == MachineState.UNAVAILABLE
     assert {machine_state(w, False) for w in (drained, deleted, noticed)} == {MachineState.DRAINING}
 
 
@@ -64,7 +64,7 @@
     spot.add_usage(BATCH, 1)
     statuses = [
         MachineStatus(busy, MachineState.USABLE),
-        MachineStatus(spot, MachineState.OUT),
+        MachineStatus(spot, MachineState.UNAVAILABLE),
         MachineStatus(booting, MachineState.BOOTING),
     ]
     assert str(summarize(2, 7, statuses)) == (
@@ -75,7 +75,7 @@
 
 def test_lines_are_bounded_however_many_machines_there_are(caplog: pytest.LogCaptureFixture) -> None:
     statuses = [MachineStatus(worker(f"n-{n:06d}"), MachineState.USABLE) for n in range(3000)]
-    statuses.append(MachineStatus(worker("z"), MachineState.OUT))
+    statuses.append(MachineStatus(worker("z"), MachineState.UNAVAILABLE))
     assert len(str(summarize(100, 1_000_000, statuses))) <= MAX_LINE_CHARACTERS
     with caplog.at_level(logging.INFO, log_summary.__name__):
         log_machines(0, statuses)
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quinceslip.coordination.actor.timing import DRIFT, SECOND, Timing
+from quinceslip.coordination.actor.timing import MAX_CLOCK_DRIFT, SECOND, Timing
 from quinceslip.coordination.leadership.election import LeaderElection
 from quinceslip.protocol.settings import SettingsError
 from tests.scenario.runner import Runner
@@ -44,7 +44,7 @@
             or max(report_s, lease_s, cancel_s) > 86_400
         )
         return
-    slow = 1 + Fraction(DRIFT)  # a second by a clock that is slow lasts so long
+    slow = 1 + Fraction(MAX_CLOCK_DRIFT)  # a second by a clock that is slow lasts so long
     # The owner's clock: from its last proof of contact to the end of its grace. The worker's: its lease, from a report
     # that was sent before it was answered. A session ends within a report's time limit of its lease, when it looks.
     ends = Fraction(found.leader_lease_us + found.grace_us, SECOND) * slow + lease * slow + 1
