--- a/quinceslip/coordination/autoscaling/unmet_demand.py
+++ b/quinceslip/coordination/autoscaling/unmet_demand.py
@@ -104,7 +104,7 @@
         # Tasks that back off after a failure are left out, or a job in a crash loop would rent many machines.
         waiting = partition.startable_task_count()
         if shard.quota is not None:
-            waiting = shard.quota.startable(spec, waiting, claimed_quota)
+            waiting = shard.quota.tasks_allowed_on_new_machines(spec, waiting, claimed_quota)
         waiting += kept_tasks[partition.job_id]
         if waiting <= 0:
             continue
--- a/quinceslip/coordination/shard_state/policies.py
+++ b/quinceslip/coordination/shard_state/policies.py
@@ -81,7 +81,9 @@
         """Called when a whole pass found no worker for the remaining tasks of the partition."""
         ...
 
-    def startable(self, spec: m.JobSpec, max_count: int, granted_by_level: dict[int, tuple[int, int, int, int]]) -> int:
+    def tasks_allowed_on_new_machines(
+        self, spec: m.JobSpec, max_count: int, granted_by_level: dict[int, tuple[int, int, int, int]]
+    ) -> int:
         """Return how many of up to `max_count` tasks the quota allows, after the grants of the same plan so far."""
         ...
 
--- a/quinceslip/quota/admission.py
+++ b/quinceslip/quota/admission.py
@@ -80,7 +80,9 @@
         """Whether the last refusal was only for the sake of others in this round, with another to come."""
         return self.last_refused_by_target
 
-    def startable(self, spec: m.JobSpec, max_count: int, granted_by_level: dict[int, Amounts]) -> int:
+    def tasks_allowed_on_new_machines(
+        self, spec: m.JobSpec, max_count: int, granted_by_level: dict[int, Amounts]
+    ) -> int:
         """How many of `max_count` tasks may have machines added for them: as the shard holds, or can take from pools.
 
         `granted_by_level` adds up, by level, what was answered before in the same plan.
--- a/quinceslip/quota/allocation.py
+++ b/quinceslip/quota/allocation.py
@@ -167,7 +167,7 @@
             {str(shard): list(part) for shard, part in sorted(parts.items()) if any(part)},
         )
 
-    def take(self, shard: int, amounts: Amounts, fencing: dict[str, int]) -> Move | None:
+    def take_from_pool(self, shard: int, amounts: Amounts, fencing: dict[str, int]) -> Move | None:
         """Raise what a shard holds, out of the pool; None if nothing of it is there.
 
         `fencing` is the condition that this controller still leads the shard, here and below.
@@ -181,7 +181,7 @@
             return None
         return self._start_move({shard: add(self.held(shard), taken)}, fencing, {})
 
-    def give(
+    def give_unused(
         self, shard: int, target: int | None, amounts: Amounts, used: Sequence[int], fencing: dict[str, int]
     ) -> Move | None:
         """Hand what a shard does not use to another one (None: back to the pool)."""
--- a/quinceslip/quota/allocation_giving.py
+++ b/quinceslip/quota/allocation_giving.py
@@ -36,8 +36,8 @@
 
     def want_record_changed(self, shard: int) -> bool:
         """The cache has another want record of a shard, or none any more; whether there is one."""
-        if str(shard) in self.quota.actor.cache.by_kind[WANT]:
-            self.wanted_since_us.setdefault(shard, self.quota.actor.now_us)
+        if str(shard) in self.quota.ctx.cache.by_kind[WANT]:
+            self.wanted_since_us.setdefault(shard, self.quota.ctx.now_us)
             return True
         self.wanted_since_us.pop(shard, None)
         return False
@@ -45,7 +45,7 @@
     def give_to_others(self, shard: int, shard_quota: ShardQuota) -> None:
         """Give other shards what this one holds and does not use, earliest demands first."""
         want_records: dict[int, WantRecord] = {
-            int(name): record for name, record in self.quota.actor.cache.by_kind[WANT].items() if int(name) != shard
+            int(name): record for name, record in self.quota.ctx.cache.by_kind[WANT].items() if int(name) != shard
         }
         if not want_records:
             return
@@ -98,7 +98,7 @@
         # More than is asked for, where more is idle: so a burst costs few writes.
         pairs = zip(lacking, spare, strict=True)
         amounts = [max(asked, idle // GIVE_AHEAD_DIVISOR) if asked else 0 for asked, idle in pairs]
-        move = allocation.give(self.shard, asker, amounts_of(amounts), used, self.fencing)
+        move = allocation.give_unused(self.shard, asker, amounts_of(amounts), used, self.fencing)
         if move is None:
             return lacking
         self.batch.add(allocation, move)
@@ -138,13 +138,13 @@
         holders.sort(key=lambda shard: (-max(parts[str(shard)]), shard))
         if self.shard not in holders:
             return False
-        now_us = self.quota.actor.now_us
+        now_us = self.quota.ctx.now_us
         turn = (now_us - self.wanted_since_us.get(asker, now_us)) // PREEMPTION_TURN_US
         return holders[turn % len(holders)] == self.shard
 
     def _preempt_for(self, wanted: Wanted, lacking: dict[int, Amounts]) -> None:
         """Preempt borrowed usage of this shard for the work of another one."""
-        job = self.quota.actor.cache.job(wanted.order.job_id)
+        job = self.quota.ctx.cache.job(wanted.order.job_id)
         if job is None or job.spec is None:
             return  # it is over, or not known here yet
         levels = self.quota.tree.by_name
--- a/quinceslip/quota/allocations.py
+++ b/quinceslip/quota/allocations.py
@@ -29,7 +29,7 @@
         self._caps: dict[int, Allocation] = {}
         self._guarantees: dict[int, Allocation] = {}
         #: names of caps of which more is held than there is, with their level
-        self.exceeded: dict[str, int] = {}
+        self.exceeded_caps: dict[str, int] = {}
         #: the newest version of the tree that any controller has, and whether this one's is older
         self.newest_version = tree.version
         self.tree_outdated = False
@@ -42,7 +42,7 @@
         """The allocation of a level's guarantee."""
         return self._guarantees.get(level) or self._make(self._guarantees, level, AmountKind.GUARANTEE)
 
-    def of(self, amount: LevelAmount) -> Allocation:
+    def for_level_amount(self, amount: LevelAmount) -> Allocation:
         """The allocation of a level's cap or of its guarantee."""
         return self.for_cap(amount.level) if amount.kind is AmountKind.CAP else self.for_guarantee(amount.level)
 
@@ -72,9 +72,9 @@
         allocation.record_changed(record, self.cache.mod_revision(allocation.key))
         place = self.place(allocation.key)
         if place is not None and place.kind is AmountKind.CAP and min(allocation.pool()) < 0:
-            self.exceeded[name] = place.level
+            self.exceeded_caps[name] = place.level
         else:
-            self.exceeded.pop(name, None)
+            self.exceeded_caps.pop(name, None)
 
     def is_current(self, level: int) -> bool:
         """Whether this controller knows what rules the level.
--- a/quinceslip/quota/max_min.py
+++ b/quinceslip/quota/max_min.py
@@ -16,7 +16,7 @@
     need: int
 
 
-def fill(amount: int, wants: Sequence[tuple[float, int]]) -> list[int]:
+def divide_by_weight(amount: int, wants: Sequence[tuple[float, int]]) -> list[int]:
     """Divide an amount by weight: (weight, most) each; what one cannot take the others share.
 
     Max-min: nobody's share over weight can rise without lowering one that is no larger. Shares are whole;
@@ -63,7 +63,7 @@
     guaranteed = [min(guarantee, need) for _, guarantee, need in claims]
     if sum(guaranteed) >= amount:
         wants = [(max(guarantee, 1), own) for (_, guarantee, _), own in zip(claims, guaranteed, strict=True)]
-        return fill(amount, wants)
+        return divide_by_weight(amount, wants)
     beyond = [(weight, need - own) for (weight, _, need), own in zip(claims, guaranteed, strict=True)]
-    borrowed = fill(amount - sum(guaranteed), beyond)
+    borrowed = divide_by_weight(amount - sum(guaranteed), beyond)
     return [own + more for own, more in zip(guaranteed, borrowed, strict=True)]
--- a/quinceslip/quota/model_world.py
+++ b/quinceslip/quota/model_world.py
@@ -251,10 +251,10 @@
         allocation, leadership = controller.allocation, controller.leaderships[shard]
         fencing = {leader_key(shard): leadership.mod_revision}
         if kind is StepKind.TAKE:
-            return allocation.take(shard, UNIT, fencing)
+            return allocation.take_from_pool(shard, UNIT, fencing)
         if kind is StepKind.GIVE:
             used = (leadership.used, 0, 0, 0)
-            return allocation.give(shard, (shard + 1) % self.shards, UNIT, used, fencing)
+            return allocation.give_unused(shard, (shard + 1) % self.shards, UNIT, used, fencing)
         return allocation.rewrite(fencing)
 
     def _act_on_transaction(self, kind: StepKind, transaction: Transaction) -> None:
--- a/quinceslip/quota/pool_taking.py
+++ b/quinceslip/quota/pool_taking.py
@@ -23,7 +23,7 @@
 
     def take_for_all(self) -> None:
         """Take for each shard that lacks something and whose last time is long enough ago."""
-        now_us = self.quota.actor.now_us
+        now_us = self.quota.ctx.now_us
         for shard, shard_quota in self.quota.shard_quotas.items():
             if not shard_quota.unmet_demands and not shard_quota.demand:
                 continue
@@ -36,7 +36,7 @@
         if self.quota.allocations.tree_outdated:
             return  # an older tree may be wrong about what there is to take
         fencing = self.quota.election.fencing_condition(shard)
-        shares = self.quota.actor.settings.facts.size * TAKE_AHEAD_DIVISOR
+        shares = self.quota.ctx.settings.facts.size * TAKE_AHEAD_DIVISOR
         batch = self.quota.writer.new_batch()
         for allocation, shortfall in [
             *self.shortfalls.of_caps(shard, shard_quota).items(),
@@ -44,7 +44,7 @@
         ]:
             pairs = zip(shortfall, positive(allocation.pool()), strict=True)
             amounts = [max(lacking, pool // shares) if lacking else 0 for lacking, pool in pairs]
-            batch.add(allocation, allocation.take(shard, amounts_of(amounts), fencing))
+            batch.add(allocation, allocation.take_from_pool(shard, amounts_of(amounts), fencing))
             if batch.is_full:
                 break
         self.quota.writer.send(batch, Urgency.LAUNCH)  # launches wait for it
--- a/quinceslip/quota/quota_context.py
+++ b/quinceslip/quota/quota_context.py
@@ -15,7 +15,7 @@
     """The tree, the allocations and the shards of one controller."""
 
     tree: Tree
-    actor: Context
+    ctx: Context
     election: LeaderElection
     allocations: Allocations
     writer: AllocationWriter
--- a/quinceslip/quota/shortfall_publishing.py
+++ b/quinceslip/quota/shortfall_publishing.py
@@ -28,7 +28,7 @@
 
     def publish(self, shard: int, shard_quota: ShardQuota) -> None:
         """Say durably what the pools lack; the record goes when nothing is wanted any more."""
-        ctx = self.quota.actor
+        ctx = self.quota.ctx
         record = self._want_record(shard, shard_quota)
         known: WantRecord | None = ctx.cache.by_kind[WANT].get(str(shard))
         if record == known:
@@ -47,7 +47,7 @@
         if not demands and not guarantees:
             return None
         record = WantRecord(demands, guarantees)
-        max_bytes = self.quota.actor.limits.value_kb * 1000
+        max_bytes = self.quota.ctx.limits.value_kb * 1000
         # Bound: the demands; each turn drops one.
         while record.demands and len(msgspec.json.encode(record)) > max_bytes:
             record.demands.pop()  # deep trees with long names: the rest comes when these are met
--- a/quinceslip/quota/tree_updates.py
+++ b/quinceslip/quota/tree_updates.py
@@ -34,7 +34,7 @@
 
     def tree_record_changed(self) -> None:
         """The cache has another tree record."""
-        record: TreeRecord | None = self.quota.actor.cache.by_kind[TREE].get("")
+        record: TreeRecord | None = self.quota.ctx.cache.by_kind[TREE].get("")
         newest_version, same_version_differs = self.tree.version, False
         if record is not None:
             newest_version = max(self.tree.version, record.version)
@@ -60,7 +60,7 @@
 
     def write_tree_record(self) -> None:
         """Put this controller's tree into force where it is the newest."""
-        cache = self.quota.actor.cache
+        cache = self.quota.ctx.cache
         record: TreeRecord | None = cache.by_kind[TREE].get("")
         if self.quota.shard_quotas and (record is None or record.version < self.tree.version):
             self.quota.writer.write_record(
@@ -79,7 +79,7 @@
         """Moves whose outcome is unknown are resolved by writing the record again."""
         writer = self.quota.writer
         fencing = self._fencing_of_any_shard()
-        for allocation in list(writer.indeterminate)[: self.quota.actor.limits.txn_ops]:
+        for allocation in list(writer.indeterminate)[: self.quota.ctx.limits.txn_ops]:
             if allocation.move is None or not allocation.move.indeterminate:
                 del writer.indeterminate[allocation]
             elif fencing is not None:
@@ -100,7 +100,7 @@
             for kind in (AmountKind.CAP, AmountKind.GUARANTEE):
                 if self._is_stale(grant_name(level.name, kind)):
                     self._found_stale = True
-                    allocation = self.quota.allocations.of(LevelAmount(level.index, kind))
+                    allocation = self.quota.allocations.for_level_amount(LevelAmount(level.index, kind))
                     batch.add(allocation, allocation.rewrite(fencing))
             self._levels_refreshed += 1
         if self._levels_refreshed >= len(levels) and self._found_stale:
@@ -108,7 +108,7 @@
         self.quota.writer.send(batch, Urgency.BACKGROUND)
 
     def _is_stale(self, name: str) -> bool:
-        record = self.quota.actor.cache.by_kind[GRANT].get(name)
+        record = self.quota.ctx.cache.by_kind[GRANT].get(name)
         return record is not None and record.version < self.tree.version
 
     # Lowered caps.
@@ -117,8 +117,8 @@
         """Where more is held than a lowered cap, what is not used goes back; the rest drains, and is logged."""
         allocations = self.quota.allocations
         batch = self.quota.writer.new_batch()
-        self._logged_exceeded &= allocations.exceeded.keys()
-        for name, level in sorted(allocations.exceeded.items()):
+        self._logged_exceeded &= allocations.exceeded_caps.keys()
+        for name, level in sorted(allocations.exceeded_caps.items()):
             allocation = allocations.by_name[name]
             excess = positive(times(allocation.pool(), -1))
             if name not in self._logged_exceeded:
@@ -130,7 +130,7 @@
                 )
             fencing = self.quota.election.fencing_condition(shard)
             used = shard_quota.usage.get(level, ZERO)
-            batch.add(allocation, allocation.give(shard, None, excess, used, fencing))
+            batch.add(allocation, allocation.give_unused(shard, None, excess, used, fencing))
             if batch.is_full:
                 break
         self.quota.writer.send(batch, Urgency.BACKGROUND)
--- a/tests/test_quota_properties.py
+++ b/tests/test_quota_properties.py
@@ -9,7 +9,7 @@
 
 from quinceslip.quota.amounts import UNLIMITED
 from quinceslip.quota.bench import Bed
-from quinceslip.quota.max_min import divide, fill
+from quinceslip.quota.max_min import divide, divide_by_weight
 from quinceslip.quota.tree import Level, Tree
 
 REST = (UNLIMITED, UNLIMITED, UNLIMITED)
@@ -158,7 +158,7 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.integers(0, 120), shares)
 def test_fill_is_weighted_max_min(amount: int, wants: list[tuple[int, int]]) -> None:
-    found, reference = fill(amount, wants), exact(amount, wants)
+    found, reference = divide_by_weight(amount, wants), exact(amount, wants)
     assert sum(found) == min(amount, sum(most for _, most in wants))
     assert all(abs(f - r) < len(wants) for f, r in zip(found, reference, strict=True)), (found, reference)
 
