--- a/quinceslip/cli/quota.py
+++ b/quinceslip/cli/quota.py
@@ -77,19 +77,19 @@
 
 def quota_show(arguments: argparse.Namespace) -> int:
     """Print the tree as a controller sees it."""
-    from quinceslip.quota.commands import lines
+    from quinceslip.quota.commands import format_page
     from quinceslip.quota.page_client import fetch
 
-    for line in lines(fetch(arguments.address), arguments.json):
+    for line in format_page(fetch(arguments.address), arguments.json):
         print(line)
     return 0
 
 
 def quota_record(arguments: argparse.Namespace) -> int:
     """Write samples of the tree to a file."""
-    from quinceslip.quota.commands import record_to
+    from quinceslip.quota.commands import record_to_file
 
-    print(record_to(arguments.output, arguments.address, arguments.every, arguments.length))
+    print(record_to_file(arguments.output, arguments.address, arguments.every, arguments.length))
     return 0
 
 
--- a/quinceslip/quota/admission.py
+++ b/quinceslip/quota/admission.py
@@ -13,7 +13,7 @@
     Amounts,
     accumulate,
     add,
-    positive,
+    positive_part,
     subtract,
     task_amounts,
     times,
@@ -45,7 +45,7 @@
         return self._caps_allow(spec, need) and self._targets_allow(path, need)
 
     def _caps_allow(self, spec: m.JobSpec, need: Amounts) -> bool:
-        capped = self.tree.capped[spec.team]
+        capped = self.tree.capped_levels[spec.team]
         for level in capped:
             refused = self.refused.get(level)
             if refused is not None and within(refused, need):
@@ -89,7 +89,7 @@
         """
         need = task_amounts(spec)
         count = max_count
-        for level in self.tree.capped.get(spec.team, ()):
+        for level in self.tree.capped_levels.get(spec.team, ()):
             room = self._room_for_new_machines(level, spec.job_id)
             room = subtract(room, granted_by_level.get(level, ZERO))
             for available, per_task in zip(room, need, strict=True):
@@ -100,7 +100,7 @@
 
     def _room_for_new_machines(self, level: int, job_id: str) -> Amounts:
         allocation = self.allocations.for_cap(level)
-        obtainable = add(allocation.limit(self.state.index), positive(allocation.pool()))
+        obtainable = add(allocation.limit(self.state.index), positive_part(allocation.pool()))
         return add(subtract(obtainable, self.net_usage(level)), self.wanted_room.get(job_id, ZERO))
 
     def others_hold_any(self, team: str) -> bool:
@@ -109,7 +109,7 @@
         Guard: also one that has none only because it is reserved for others. Without it, part of what a job needs would
         be made room for here while nobody has the rest, and it and those others would keep room from each other.
         """
-        for level in self.tree.capped.get(team, ()):
+        for level in self.tree.capped_levels.get(team, ()):
             if level in self.refused or level == self.last_reserved_level:
                 allocation = self.allocations.for_cap(level)
                 elsewhere = subtract(allocation.total_in_force(), allocation.held(self.state.index))
--- a/quinceslip/quota/allocation.py
+++ b/quinceslip/quota/allocation.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from quinceslip.quota.amounts import UNLIMITED, ZERO, Amounts, add, amounts_of, least, positive, subtract
+from quinceslip.quota.amounts import UNLIMITED, ZERO, Amounts, add, amounts_of, elementwise_min, positive_part, subtract
 from quinceslip.quota.quota_records import GrantRecord
 
 
@@ -111,7 +111,7 @@
         """What a shard led here may use of it now; without bound where the total has none."""
         held = self.held(shard)
         if self.move is not None and Guard.RESERVE in self.guards:
-            held = positive(subtract(held, self.move.outgoing.get(shard, ZERO)))
+            held = positive_part(subtract(held, self.move.outgoing.get(shard, ZERO)))
         total = self.total_in_force()
         return (
             UNLIMITED if total[0] >= UNLIMITED else held[0],
@@ -176,7 +176,7 @@
             return None
         taken = amounts
         if Guard.POOL in self.guards:
-            taken = least(positive(amounts), positive(self.pool()))
+            taken = elementwise_min(positive_part(amounts), positive_part(self.pool()))
         if not any(taken):
             return None
         return self._start_move({shard: add(self.held(shard), taken)}, fencing, {})
@@ -189,8 +189,8 @@
             return None
         spare = self.held(shard)
         if Guard.SPARE in self.guards:
-            spare = positive(subtract(spare, used))
-        given = least(positive(amounts), spare)
+            spare = positive_part(subtract(spare, used))
+        given = elementwise_min(positive_part(amounts), spare)
         if not any(given):
             return None
         parts = {shard: subtract(self.held(shard), given)}
--- a/quinceslip/quota/allocation_giving.py
+++ b/quinceslip/quota/allocation_giving.py
@@ -10,10 +10,10 @@
 from quinceslip.quota.allocation import Allocation
 from quinceslip.quota.allocation_writer import MoveBatch
 from quinceslip.quota.allocations import LevelAmount
-from quinceslip.quota.amounts import ZERO, Amounts, add, amounts_of, least, positive, subtract
+from quinceslip.quota.amounts import ZERO, Amounts, add, amounts_of, elementwise_min, positive_part, subtract
 from quinceslip.quota.preemption import RoomRequest
 from quinceslip.quota.quota_context import QuotaContext
-from quinceslip.quota.quota_records import WANT, AmountKind, Wanted, WantRecord
+from quinceslip.quota.quota_records import WANT, AmountKind, PublishedDemand, WantRecord
 from quinceslip.quota.shard_quota import ShardQuota
 from quinceslip.quota.shortfalls import usage_and_demand
 from quinceslip.quota.unmet_demand import UnmetDemand
@@ -77,7 +77,7 @@
                 if place is not None and not self.batch.is_full:
                     self._give_amount(asker, place, amounts_of(lacking), None)
 
-    def _give_for_demand(self, wanted: Wanted, asker: int) -> None:
+    def _give_for_demand(self, wanted: PublishedDemand, asker: int) -> None:
         still_lacking: dict[int, Amounts] = {}
         for key, amounts in wanted.shortfall.items():
             place = self.quota.allocations.place(key)
@@ -85,13 +85,13 @@
                 continue
             lacking = self._give_amount(asker, place, amounts_of(amounts), wanted)
             if place.kind == AmountKind.CAP and any(lacking):
-                still_lacking[place.level] = least(lacking, wanted.unit)
-        if not still_lacking or wanted.order.without_machines:
+                still_lacking[place.level] = elementwise_min(lacking, wanted.unit)
+        if not still_lacking or wanted.order.lacks_machines:
             return
         if self._is_our_turn(asker, next(iter(still_lacking))):
             self._preempt_for(wanted, still_lacking)
 
-    def _give_amount(self, asker: int, place: LevelAmount, lacking: Amounts, wanted: Wanted | None) -> Amounts:
+    def _give_amount(self, asker: int, place: LevelAmount, lacking: Amounts, wanted: PublishedDemand | None) -> Amounts:
         """Give what is idle of one allocation; what the asker still lacks of it."""
         allocation, used = self._usage_to_keep(place, wanted)
         spare = subtract(allocation.held(self.shard), used)
@@ -104,9 +104,9 @@
         self.batch.add(allocation, move)
         given = move.outgoing[self.shard]
         self.shard_quota.release(wanted.order.job_id if wanted is not None else "", given)
-        return positive(subtract(lacking, given))
+        return positive_part(subtract(lacking, given))
 
-    def _usage_to_keep(self, place: LevelAmount, wanted: Wanted | None) -> tuple[Allocation, Amounts]:
+    def _usage_to_keep(self, place: LevelAmount, wanted: PublishedDemand | None) -> tuple[Allocation, Amounts]:
         """An allocation, and how much of it this shard keeps for its own tasks."""
         level = place.level
         if place.kind == AmountKind.GUARANTEE:
@@ -119,11 +119,11 @@
                     used = add(used, demand.need)
         return self.quota.allocations.for_cap(level), used
 
-    def _comes_first(self, demand: UnmetDemand, wanted: Wanted) -> bool:
+    def _comes_first(self, demand: UnmetDemand, wanted: PublishedDemand) -> bool:
         """Whether our demand comes before another's, the same in every shard: a guarantee, then their order."""
-        parting = self.quota.tree.parting(demand.team, wanted.team)
-        if parting is not None:
-            our_level, their_level = parting
+        diverging_levels = self.quota.tree.diverging_levels(demand.team, wanted.team)
+        if diverging_levels is not None:
+            our_level, their_level = diverging_levels
             ours = our_level in self.shard_quota.guarantees_covering(demand.spec, demand.count)
             theirs = self.quota.tree.levels[their_level].name in wanted.covering_guarantees
             if ours != theirs:
@@ -142,7 +142,7 @@
         turn = (now_us - self.wanted_since_us.get(asker, now_us)) // PREEMPTION_TURN_US
         return holders[turn % len(holders)] == self.shard
 
-    def _preempt_for(self, wanted: Wanted, lacking: dict[int, Amounts]) -> None:
+    def _preempt_for(self, wanted: PublishedDemand, lacking: dict[int, Amounts]) -> None:
         """Preempt borrowed usage of this shard for the work of another one."""
         job = self.quota.ctx.cache.job(wanted.order.job_id)
         if job is None or job.spec is None:
@@ -151,7 +151,7 @@
         covering = {levels[name].index for name in wanted.covering_guarantees if name in levels}
         shortfall: dict[int, Amounts] = {}
         for level, amounts in lacking.items():
-            beyond_stopping = positive(subtract(amounts, self.shard_quota.stopping_usage.get(level, ZERO)))
+            beyond_stopping = positive_part(subtract(amounts, self.shard_quota.stopping_usage.get(level, ZERO)))
             if any(beyond_stopping):
                 shortfall[level] = beyond_stopping
         if shortfall:
--- a/quinceslip/quota/allocation_manager.py
+++ b/quinceslip/quota/allocation_manager.py
@@ -24,7 +24,7 @@
 from quinceslip.quota.shard_quota import ShardQuota
 from quinceslip.quota.shortfall_publishing import ShortfallPublisher
 from quinceslip.quota.shortfalls import Shortfalls
-from quinceslip.quota.status_page import page
+from quinceslip.quota.status_page import build_page
 from quinceslip.quota.tree import Tree
 from quinceslip.quota.tree_updates import TreeUpdater
 
@@ -71,7 +71,7 @@
 
     def rejection_reason(self, spec: m.JobSpec) -> str | None:
         """The level whose cap a job can never fit, for the 422 of its user."""
-        return self.tree.never_fits(spec)
+        return self.tree.cap_rejection_reason(spec)
 
     def batch_ended(self) -> None:
         """Take from the pools what placement has found to be short."""
@@ -88,13 +88,13 @@
         self._tree_updater.refresh_records()
         for shard, shard_quota in self.shard_quotas.items():
             if shard_quota.usage_known():
-                self._tree_updater.return_exceeding(shard, shard_quota)
+                self._tree_updater.return_excess(shard, shard_quota)
                 self._giver.give_to_others(shard, shard_quota)
                 self._publisher.publish(shard, shard_quota)
 
     def answer(self, question: str, after: str) -> Any:
         """The page of levels that `/quota` shows."""
-        return page(self.tree, self.allocations, self.shard_quotas, after, self._tree_updater.trouble)
+        return build_page(self.tree, self.allocations, self.shard_quotas, after, self._tree_updater.tree_conflict)
 
 
 def attach(tree: Tree) -> SubsystemFactory:
--- a/quinceslip/quota/amounts.py
+++ b/quinceslip/quota/amounts.py
@@ -13,7 +13,7 @@
 #: how many units of an amount make one of what operators write
 SCALE = (1000, 1000, 1000, 1)
 #: number of resources in an amount
-KINDS = len(RESOURCES)
+NUM_RESOURCES = len(RESOURCES)
 #: no cap, or a resource that a guarantee does not speak of
 UNLIMITED = 1 << 60
 #: CPUs, GPUs, memory, tasks
@@ -50,12 +50,12 @@
     return (a[0] * count, a[1] * count, a[2] * count, a[3] * count)
 
 
-def least(a: Sequence[int], b: Sequence[int]) -> Amounts:
+def elementwise_min(a: Sequence[int], b: Sequence[int]) -> Amounts:
     """The smaller of the two in each resource."""
     return (min(a[0], b[0]), min(a[1], b[1]), min(a[2], b[2]), min(a[3], b[3]))
 
 
-def positive(a: Sequence[int]) -> Amounts:
+def positive_part(a: Sequence[int]) -> Amounts:
     """`a` with nothing in place of what is negative."""
     return (max(a[0], 0), max(a[1], 0), max(a[2], 0), max(a[3], 0))
 
--- a/quinceslip/quota/bench.py
+++ b/quinceslip/quota/bench.py
@@ -47,7 +47,7 @@
     stopped: int
 
 
-class Bed:
+class ShardHarness:
     """One shard that holds all of every level's amounts; `pass_` is one scheduling pass."""
 
     def __init__(self, tree: Tree | None, machines: int, cpus: float) -> None:
--- a/quinceslip/quota/commands.py
+++ b/quinceslip/quota/commands.py
@@ -50,7 +50,7 @@
     return [Team(name) for name in sorted((names | listed) - parents - with_teams - {""})]
 
 
-def lines(page: dict[str, Any], as_json: bool) -> Iterable[str]:
+def format_page(page: dict[str, Any], as_json: bool) -> Iterable[str]:
     """What `quota show` prints of a controller's answer."""
     if as_json:
         yield msgspec.json.encode(page).decode()
@@ -62,7 +62,7 @@
     yield from table(page["levels"])
 
 
-def record_to(path: Path, addresses: list[str], every_s: float, for_s: float) -> str:
+def record_to_file(path: Path, addresses: list[str], every_s: float, for_s: float) -> str:
     """Samples of all the controllers named, until the time is over."""
     interval_allowed = MIN_SAMPLE_INTERVAL_S <= every_s <= MAX_SAMPLE_INTERVAL_S
     if not interval_allowed or not 0 < for_s <= MAX_RECORDING_DAYS * _DAY_S:
--- a/quinceslip/quota/fair_share_order.py
+++ b/quinceslip/quota/fair_share_order.py
@@ -18,7 +18,7 @@
     Amounts,
     accumulate,
     add,
-    positive,
+    positive_part,
     subtract,
     task_amounts,
     times,
@@ -89,7 +89,7 @@
         self.has_partitions_on_hold = False
         for partition in queue:
             partition.on_hold = False
-            path = self.tree.guaranteed.get(partition.spec.team)
+            path = self.tree.guaranteed_levels.get(partition.spec.team)
             if path:
                 accumulate(self.demand, path, times(task_amounts(partition.spec), len(partition.pending)))
 
@@ -200,7 +200,7 @@
     def _fair_key_of_level(self, level: int) -> FairKey:
         guaranteed, used = self.guaranteed_here(level), self.usage.get(level, ZERO)
         below = any(amount < limit < UNLIMITED for amount, limit in zip(used, guaranteed, strict=True))
-        borrowed = largest_share(positive(subtract(used, guaranteed)), self.capacity)
+        borrowed = largest_share(positive_part(subtract(used, guaranteed)), self.capacity)
         return float(not below), borrowed / self.tree.levels[level].weight
 
 
--- a/quinceslip/quota/fair_share_targets.py
+++ b/quinceslip/quota/fair_share_targets.py
@@ -4,15 +4,15 @@
 from dataclasses import dataclass
 
 from quinceslip.quota.amounts import (
-    KINDS,
+    NUM_RESOURCES,
     UNLIMITED,
     ZERO,
     Amounts,
     accumulate,
     add,
     amounts_of,
-    least,
-    positive,
+    elementwise_min,
+    positive_part,
     subtract,
     within,
 )
@@ -71,7 +71,7 @@
 
         Bound: as deep as the tree, which its settings limit (`level_checks.MAX_TREE_DEPTH`).
         """
-        room = positive(subtract(capacity, taken))
+        room = positive_part(subtract(capacity, taken))
         claims = [self._claim(level, need[level], room) for level in siblings]
         for level, share, claim in zip(siblings, divide(WHOLE_SHARE, claims), claims, strict=True):
             targets[level] = _scale(need[level], share, claim.need) if share < claim.need else need[level]
@@ -80,7 +80,7 @@
                 used = self.usage.usage.get(level, ZERO)
                 for child in children:
                     used = subtract(used, self.usage.usage.get(child, ZERO))
-                limit = least(_unbounded_where(targets[level], capacity), self.usage.limit_here(level))
+                limit = elementwise_min(_unbounded_where(targets[level], capacity), self.usage.limit_here(level))
                 self._divide(children, limit, used, need, targets)
 
     def _claim(self, level: int, need: Amounts, room: Amounts) -> Claim:
@@ -92,7 +92,7 @@
     """The largest share that an amount takes of another in any resource, in parts of WHOLE_SHARE."""
     shares = [
         amounts[kind] * WHOLE_SHARE // max(whole[kind], 1)
-        for kind in range(KINDS)
+        for kind in range(NUM_RESOURCES)
         if whole[kind] < UNLIMITED and amounts[kind] < UNLIMITED
     ]
     return max(shares, default=0)
--- a/quinceslip/quota/level_checks.py
+++ b/quinceslip/quota/level_checks.py
@@ -1,7 +1,7 @@
 """Checks the levels of the operators' file as a whole: they are a forest, and its guarantees can be kept."""
 
 from quinceslip.protocol.settings import SettingsError
-from quinceslip.quota.amounts import KINDS, RESOURCES, SCALE, UNLIMITED, ZERO, Amounts, add
+from quinceslip.quota.amounts import NUM_RESOURCES, RESOURCES, SCALE, UNLIMITED, ZERO, Amounts, add
 from quinceslip.quota.level_reader import LevelReader, section_of
 from quinceslip.quota.tree import Level, Tree
 
@@ -53,7 +53,7 @@
     """Raise SettingsError where a guarantee is over a cap, or over what the level above it guarantees."""
     for level in tree.levels:
         together = _guarantees_beneath(tree, level)
-        for kind in range(KINDS):
+        for kind in range(NUM_RESOURCES):
             _check_kind(reader, tree, level, together, kind)
 
 
--- a/quinceslip/quota/level_reader.py
+++ b/quinceslip/quota/level_reader.py
@@ -6,7 +6,16 @@
 from urllib.parse import quote
 
 from quinceslip.protocol.settings import SettingsError, Team
-from quinceslip.quota.amounts import RESOURCES, SCALE, UNLIMITED, UNLIMITED_AMOUNTS, ZERO, Amounts, amounts_of, least
+from quinceslip.quota.amounts import (
+    RESOURCES,
+    SCALE,
+    UNLIMITED,
+    UNLIMITED_AMOUNTS,
+    ZERO,
+    Amounts,
+    amounts_of,
+    elementwise_min,
+)
 from quinceslip.quota.tree import Level
 
 SECTION = "quota"
@@ -126,7 +135,7 @@
             level.parent = level_of(section)
         for name, team_settings in self.teams.items():
             level = self.levels.setdefault(name, Level(name, team=True))
-            level.cap = least(level.cap, platform_cap(team_settings))
+            level.cap = elementwise_min(level.cap, platform_cap(team_settings))
             if name not in self.stated:
                 level.guarantee = platform_guarantee(team_settings)
             if any(level.guarantee):
--- a/quinceslip/quota/pass_cost.py
+++ b/quinceslip/quota/pass_cost.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from quinceslip.quota.amounts import UNLIMITED, Amounts
-from quinceslip.quota.bench import Bed
+from quinceslip.quota.harness import ShardHarness
 from quinceslip.quota.tree import Level, Tree
 
 LEAVES_PER_GROUP = 100
@@ -36,14 +36,14 @@
     levels = _levels(leaves, machines)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    bed = Bed(Tree(levels) if with_tree else None, machines, float(CPUS_PER_MACHINE))
+    harness = ShardHarness(Tree(levels) if with_tree else None, machines, float(CPUS_PER_MACHINE))
     used_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     for leaf in range(leaves):
-        bed.submit(f"t{leaf}", TASKS_PER_LEAF, 1.0)
-    filling_us = _time_pass(bed)
-    full_us = _time_pass(bed)
-    return PassCost(leaves, machines, filling_us, full_us, bed.placement.workers_examined, used_bytes / leaves)
+        harness.submit(f"t{leaf}", TASKS_PER_LEAF, 1.0)
+    filling_us = _time_pass(harness)
+    full_us = _time_pass(harness)
+    return PassCost(leaves, machines, filling_us, full_us, harness.placement.workers_examined, used_bytes / leaves)
 
 
 def _levels(leaves: int, machines: int) -> list[Level]:
@@ -61,7 +61,7 @@
     return (thousandths, UNLIMITED, UNLIMITED, UNLIMITED)
 
 
-def _time_pass(bed: Bed) -> int:
+def _time_pass(harness: ShardHarness) -> int:
     started_ns = time.perf_counter_ns()
-    bed.run_pass()
+    harness.run_pass()
     return (time.perf_counter_ns() - started_ns) // 1000
--- a/quinceslip/quota/plots.py
+++ b/quinceslip/quota/plots.py
@@ -35,7 +35,7 @@
     while (at_s := time.monotonic() - started) < for_s:
         pages = _fetch_all(fetch, addresses)
         if pages:
-            out.write(msgspec.json.encode({"at_s": round(at_s, 3), "levels": merged(pages)}).decode() + "\n")
+            out.write(msgspec.json.encode({"at_s": round(at_s, 3), "levels": merge_pages(pages)}).decode() + "\n")
             out.flush()
             written += 1
         time.sleep(max(0.0, started + (written + 1) * every_s - time.monotonic()))
@@ -51,7 +51,7 @@
     return pages
 
 
-def merged(pages: Sequence[dict[str, Any]]) -> list[dict[str, Any]]:
+def merge_pages(pages: Sequence[dict[str, Any]]) -> list[dict[str, Any]]:
     """Levels of several controllers, with what each reports of its own shards added up."""
     levels: dict[str, dict[str, Any]] = {}
     for page in pages:
--- a/quinceslip/quota/pool_taking.py
+++ b/quinceslip/quota/pool_taking.py
@@ -2,7 +2,7 @@
 
 from quinceslip.coordination.actor.effects import Urgency
 from quinceslip.coordination.actor.timing import SECOND
-from quinceslip.quota.amounts import amounts_of, positive
+from quinceslip.quota.amounts import amounts_of, positive_part
 from quinceslip.quota.quota_context import QuotaContext
 from quinceslip.quota.shard_quota import ShardQuota
 from quinceslip.quota.shortfalls import Shortfalls
@@ -42,7 +42,7 @@
             *self.shortfalls.of_caps(shard, shard_quota).items(),
             *self.shortfalls.of_guarantees(shard, shard_quota).items(),
         ]:
-            pairs = zip(shortfall, positive(allocation.pool()), strict=True)
+            pairs = zip(shortfall, positive_part(allocation.pool()), strict=True)
             amounts = [max(lacking, pool // shares) if lacking else 0 for lacking, pool in pairs]
             batch.add(allocation, allocation.take_from_pool(shard, amounts_of(amounts), fencing))
             if batch.is_full:
--- a/quinceslip/quota/preemption.py
+++ b/quinceslip/quota/preemption.py
@@ -9,7 +9,7 @@
 
 from quinceslip.coordination.shard_state.worker import EPSILON, Attempt, Worker, fits
 from quinceslip.protocol import messages as m
-from quinceslip.quota.amounts import ZERO, Amounts, accumulate, positive, subtract, within
+from quinceslip.quota.amounts import ZERO, Amounts, accumulate, positive_part, subtract, within
 from quinceslip.quota.usage import UsageMeter
 
 #: the last priority class (urgent, production) that may preempt lower ones without a guarantee
@@ -35,11 +35,11 @@
         what rests on a guarantee unless the job does as well: the victim's team would claim the room back at
         once, and the two would preempt each other for ever.
         """
-        parting = self.usage.tree.parting(self.spec.team, victim.spec.team)
+        diverging_levels = self.usage.tree.diverging_levels(self.spec.team, victim.spec.team)
         higher = self.spec.priority <= MAX_PREEMPTING_PRIORITY and victim.spec.priority > self.spec.priority
-        if parting is None:
+        if diverging_levels is None:
             return higher
-        own_level, victim_level = parting
+        own_level, victim_level = diverging_levels
         if own_level in self.covering_guarantees:
             return higher or self._is_borrowed(victim, victim_level)
         return higher and self._is_borrowed(victim, victim_level)
@@ -171,7 +171,7 @@
             lacking = self.shortfall.get(level)
             if lacking is None:
                 continue
-            lacking = positive(subtract(lacking, victim.counted_usage or ZERO))
+            lacking = positive_part(subtract(lacking, victim.counted_usage or ZERO))
             if any(lacking):
                 self.shortfall[level] = lacking
             else:
--- a/quinceslip/quota/quota_records.py
+++ b/quinceslip/quota/quota_records.py
@@ -44,13 +44,13 @@
     """Which of two unmet demands comes first: the smaller one, a total order over all shards."""
 
     #: 0 where machines have room for it, else 1
-    without_machines: int
+    lacks_machines: int
     priority: int
     submitted_us: int
     job_id: str
 
 
-class Wanted(msgspec.Struct):
+class PublishedDemand(msgspec.Struct):
     """One unmet demand that a shard cannot meet from the pools."""
 
     team: str
@@ -65,7 +65,7 @@
 class WantRecord(msgspec.Struct, omit_defaults=True):
     """What one shard asks the others for."""
 
-    demands: list[Wanted] = msgspec.field(name="claims", default_factory=list)
+    demands: list[PublishedDemand] = msgspec.field(name="claims", default_factory=list)
     #: by key of an allocation, how much of guarantees the running and waiting tasks of the shard lack
     guarantees: dict[str, list[int]] = msgspec.field(name="own", default_factory=dict)
 
--- a/quinceslip/quota/shard_quota.py
+++ b/quinceslip/quota/shard_quota.py
@@ -15,7 +15,17 @@
 from quinceslip.protocol import messages as m
 from quinceslip.quota.admission import QuotaAdmission
 from quinceslip.quota.allocations import Allocations
-from quinceslip.quota.amounts import ZERO, Amounts, accumulate, add, positive, subtract, task_amounts, times, within
+from quinceslip.quota.amounts import (
+    ZERO,
+    Amounts,
+    accumulate,
+    add,
+    positive_part,
+    subtract,
+    task_amounts,
+    times,
+    within,
+)
 from quinceslip.quota.preemption import (
     MAX_PREEMPTING_PRIORITY,
     GangPlaces,
@@ -104,7 +114,7 @@
             return
         if self.others_hold_any(spec.team):
             self.unmet_demands[spec.team] = self._unmet_demand(partition, count, placeable, waiting)
-        entitled = spec.priority <= MAX_PREEMPTING_PRIORITY or bool(self.tree.guaranteed.get(spec.team))
+        entitled = spec.priority <= MAX_PREEMPTING_PRIORITY or bool(self.tree.guaranteed_levels.get(spec.team))
         if entitled and self.usage_known():
             self._preempt_for(partition, count, placeable, workers)
 
@@ -118,16 +128,16 @@
         """By level, how much more the shard would have to hold, or others stop using."""
         need = times(task_amounts(spec), count)
         shortfalls: dict[int, Amounts] = {}
-        for level in self.tree.capped.get(spec.team, ()):
+        for level in self.tree.capped_levels.get(spec.team, ()):
             wanted = add(self._committed_usage(level, spec.job_id), need)
-            lacking = positive(subtract(wanted, self.limit_here(level)))
+            lacking = positive_part(subtract(wanted, self.limit_here(level)))
             if any(lacking):
                 shortfalls[level] = lacking
         return shortfalls
 
     def guarantees_covering(self, spec: m.JobSpec, count: int = 1) -> set[int]:
         """The levels within whose guarantee that many tasks more would be."""
-        path = self.tree.guaranteed.get(spec.team)
+        path = self.tree.guaranteed_levels.get(spec.team)
         if not path:
             return set()
         need = times(task_amounts(spec), count)
--- a/quinceslip/quota/shortfall_publishing.py
+++ b/quinceslip/quota/shortfall_publishing.py
@@ -4,9 +4,9 @@
 
 from quinceslip.coordination.actor.timing import SECOND
 from quinceslip.quota.allocation import Allocation
-from quinceslip.quota.amounts import Amounts, add, least, positive, subtract
+from quinceslip.quota.amounts import Amounts, add, elementwise_min, positive_part, subtract
 from quinceslip.quota.quota_context import QuotaContext
-from quinceslip.quota.quota_records import WANT, Wanted, WantRecord, want_key
+from quinceslip.quota.quota_records import WANT, PublishedDemand, WantRecord, want_key
 from quinceslip.quota.shard_quota import ShardQuota
 from quinceslip.quota.shortfalls import Shortfalls
 from quinceslip.quota.unmet_demand import UnmetDemand
@@ -53,18 +53,18 @@
             record.demands.pop()  # deep trees with long names: the rest comes when these are met
         return record
 
-    def _wanted_demands(self, shard: int, shard_quota: ShardQuota) -> list[Wanted]:
+    def _wanted_demands(self, shard: int, shard_quota: ShardQuota) -> list[PublishedDemand]:
         demands = sorted(shard_quota.unmet_demands.values(), key=lambda demand: demand.order)
         wanted = [self._wanted(shard, shard_quota, demand) for demand in demands]
         return [entry for entry in wanted if entry is not None][:MAX_PUBLISHED_DEMANDS]
 
-    def _wanted(self, shard: int, shard_quota: ShardQuota, demand: UnmetDemand) -> Wanted | None:
+    def _wanted(self, shard: int, shard_quota: ShardQuota, demand: UnmetDemand) -> PublishedDemand | None:
         """The entry of an unmet demand; None if the pools have all it lacks."""
         shortfall: dict[str, list[int]] = {}
-        for level in self.quota.tree.capped[demand.team]:
+        for level in self.quota.tree.capped_levels[demand.team]:
             allocation = self.quota.allocations.for_cap(level)
             needed = add(shard_quota.net_usage(level), demand.need)
-            lacking = positive(subtract(needed, allocation.limit(shard)))
+            lacking = positive_part(subtract(needed, allocation.limit(shard)))
             beyond_pool = _beyond_pool(shard, allocation, lacking)
             if any(beyond_pool):
                 shortfall[allocation.key] = list(beyond_pool)
@@ -72,7 +72,7 @@
             return None
         covering = shard_quota.guarantees_covering(demand.spec, demand.count)
         names = sorted(self.quota.tree.levels[level].name for level in covering)
-        return Wanted(demand.team, list(demand.unit), shortfall, demand.order, names)
+        return PublishedDemand(demand.team, list(demand.unit), shortfall, demand.order, names)
 
     def _wanted_guarantees(self, shard: int, shard_quota: ShardQuota) -> dict[str, list[int]]:
         wanted: dict[str, list[int]] = {}
@@ -85,9 +85,9 @@
 
 def _beyond_pool(shard: int, allocation: Allocation, lacking: Amounts) -> Amounts:
     """The part of a shortfall that only other holders can meet."""
-    pool = positive(allocation.pool())
-    held_by_others = positive(subtract(subtract(allocation.total_in_force(), pool), allocation.held(shard)))
-    return least(positive(subtract(lacking, pool)), held_by_others)
+    pool = positive_part(allocation.pool())
+    held_by_others = positive_part(subtract(subtract(allocation.total_in_force(), pool), allocation.held(shard)))
+    return elementwise_min(positive_part(subtract(lacking, pool)), held_by_others)
 
 
 def _asks_for(record: WantRecord) -> list[tuple[str, list[str]]]:
--- a/quinceslip/quota/shortfalls.py
+++ b/quinceslip/quota/shortfalls.py
@@ -2,7 +2,7 @@
 
 from quinceslip.quota.allocation import Allocation
 from quinceslip.quota.allocations import Allocations
-from quinceslip.quota.amounts import ZERO, Amounts, add, least, positive, subtract
+from quinceslip.quota.amounts import ZERO, Amounts, add, elementwise_min, positive_part, subtract
 from quinceslip.quota.shard_quota import ShardQuota
 from quinceslip.quota.tree import Tree
 
@@ -19,13 +19,13 @@
         """By allocation of a cap, what the shard lacks for its unmet demands."""
         wanted: dict[int, Amounts] = {}
         for demand in sorted(shard_quota.unmet_demands.values(), key=lambda demand: demand.order):
-            for level in reversed(self.tree.capped[demand.team]):
+            for level in reversed(self.tree.capped_levels[demand.team]):
                 wanted[level] = add(wanted.get(level, shard_quota.net_usage(level)), demand.need)
         shortfalls = {}
         for level, amounts in wanted.items():
             allocation = self.allocations.for_cap(level)
-            attainable = least(amounts, allocation.total_in_force())
-            shortfalls[allocation] = positive(subtract(attainable, allocation.limit(shard)))
+            attainable = elementwise_min(amounts, allocation.total_in_force())
+            shortfalls[allocation] = positive_part(subtract(attainable, allocation.limit(shard)))
         return shortfalls
 
     def of_guarantees(self, shard: int, shard_quota: ShardQuota) -> dict[Allocation, Amounts]:
@@ -39,8 +39,8 @@
             if not shard_quota.unmet_demands and not used_by_others:
                 continue
             allocation = self.allocations.for_guarantee(level)
-            attainable = least(usage_and_demand(shard_quota, level), allocation.total_in_force())
-            lacking = positive(subtract(attainable, allocation.limit(shard)))
+            attainable = elementwise_min(usage_and_demand(shard_quota, level), allocation.total_in_force())
+            lacking = positive_part(subtract(attainable, allocation.limit(shard)))
             if any(lacking):
                 shortfalls[allocation] = lacking
         return shortfalls
--- a/quinceslip/quota/status_page.py
+++ b/quinceslip/quota/status_page.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from quinceslip.quota.allocations import Allocations
-from quinceslip.quota.amounts import RESOURCES, ZERO, Amounts, accumulate, add, positive, shown, subtract
+from quinceslip.quota.amounts import RESOURCES, ZERO, Amounts, accumulate, add, positive_part, shown, subtract
 from quinceslip.quota.shard_quota import ShardQuota
 from quinceslip.quota.tree import Level, Tree
 
@@ -14,7 +14,7 @@
 COLUMNS = ("guaranteed", "cap", "used", "lent", "borrowed", "waiting")
 
 
-def page(
+def build_page(
     tree: Tree, allocations: Allocations, shard_quotas: Mapping[int, ShardQuota], after: str, trouble: str
 ) -> dict[str, Any]:
     """Levels in the tree's order, beginning after the one named; `more` if there are others.
@@ -51,7 +51,7 @@
         used = add(used, shard_quota.usage.get(level.index, ZERO))
         if level.guaranteed:
             guaranteed = add(guaranteed, allocations.for_guarantee(level.index).held(shard))
-    borrowed = positive(subtract(used, guaranteed)) if any(used) else ZERO
+    borrowed = positive_part(subtract(used, guaranteed)) if any(used) else ZERO
     entry: dict[str, Any] = {
         "level": level.name,
         "parent": level.parent,
@@ -61,7 +61,7 @@
         "guaranteed": shown(level.guarantee),
         "cap": shown(level.cap),
         "used": shown(used),
-        "lent": shown(positive(subtract(guaranteed, used))),
+        "lent": shown(positive_part(subtract(guaranteed, used))),
         "borrowed": shown(borrowed),
         "waiting": shown(waiting),
     }
--- a/quinceslip/quota/tree.py
+++ b/quinceslip/quota/tree.py
@@ -9,7 +9,7 @@
 
 from quinceslip.protocol import messages as m
 from quinceslip.quota.amounts import (
-    KINDS,
+    NUM_RESOURCES,
     RESOURCES,
     SCALE,
     UNLIMITED,
@@ -17,7 +17,7 @@
     ZERO,
     Amounts,
     add,
-    least,
+    elementwise_min,
     task_amounts,
     times,
 )
@@ -57,11 +57,11 @@
         #: the levels that are teams, by name
         self.leaves: dict[str, Level] = {level.name: level for level in self.levels if level.team}
         #: by team, the levels of its path that have a cap, and those that have a guarantee
-        self.capped: dict[str, tuple[int, ...]] = {}
-        self.guaranteed: dict[str, tuple[int, ...]] = {}
+        self.capped_levels: dict[str, tuple[int, ...]] = {}
+        self.guaranteed_levels: dict[str, tuple[int, ...]] = {}
         for leaf in self.leaves.values():
-            self.capped[leaf.name] = tuple(index for index in leaf.path if self.levels[index].capped)
-            self.guaranteed[leaf.name] = tuple(index for index in leaf.path if self.levels[index].guaranteed)
+            self.capped_levels[leaf.name] = tuple(index for index in leaf.path if self.levels[index].capped)
+            self.guaranteed_levels[leaf.name] = tuple(index for index in leaf.path if self.levels[index].guaranteed)
         #: the same for trees with the same levels
         self.digest = self._digest()
 
@@ -102,7 +102,7 @@
             child = self.levels[index]
             if child.guaranteed:
                 total = add(total, child.guarantee)
-        return least(total, UNLIMITED_AMOUNTS)
+        return elementwise_min(total, UNLIMITED_AMOUNTS)
 
     def _digest(self) -> str:
         lines = (f"{v.name} {v.parent} {v.weight} {v.cap} {v.guarantee}" for v in self.levels)
@@ -113,7 +113,7 @@
         leaf = self.leaves.get(team)
         return leaf.path if leaf is not None else ()
 
-    def parting(self, one: str, other: str) -> tuple[int, int] | None:
+    def diverging_levels(self, one: str, other: str) -> tuple[int, int] | None:
         """Where the paths of two teams part: the level on either side, siblings of each other.
 
         None where a team is not in the tree, or both are the same.
@@ -127,7 +127,7 @@
             place += 1
         return path[-place], other_path[-place]
 
-    def never_fits(self, spec: m.JobSpec) -> str | None:
+    def cap_rejection_reason(self, spec: m.JobSpec) -> str | None:
         """The level under which a job can never run, and the amount, for its user; None if it may run.
 
         An array needs room for one task, a service or gang for all of them (PROTOCOL, 422).
@@ -136,7 +136,7 @@
         need = times(task_amounts(spec), count)
         for index in self.path(spec.team):
             level = self.levels[index]
-            for kind in range(KINDS):
+            for kind in range(NUM_RESOURCES):
                 if need[kind] > level.cap[kind]:
                     cap, asked = level.cap[kind] / SCALE[kind], need[kind] / SCALE[kind]
                     return f"over the limit of {level.name}: {RESOURCES[kind]} {asked:g}, at most {cap:g}"
--- a/quinceslip/quota/tree_updates.py
+++ b/quinceslip/quota/tree_updates.py
@@ -4,7 +4,7 @@
 
 from quinceslip.coordination.actor.effects import Urgency
 from quinceslip.quota.allocations import LevelAmount
-from quinceslip.quota.amounts import ZERO, positive, shown, times
+from quinceslip.quota.amounts import ZERO, positive_part, shown, times
 from quinceslip.quota.quota_context import QuotaContext
 from quinceslip.quota.quota_records import GRANT, TREE, TREE_KEY, AmountKind, TreeRecord, grant_name
 from quinceslip.quota.shard_quota import ShardQuota
@@ -113,14 +113,14 @@
 
     # Lowered caps.
 
-    def return_exceeding(self, shard: int, shard_quota: ShardQuota) -> None:
+    def return_excess(self, shard: int, shard_quota: ShardQuota) -> None:
         """Where more is held than a lowered cap, what is not used goes back; the rest drains, and is logged."""
         allocations = self.quota.allocations
         batch = self.quota.writer.new_batch()
         self._logged_exceeded &= allocations.exceeded_caps.keys()
         for name, level in sorted(allocations.exceeded_caps.items()):
             allocation = allocations.by_name[name]
-            excess = positive(times(allocation.pool(), -1))
+            excess = positive_part(times(allocation.pool(), -1))
             if name not in self._logged_exceeded:
                 self._logged_exceeded.add(name)
                 log.info(
--- a/quinceslip/quota/usage.py
+++ b/quinceslip/quota/usage.py
@@ -18,7 +18,7 @@
     Amounts,
     accumulate,
     add,
-    positive,
+    positive_part,
     subtract,
     task_amounts,
 )
@@ -173,4 +173,4 @@
         """So much of what is reserved for a job has been taken."""
         reservation = self.reservations.get(job_id)
         if reservation is not None:
-            reservation.room = positive(subtract(reservation.room, amounts))
+            reservation.room = positive_part(subtract(reservation.room, amounts))
--- a/tests/inputs.py
+++ b/tests/inputs.py
@@ -13,7 +13,7 @@
 from quinceslip.protocol import messages as m
 from quinceslip.protocol.settings import SettingsError, Team, load_settings, load_tuning, read_operator_file
 from quinceslip.quota.config import load_tree
-from quinceslip.quota.plots import merged
+from quinceslip.quota.plots import merge_pages
 from quinceslip.quota.tree import Tree
 from tests.simulation.inputs import job_spec
 
@@ -202,7 +202,9 @@
         "lent": {},
         "borrowed": {},
     }
-    samples.write_text("\n".join(json.dumps({"at_s": t, "levels": merged([{"levels": [level]}] * 2)}) for t in (0, 1)))
+    samples.write_text(
+        "\n".join(json.dumps({"at_s": t, "levels": merge_pages([{"levels": [level]}] * 2)}) for t in (0, 1))
+    )
     assert json.loads(samples.read_text().splitlines()[0])["levels"][0]["used"] == {"cpus": 4.0}
     assert main(["quota", "plot", str(samples), "-o", str(tmp / "usage.html")]) == 0
     assert "<svg" in (tmp / "usage.html").read_text()
--- a/tests/scenario/users.py
+++ b/tests/scenario/users.py
@@ -4,7 +4,7 @@
 from functools import partial
 from typing import Any
 
-from quinceslip.quota.plots import merged
+from quinceslip.quota.plots import merge_pages
 from tests.scenario.state import RunnerState
 from tests.scenario.submission import MAX_RETRIES_US, Submission, read_spec
 from tests.scenario.tools import COMPARE
@@ -23,7 +23,7 @@
 
         def write() -> None:
             with open(args[0], "a", encoding="utf-8") as out:
-                out.write(json.dumps({"at_s": world.now_us / US, "levels": merged(pages)}) + "\n")
+                out.write(json.dumps({"at_s": world.now_us / US, "levels": merge_pages(pages)}) + "\n")
 
         world.after(20_000, write)
         if world.now_us < named["until"] * US:
--- a/tests/test_golden_samples.py
+++ b/tests/test_golden_samples.py
@@ -33,9 +33,9 @@
 from quinceslip.protocol.settings import SettingsError, load_settings, load_tuning, read_operator_file
 from quinceslip.quota import allocations, quota_records
 from quinceslip.quota.allocation_manager import AllocationManager
-from quinceslip.quota.commands import lines as quota_table
+from quinceslip.quota.commands import format_page as quota_table
 from quinceslip.quota.config import load_tree
-from quinceslip.quota.status_page import page as quota_page
+from quinceslip.quota.status_page import build_page as quota_page
 from quinceslip.storage import records, task_sets
 
 # Adapter: the names of the program. A rename edits this block and nothing else.
--- a/tests/test_quota_properties.py
+++ b/tests/test_quota_properties.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from quinceslip.quota.amounts import UNLIMITED
-from quinceslip.quota.bench import Bed
+from quinceslip.quota.harness import ShardHarness
 from quinceslip.quota.max_min import divide, divide_by_weight
 from quinceslip.quota.tree import Level, Tree
 
@@ -73,10 +73,10 @@
 )
 
 
-def used_from_scratch(tree: Tree, bed: Bed) -> dict[str, int]:
+def used_from_scratch(tree: Tree, harness: ShardHarness) -> dict[str, int]:
     """Thousandths of CPUs beneath each level, from what runs."""
     used = dict.fromkeys(tree.by_name, 0)
-    for attempt in bed.running():
+    for attempt in harness.running():
         name = attempt.spec.team
         while name:
             used[name] += round(attempt.spec.cpus * 1000)
@@ -87,27 +87,27 @@
 @settings(max_examples=250, deadline=None, derandomize=True)
 @given(trees(), work, st.integers(1, 4), st.randoms(use_true_random=False))
 def test_caps_hold_and_no_room_is_wasted(tree: Tree, jobs: list[Any], machines: int, chance: random.Random) -> None:
-    bed = Bed(tree, machines, 8.0)
+    harness = ShardHarness(tree, machines, 8.0)
     teams = sorted(tree.leaves)
     for team, tasks, cpus, priority_class, kind, ends in jobs:
-        bed.submit(teams[team % len(teams)], tasks, cpus, priority_class, kind)
+        harness.submit(teams[team % len(teams)], tasks, cpus, priority_class, kind)
         for _ in range(30):
-            moved = bed.run_pass()
-            used = used_from_scratch(tree, bed)
+            moved = harness.run_pass()
+            used = used_from_scratch(tree, harness)
             for level in tree.levels:
                 assert used[level.name] <= level.cap[0], (level.name, used)
             if moved == (0, 0):
                 break
         else:
             raise AssertionError("passes do not come to an end")
-        for partition in bed.state.partitions.values():
+        for partition in harness.state.partitions.values():
             # What could start without stopping anything must have been started.
             if not partition.pending or (partition.spec.gang and partition.attempts):
                 continue  # the rest of a gang that lost a task ends by itself on real machines
             whole = partition.spec.gang or (partition.spec.service and not partition.attempts)
             need = round(partition.spec.cpus * 1000) * (len(partition.pending) if whole else 1)
             path = [tree.levels[i] for i in tree.path(partition.spec.team)]
-            free = [w.free()[0] for w in bed.state.workers.values()]
+            free = [w.free()[0] for w in harness.state.workers.values()]
             fits = (
                 max(free) >= partition.spec.cpus
                 if not partition.spec.gang
@@ -115,8 +115,8 @@
             )
             room = all(used[level.name] + need <= level.cap[0] for level in path)
             assert not (fits and room), (partition.job_id, partition.spec, used, free)
-        if ends and bed.running():
-            bed.finish(chance.choice(sorted(bed.running(), key=lambda a: a.name)))
+        if ends and harness.running():
+            harness.finish(chance.choice(sorted(harness.running(), key=lambda a: a.name)))
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -126,16 +126,16 @@
     name = teams[owner % len(teams)]
     guarantee = tree.by_name[name].guarantee[0] // 1000
     cpus = max(1, tree.by_name["root"].cap[0] // 1000)
-    bed = Bed(tree, 1, float(cpus))
+    harness = ShardHarness(tree, 1, float(cpus))
     for other in teams:
         if other != name:
-            bed.submit(other, 60)
-    bed.run_pass()
-    bed.submit(name, wanted)
-    bed.run_pass()  # whatever must stop for it is stopped in this one
-    bed.run_pass()
-    mine = [a for a in bed.running() if a.spec.team == name]
-    assert len(mine) >= min(wanted, guarantee), (guarantee, used_from_scratch(tree, bed))
+            harness.submit(other, 60)
+    harness.run_pass()
+    harness.submit(name, wanted)
+    harness.run_pass()  # whatever must stop for it is stopped in this one
+    harness.run_pass()
+    mine = [a for a in harness.running() if a.spec.team == name]
+    assert len(mine) >= min(wanted, guarantee), (guarantee, used_from_scratch(tree, harness))
 
 
 def exact(amount: int, wants: list[tuple[int, int]]) -> list[Fraction]:
@@ -197,16 +197,16 @@
         levels.append(Level(f"g{g}", "", weight))
         levels += [Level(f"g{g}t{i}", f"g{g}", w, team=True) for i, (w, _) in enumerate(leaves)]
         demands.append([most for _, most in leaves])
-    bed = Bed(Tree(levels), 1, float(cpus))
+    harness = ShardHarness(Tree(levels), 1, float(cpus))
     for g, (_, leaves) in enumerate(groups):
         for i, (_, most) in enumerate(leaves):
             if most:
-                bed.submit(f"g{g}t{i}", most)
-    bed.run_pass()
+                harness.submit(f"g{g}t{i}", most)
+    harness.run_pass()
     parts = exact(cpus, [(weight, sum(d)) for (weight, _), d in zip(groups, demands, strict=True)])
     for g, (_, leaves) in enumerate(groups):
         for i, part in enumerate(_scaled(parts[g], leaves)):
-            got = sum(a.spec.team == f"g{g}t{i}" for a in bed.running())
+            got = sum(a.spec.team == f"g{g}t{i}" for a in harness.running())
             assert abs(got - part) <= FAIR_WITHIN, (g, i, got, float(part))
 
 
@@ -231,19 +231,19 @@
 
     The reference fills a plain list of places: each that is free goes to the team with least for its weight.
     """
-    bed = Bed(Tree([Level(f"t{i}", weight=w, team=True) for i, w in enumerate(weights)]), 1, float(slots))
+    harness = ShardHarness(Tree([Level(f"t{i}", weight=w, team=True) for i, w in enumerate(weights)]), 1, float(slots))
     for team, tasks in jobs:
-        bed.submit(f"t{team % len(weights)}", tasks)
-        there = sorted(bed.running(), key=lambda a: a.name)
+        harness.submit(f"t{team % len(weights)}", tasks)
+        there = sorted(harness.running(), key=lambda a: a.name)
         chance.shuffle(there)
-        bed.run_pass()
+        harness.run_pass()
         for attempt in there:
-            bed.finish(attempt)
-            bed.run_pass()
+            harness.finish(attempt)
+            harness.run_pass()
         used, wants = [0] * len(weights), [0] * len(weights)
-        for attempt in bed.running():
+        for attempt in harness.running():
             used[int(attempt.spec.team[1:])] += round(attempt.spec.cpus)
-        for partition in bed.state.partitions.values():
+        for partition in harness.state.partitions.values():
             wants[int(partition.spec.team[1:])] += round(partition.spec.cpus) * len(partition.pending)
         places = [0] * len(weights)
         for _ in range(slots):
@@ -266,7 +266,7 @@
         levels.append(Level(group, "root", 1, REST_OF_ALL))
         levels.append(Level(f"{group}-owner", group, 1, REST_OF_ALL, guarantee=owner, team=True))
         levels.append(Level(f"{group}-other", group, 1, REST_OF_ALL, team=True))
-    bed = Bed(Tree(levels), 1, 8.0)
+    harness = ShardHarness(Tree(levels), 1, 8.0)
     for team, tasks, priority_class in (
         ("g0-owner", 3, "production"),
         ("g0-owner", 1, "normal"),
@@ -274,6 +274,6 @@
         ("g1-owner", 3, "normal"),
         ("g1-other", 1, "production"),
     ):
-        bed.submit(team, tasks, 1.0, priority_class)
-    changes = [bed.run_pass() for _ in range(10)]
+        harness.submit(team, tasks, 1.0, priority_class)
+    changes = [harness.run_pass() for _ in range(10)]
     assert (0, 0) in changes, changes
