--- a/quinceslip/service.py
+++ b/quinceslip/service.py
@@ -11,7 +11,7 @@
 from quinceslip.protocol.settings import Settings, Tuning, split_address
 from quinceslip.transport import capacity
 from quinceslip.transport.actor import ActorThread
-from quinceslip.transport.clients import Budget, Pool
+from quinceslip.transport.clients import ClientPool, RateLimiter
 from quinceslip.transport.clock import steady_us, wall_us
 from quinceslip.transport.http_server import ApiServer
 from quinceslip.transport.peers import PeerFrame, PeerLink, PeerServer
@@ -79,15 +79,15 @@
         """The clients, each with threads of its own: none waits behind calls to another target."""
         facts, post = self.settings.facts, self.actor.post_always
         limits = facts.state.lasting()
-        self.state = Pool("state", STATE_THREADS, post, Budget(limits.rps, limits.write_rps, facts.size))
-        self.leases = Pool("lease", LEASE_THREADS, post)  # renewals never wait behind anything else
-        self.cloud = Pool("cloud", CLOUD_THREADS, post, Budget(facts.cloud.rps, facts.cloud.rps, facts.size))
+        self.state = ClientPool("state", STATE_THREADS, post, RateLimiter(limits.rps, limits.write_rps, facts.size))
+        self.leases = ClientPool("lease", LEASE_THREADS, post)  # renewals never wait behind anything else
+        self.cloud = ClientPool("cloud", CLOUD_THREADS, post, RateLimiter(facts.cloud.rps, facts.cloud.rps, facts.size))
         # A silent worker keeps a thread until the time limit. Probes are mostly of such workers, so
         # they have threads of their own, and commands to healthy ones never wait behind them.
-        self.workers = Pool(
-            "worker", capacity.WORKER_THREADS, post, max_idle=capacity.max_idle_command_sockets(facts.limits)
+        self.workers = ClientPool(
+            "worker", capacity.COMMAND_THREADS, post, max_idle=capacity.max_idle_command_sockets(facts.limits)
         )
-        self.probes = Pool("probe", capacity.probe_threads(facts.limits), post, max_idle=0)
+        self.probes = ClientPool("probe", capacity.probe_threads(facts.limits), post, max_idle=0)
 
     def _start_watchdog(self, timing: Timing) -> None:
         from quinceslip.transport.stall_journal import StallJournal
@@ -98,8 +98,8 @@
         # The leader's lease, a third of a worker's: until then nothing is lost, then a peer has the shards anyway.
         Watchdog(
             self.actor.thread,
-            lambda: self.actor.turns + context.progress_count(),
-            lambda: context.active_part or self.actor.current_message,
+            lambda: self.actor.messages_handled + context.progress_count(),
+            lambda: context.active_part or self.actor.current_message_type,
             timing.leader_lease_us,
             StallJournal(self.settings.label, timing.worker_lease_us, store),
         )
@@ -109,7 +109,7 @@
 
     def _carry_out(self, effect: Effect) -> None:
         if isinstance(effect, Reply):
-            self.replies.give(effect)
+            self.replies.deliver(effect)
         elif isinstance(effect, Call):
             self._call(effect)
         else:
--- a/quinceslip/transport/actor.py
+++ b/quinceslip/transport/actor.py
@@ -35,7 +35,7 @@
         # Answers are a few for each call, and calls are bounded; only requests can come without end.
         self.inbox: queue.SimpleQueue[Any] = queue.SimpleQueue()
         self.turns = 0  # messages taken; while idle, one for each tick
-        self.current_message = ""  # type of the message that is handled, or was last
+        self.current_message_type = ""  # type of the message that is handled, or was last
         self.thread = threading.Thread(target=self._run, name="actor", daemon=True)
         self._next_tick_us = 0
         self._batch_messages = 0  # taken since the last `BatchEnd`
@@ -80,8 +80,8 @@
     def _take(self, message: Any) -> None:
         """Handle one message and carry out its effects; what fails is logged, and the actor goes on."""
         self._batch_messages = 0 if isinstance(message, BatchEnd) else self._batch_messages + 1
-        self.turns += 1
-        self.current_message = type(message).__name__
+        self.messages_handled += 1
+        self.current_message_type = type(message).__name__
         try:
             effects = self.handle(message, steady_us())
         except Exception:
--- a/quinceslip/transport/capacity.py
+++ b/quinceslip/transport/capacity.py
@@ -4,7 +4,7 @@
 from quinceslip.transport.request_threads import MAX_REQUEST_THREADS
 
 #: threads for commands to workers
-WORKER_THREADS = 12
+COMMAND_THREADS = 12
 #: a probe of a silent machine takes its thread for a second; so many sockets allow one thread for probes
 SOCKETS_PER_PROBE_THREAD = 64
 #: these, those for requests and the 35 others of one of three controllers are far below the 2,000 threads that a
@@ -46,7 +46,7 @@
 
 def probe_threads(limits: Limits) -> int:
     """Threads for probes: at least as many as for commands, more where the sockets are meant for a large site."""
-    return max(WORKER_THREADS, min(MAX_PROBE_THREADS, limits.max_sockets // SOCKETS_PER_PROBE_THREAD))
+    return max(COMMAND_THREADS, min(MAX_PROBE_THREADS, limits.max_sockets // SOCKETS_PER_PROBE_THREAD))
 
 
 def max_idle_command_sockets(limits: Limits) -> int:
--- a/quinceslip/transport/clients.py
+++ b/quinceslip/transport/clients.py
@@ -112,7 +112,7 @@
         return UNKNOWN, b""
 
 
-class Budget:
+class RateLimiter:
     """Token buckets over requests and writes, so that this controller keeps to its share of a rate limit.
 
     The share is learnt: a refusal says that the others need theirs, and then it shrinks down to an
@@ -131,10 +131,10 @@
         self.share = min(1.0, 2.0 / size)
         self.tokens = [rate * self.share, write_rate * self.share]
         self.last_us = steady_us()
-        self.cut_us = 0  # when the share was cut last
+        self.last_cut_us = 0  # when the share was cut last
         self.lock = threading.Lock()
 
-    def take(self, writes: int) -> float:
+    def acquire(self, writes: int) -> float:
         """Seconds to wait before asking again; 0 when a request with so many writes may go now."""
         with self.lock:
             self._refill()
@@ -147,12 +147,12 @@
                 self.tokens = [tokens - cost for tokens, cost in zip(self.tokens, costs, strict=True)]
             return wait_s
 
-    def refused(self) -> None:
+    def record_rejection(self) -> None:
         """The service answered 429."""
         with self.lock:
             now_us = steady_us()
-            if now_us > self.cut_us + self.MIN_CUT_INTERVAL_US:
-                self.cut_us = now_us
+            if now_us > self.last_cut_us + self.MIN_CUT_INTERVAL_US:
+                self.last_cut_us = now_us
                 self.share = max(self.min_share, self.share * self.CUT)
 
     def _refill(self) -> None:
@@ -215,17 +215,22 @@
         connection.close()
 
 
-class Pool:
+class ClientPool:
     """Threads that carry out calls, the most urgent first, and post their answers."""
 
     #: while the most urgent call waits for the budget, the choice is made anew so often
     MAX_WAIT_S = 0.05
 
     def __init__(
-        self, name: str, threads: int, post: Callable[[Any], bool], budget: Budget | None = None, max_idle: int = 64
+        self,
+        name: str,
+        threads: int,
+        post: Callable[[Any], bool],
+        rate_limiter: RateLimiter | None = None,
+        max_idle: int = 64,
     ) -> None:
         self._post = post
-        self._budget = budget
+        self._rate_limiter = rate_limiter
         self._idle = IdleConnections(max_idle)
         self._calls: queue.PriorityQueue[QueuedCall] = queue.PriorityQueue()
         self._numbers = itertools.count()
@@ -246,7 +251,7 @@
     def _run(self) -> None:
         # Bound: none, it is the life of the thread.
         while True:
-            queued = self._next()
+            queued = self._next_call()
             try:
                 result = self._carry_out(queued)
             except Exception:
@@ -255,19 +260,19 @@
             if result is not None:
                 self._post(result)
 
-    def _next(self) -> QueuedCall:
+    def _next_call(self) -> QueuedCall:
         """The most urgent call, once the budget has room for it.
 
         While it waits, one that is more urgent may come, so the choice is made anew each time.
         """
-        if self._budget is None:
+        if self._rate_limiter is None:
             return self._calls.get()
         with self._choosing:
             # Bound: the time limit of the call, after which it is taken whatever the budget.
             while True:
                 queued = self._calls.get()
                 expired = steady_us() >= queued.deadline_us
-                wait_s = 0.0 if expired else self._budget.take(queued.call.writes)
+                wait_s = 0.0 if expired else self._rate_limiter.acquire(queued.call.writes)
                 if wait_s <= 0:
                     return queued
                 self._calls.put(queued)
@@ -289,8 +294,8 @@
 
     def _repeat(self, queued: QueuedCall) -> bool:
         """Put back a call that was refused, since others used the budget up; False where it has no time left."""
-        if self._budget:
-            self._budget.refused()
+        if self._rate_limiter:
+            self._rate_limiter.record_rejection()
         if steady_us() + MIN_TIME_TO_REPEAT_US >= queued.deadline_us:
             return False
         time.sleep(REPEAT_PAUSE_S)
--- a/quinceslip/transport/replies.py
+++ b/quinceslip/transport/replies.py
@@ -45,7 +45,7 @@
                 self._take(number)
         return accepted
 
-    def give(self, reply: Reply) -> None:
+    def deliver(self, reply: Reply) -> None:
         """Hand on a reply. Without a request that still waits for it, it is dropped."""
         connection = self._take(reply.request)
         if connection is not None:
--- a/quinceslip/transport/watchdog.py
+++ b/quinceslip/transport/watchdog.py
@@ -22,7 +22,7 @@
 log = logging.getLogger(__name__)
 
 #: status of a process that ended because its actor stalled (EX_TEMPFAIL: start it again)
-STATUS = 75
+STALL_EXIT_STATUS = 75
 #: what is waited for the log to take a line
 LOG_TIMEOUT_S = 0.5
 
@@ -98,11 +98,11 @@
             self._log(lambda: log.error("not ended for %.0f s: too soon after the last time", wait_us / 1e6))
         elif self._turns() == turns:
             self._log(
-                lambda: log.error("ending with status %d, to be started again", STATUS),
+                lambda: log.error("ending with status %d, to be started again", STALL_EXIT_STATUS),
                 lambda: faulthandler.dump_traceback(all_threads=True),
                 sys.stderr.flush,
             )
-            os._exit(STATUS)
+            os._exit(STALL_EXIT_STATUS)
 
     def _log(self, *steps: Callable[[], object]) -> None:
         """Log without waiting for long: the actor may stall since nobody reads the log, and hold its lock."""
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from quinceslip.transport.watchdog import STATUS
+from quinceslip.transport.watchdog import STALL_EXIT_STATUS
 from tests.inputs import ROOT, settings_text
 from tests.simulation.inputs import job_spec
 
@@ -240,7 +240,7 @@
             started_s = time.monotonic()
             status = process.wait(20)
             took_s = time.monotonic() - started_s
-            assert status == STATUS and stall_limit_s <= took_s < stall_limit_s + 8.0, (status, took_s)
+            assert status == STALL_EXIT_STATUS and stall_limit_s <= took_s < stall_limit_s + 8.0, (status, took_s)
             # The process is restarted. The same load records still exist; solving the fair levels is suspended.
             process = start()
             _wait_for(lambda: _ready(port))
@@ -257,7 +257,9 @@
             stall_file.write_text("waits")
             started_s = time.monotonic()
             status = process.wait(20)
-            assert status == STATUS and stall_limit_s <= time.monotonic() - started_s < stall_limit_s + 8.0, status
+            assert (
+                status == STALL_EXIT_STATUS and stall_limit_s <= time.monotonic() - started_s < stall_limit_s + 8.0
+            ), status
             assert services.data["q/standstill/berth-0"][0]["times"] == 2
         finally:
             process.send_signal(signal.SIGKILL)
--- a/tests/scenario/components.py
+++ b/tests/scenario/components.py
@@ -16,7 +16,7 @@
 from quinceslip.storage import task_sets
 from quinceslip.storage.cache import StoreCache
 from quinceslip.storage.records import JobRecord
-from quinceslip.transport.clients import Budget, Pool
+from quinceslip.transport.clients import ClientPool, RateLimiter
 from tests.inputs import ROOT, bad_input
 from tests.loopback import loopback
 from tests.scenario.state import RunnerState
@@ -53,18 +53,18 @@
 
     def do_call_order(self, plain: list[str], named: dict[str, Any]) -> None:
         """call_order URGENCY...: queued calls to the key-value store are sent in order of urgency"""
-        pool = Pool("test", 0, lambda answer: True, Budget(1000.0, 1000.0, 1))
+        pool = ClientPool("test", 0, lambda answer: True, RateLimiter(1000.0, 1000.0, 1))
         for number, name in enumerate(plain):
             pool.submit(Call("", number, "POST", "/txn", None, 5_000_000, 1, Urgency[name]), "10.0.0.1:1")
-        sent = [pool._next()[3].urgency for _ in plain]
+        sent = [pool._next_call()[3].urgency for _ in plain]
         assert sent == sorted(sent), sent
 
     def do_call_budget(self, plain: list[str], named: dict[str, Any]) -> None:
         """call_budget SIZE: refusals reduce a controller's share of the call budget, but never below an equal share"""
-        budget = Budget(100.0, 20.0, int(plain[0]))
+        budget = RateLimiter(100.0, 20.0, int(plain[0]))
         for _ in range(40):
-            budget.cut_us = 0
-            budget.refused()
+            budget.last_cut_us = 0
+            budget.record_rejection()
         assert budget.share == pytest.approx(1 / int(plain[0]))
 
     def do_memory_per_job(self, plain: list[str], named: dict[str, Any]) -> None:
--- a/tests/scenario/liveness_checks.py
+++ b/tests/scenario/liveness_checks.py
@@ -79,7 +79,7 @@
         actor = ActorThread(lambda message, now_us: [message], carry_out, 20_000, 10)
         actor.start()
         with time_limit(10.0):
-            while len(attempted) < 20 or actor.turns < 20:
+            while len(attempted) < 20 or actor.messages_handled < 20:
                 time.sleep(0.01)
         assert actor.thread.is_alive()
         actor.handle, actor.tick_period_us = lambda message, now_us: [], 10**12  # idle from here on
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -19,7 +19,7 @@
 from quinceslip.coordination.actor.effects import Call, CallResult, HeartbeatReceived, Reply, UserRequest
 from quinceslip.protocol.settings import Limits
 from quinceslip.transport.capacity import CONNECTION_MB, max_api_connections, probe_threads, request_threads
-from quinceslip.transport.clients import Pool
+from quinceslip.transport.clients import ClientPool
 from quinceslip.transport.clock import steady_us
 from quinceslip.transport.connections import Connection, RequestReader
 from quinceslip.transport.deadlines import DeadlineQueue
@@ -80,9 +80,9 @@
         while (message := self.inbox.get()) is not None:
             self.user_requests += isinstance(message, UserRequest)
             if isinstance(message, HeartbeatReceived):
-                self.replies.give(Reply(message.request, 200, {"worker": message.heartbeat.worker}))
+                self.replies.deliver(Reply(message.request, 200, {"worker": message.heartbeat.worker}))
             elif isinstance(message, UserRequest) and message.verb not in self.ignored:
-                self.replies.give(Reply(message.request, 200, {"verb": message.verb, "uid": message.job_id}))
+                self.replies.deliver(Reply(message.request, 200, {"verb": message.verb, "uid": message.job_id}))
 
 
 @contextlib.contextmanager
@@ -217,7 +217,7 @@
         # The actor comes to them at last. (Requests of several connections reach it in any order.)
         within(PATIENCE_S, lambda: actor.user_requests == len(users))
         for number in range(1, 501 + 1):
-            actor.replies.give(Reply(number, 200, {"late": True}))
+            actor.replies.deliver(Reply(number, 200, {"late": True}))
         assert all(user.answer()[2] == {"late": True} for user in users)
 
 
@@ -232,7 +232,7 @@
     actor = EchoActor()
     with serving(actor):
         pass
-    actor.replies.give(Reply(1, 200))
+    actor.replies.deliver(Reply(1, 200))
 
 
 def test_a_full_inbox_is_busy() -> None:
@@ -246,7 +246,7 @@
     actor = EchoActor("ready")
     with serving(actor) as api, Client(api) as user:
         assert user.exchange(request("GET", "/ready"))[0] == 503
-        actor.replies.give(Reply(1, 200, {"late": True}))
+        actor.replies.deliver(Reply(1, 200, {"late": True}))
         assert user.exchange(POLL)[2] == {"verb": "poll", "uid": "req-000001"}
 
 
@@ -289,7 +289,7 @@
     actor = EchoActor("poll")
     with serving(actor, idle_timeout_s=0.1) as api, Client(api, POLL) as user:
         time.sleep(0.3)
-        actor.replies.give(Reply(1, 200))
+        actor.replies.deliver(Reply(1, 200))
         assert user.answer()[0] == 200
 
 
@@ -304,7 +304,7 @@
     def post(self, message: Any) -> bool:
         if isinstance(message, UserRequest):
             self.asked_s = time.monotonic()
-            self.replies.give(Reply(message.request, 200, self.text))
+            self.replies.deliver(Reply(message.request, 200, self.text))
             return True
         return super().post(message)
 
@@ -539,7 +539,7 @@
         refused.append(answer)
         return False
 
-    pool = Pool("test", 0, post)
+    pool = ClientPool("test", 0, post)
     for number in range(2 * FLEET):
         pool.submit(Call("10.0.0.1:1", number, "GET", "/inspect"), "10.0.0.1:1")
     assert not refused
