--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -266,8 +266,8 @@
             process.wait(10)
             log.close()
         log_text = (Path(folder) / "log").read_text(encoding="utf-8")
-        assert log_text.count("the actor stands still: it has worked for ") == 1, log_text[-2000:]
-        assert log_text.count("the actor stands still: it waits at one place") == 1, log_text[-2000:]
+        assert log_text.count("actor stalled: it has worked for ") == 1, log_text[-2000:]
+        assert log_text.count("actor stalled: it waits at one place") == 1, log_text[-2000:]
         assert "(levels), at" in log_text and ", in fair_levels" in log_text and "most recent call first" in log_text
         assert (
             log_text.count("fair workload levels suspended") == 1
