--- a/quinceslip/cli/models.py
+++ b/quinceslip/cli/models.py
@@ -84,7 +84,7 @@
 
 def model_takeover(arguments: argparse.Namespace) -> int:
     """Explore failovers of one shard."""
-    from quinceslip.models.takeover import explore, read_steps
+    from quinceslip.models.takeover import explore, parse_steps
 
     logging.getLogger("quinceslip").setLevel(logging.CRITICAL)  # what it plays goes wrong on purpose
     try:
@@ -95,7 +95,7 @@
             arguments.without,
             arguments.most_states,
             words(arguments.only),
-            read_steps(arguments.after),
+            parse_steps(arguments.after),
         )
     except ValueError as error:
         raise SettingsError(str(error)) from error
--- a/quinceslip/models/takeover/__init__.py
+++ b/quinceslip/models/takeover/__init__.py
@@ -16,6 +16,6 @@
 """
 
 from quinceslip.models.takeover.search import explore
-from quinceslip.models.takeover.steps import read_steps
+from quinceslip.models.takeover.steps import parse_steps
 
-__all__ = ["explore", "read_steps"]
+__all__ = ["explore", "parse_steps"]
--- a/quinceslip/models/takeover/steps.py
+++ b/quinceslip/models/takeover/steps.py
@@ -237,7 +237,7 @@
 # Text.
 
 
-def read_steps(text: str) -> tuple[Step, ...]:
+def parse_steps(text: str) -> tuple[Step, ...]:
     """Read "launch:0:0,crash:0:0"; raises ValueError for anything else."""
     return tuple(_read_step(part.strip()) for part in text.split(",") if part.strip())
 
--- a/tests/scenario/model_checks.py
+++ b/tests/scenario/model_checks.py
@@ -12,7 +12,7 @@
 from quinceslip.bench.plots import write_page
 from quinceslip.models.gap import explore as gap
 from quinceslip.models.takeover import explore as takeover
-from quinceslip.models.takeover import read_steps
+from quinceslip.models.takeover import parse_steps
 from quinceslip.protocol.settings import SettingsError
 from quinceslip.quota.model import explore
 from tests.scenario.state import RunnerState
@@ -43,7 +43,7 @@
             named.get("without", ""),
             named.get("max_states", 0),
             frozenset(s for s in str(named.get("only", "")).split(",") if s),
-            read_steps(str(named.get("after", ""))),
+            parse_steps(str(named.get("after", ""))),
         )
         assert bool(result.breach) == ("without" in named), (named, result)
 
