--- a/quinceslip/bench/capacity.py
+++ b/quinceslip/bench/capacity.py
@@ -50,7 +50,7 @@
 
 def write_page(runs: Sequence[Run], target: Path) -> str:
     """Draw both figures over the number of controllers, with and without sharing; a line that says what was written."""
-    figure, axes = plotting.rows(2, 8)
+    figure, axes = plotting.stacked_plots(2, 8)
     for sharing, name in ((True, "told"), (False, "each by itself")):
         _draw_runs(axes, name, [run for run in runs if run["told"] == sharing])
     axes[0].set_title("requests in vain a minute, for one kind that is short", loc="left", fontsize=9)
--- a/quinceslip/bench/fleet/machines.py
+++ b/quinceslip/bench/fleet/machines.py
@@ -117,7 +117,7 @@
     def answer(self, call: fx.Call) -> Answer:
         """Carry out a direct call; the answer is a heartbeat."""
         machine = self._by_endpoint[call.target]
-        if call.path == m.PATH_DO:
+        if call.path == m.PATH_COMMANDS:
             self._obey(machine, call.body.fencing_token, call.body.commands)
         return Answer(OK, machine.heartbeat())
 
--- a/quinceslip/bench/plots.py
+++ b/quinceslip/bench/plots.py
@@ -43,7 +43,7 @@
     """
     files = {path.stem: read_runs(path) for path in paths}
     kinds = sorted({kind for runs in files.values() for run in runs for kind in run["kinds"]})
-    figure, axes = plotting.rows(len(kinds), 8)
+    figure, axes = plotting.stacked_plots(len(kinds), 8)
     for axis, kind in zip(axes, kinds, strict=True):
         _draw_kind(axis, kind, files)
     axes[0].legend(loc="upper left", fontsize=7)
--- a/quinceslip/coordination/actor/context.py
+++ b/quinceslip/coordination/actor/context.py
@@ -28,7 +28,7 @@
     """
 
     def __init__(self, settings: Settings, tuning: Tuning, now_us: int, wall_us: int) -> None:
-        super().__init__(now_us, micros(tuning.request_timeout_s), settings.facts.state.lasting())
+        super().__init__(now_us, micros(tuning.request_timeout_s), settings.facts.state.lowest_limits())
         self.settings = settings
         self.tuning = tuning
         self.timing = Timing(settings)
@@ -96,4 +96,4 @@
 
     def progress_count(self) -> int:
         """A counter that grows while a long message is handled, so that a full listing is not taken for a stall."""
-        return self.cache.records_taken + self.records_applied
+        return self.cache.records_decoded + self.records_applied
--- a/quinceslip/coordination/autoscaling/absorption.py
+++ b/quinceslip/coordination/autoscaling/absorption.py
@@ -16,7 +16,7 @@
     capacity = sum(station.capacity for load in loads if is_plausible(station := Station(load.slots, load.rate)))
     if capacity <= 0:
         return MAX_ABSORBED_FRACTION
-    arrivals: float = sum(load.arrivals for load in loads if is_plausible_rate(load.arrivals))
+    arrivals: float = sum(load.arrival_rate for load in loads if is_plausible_rate(load.arrival_rate))
     return min(MAX_ABSORBED_FRACTION, max(MIN_ABSORBED_FRACTION, 1.0 - arrivals / capacity))
 
 
--- a/quinceslip/coordination/autoscaling/adoption.py
+++ b/quinceslip/coordination/autoscaling/adoption.py
@@ -112,7 +112,7 @@
     def _on_inspected(
         self, name: str, record: records.MachineRecord, on_adopted: CompareAndSwapCallback, status: int, body: bytes
     ) -> None:
-        if status == 200 and m.names(body, name):
+        if status == 200 and m.is_heartbeat_of(body, name):
             self.next_probe_us.pop(name, None)
             self._adopt(name, record, on_adopted)
         else:
--- a/quinceslip/coordination/autoscaling/machine_types.py
+++ b/quinceslip/coordination/autoscaling/machine_types.py
@@ -69,12 +69,12 @@
         is_first_answer = not self.ctx.machine_types
         self._replace_types(types)
         self.next_request_us = self.ctx.now_us + REFRESH_PERIOD_US
-        mod_revision = self.ctx.cache.mod_revision(records.TYPES)
+        mod_revision = self.ctx.cache.mod_revision(records.MACHINE_TYPES_KEY)
         # Types that exceed one record are not stored: with only some of them, users would be told that jobs never run.
         if (is_first_answer or mod_revision == 0) and self.ctx.fits_value_limit(types):
             self.ctx.compare_and_swap(
-                {records.TYPES: mod_revision},
-                {records.TYPES: (types, None)},
+                {records.MACHINE_TYPES_KEY: mod_revision},
+                {records.MACHINE_TYPES_KEY: (types, None)},
                 [],
                 lambda status, failed_conditions: None,  # the next answer retries
             )
--- a/quinceslip/coordination/controller/cancellations.py
+++ b/quinceslip/coordination/controller/cancellations.py
@@ -77,7 +77,7 @@
         ctx = self.ctx
         key = records.job_key(job_id)
         final = records.final_record(job, m.CANCELLED, ctx.cache.done_count(job_id))
-        partition_keys = [records.partition_key(shard, job_id) for shard in job.parts]
+        partition_keys = [records.partition_key(shard, job_id) for shard in job.other_shards]
         obsolete_keys = [k for k in partition_keys if ctx.cache.mod_revision(k)]
         max_deletes = ctx.limits.txn_ops - 1
 
--- a/quinceslip/coordination/controller/controller.py
+++ b/quinceslip/coordination/controller/controller.py
@@ -61,7 +61,7 @@
         self.ctx.feature_active = self.feature_gate.is_open
         self.subsystems = [create(self.ctx, self.election, self.shards) for create in subsystem_factories]
         for subsystem in self.subsystems:
-            self.ctx.cache.register_kind(subsystem.kinds)
+            self.ctx.cache.register_kinds(subsystem.kinds)
         self.load_balancer = LoadBalancer(self.ctx, self.election, self.shards)
         self.autoscaler = Autoscaler(self.ctx, self.election, self.shards)
         self.autoscaler.quick_service_cpus = self.load_balancer.quick_service_cpus
--- a/quinceslip/coordination/controller/read_barrier.py
+++ b/quinceslip/coordination/controller/read_barrier.py
@@ -104,7 +104,7 @@
         self.ctx.call(
             "state",
             "GET",
-            f"{m.PATH_KV}/{records.NOTHING}",
+            f"{m.PATH_KV}/{records.UNUSED_KEY}",
             None,
             on_read,
             timeout_us=min(MAX_READ_TIMEOUT_US, max(MAX_READ_INTERVAL_US, remaining_us)),
--- a/quinceslip/coordination/controller/record_changes.py
+++ b/quinceslip/coordination/controller/record_changes.py
@@ -53,7 +53,7 @@
         The dependency graph is updated first: whether a job may start depends on other records of the same batch. Jobs
         that became ready or more urgent as a result come last.
         """
-        keys = [StoreCache.split(key) for key in changed_keys]
+        keys = [StoreCache.split_key(key) for key in changed_keys]
         graph_changes = self.ctx.graph.records_changed([name for kind, name in keys if kind == JOB_KIND])
         for kind, name in keys:
             self.ctx.records_applied += 1
--- a/quinceslip/coordination/controller/submissions.py
+++ b/quinceslip/coordination/controller/submissions.py
@@ -47,7 +47,7 @@
         if not ctx.cache.synced or not ctx.machine_types or not ctx.store_available():
             reply_unavailable(ctx, request)
             return
-        spec = m.waiting_on(spec, list(dict.fromkeys(spec.dependencies)))  # drop duplicates
+        spec = m.with_dependencies(spec, list(dict.fromkeys(spec.dependencies)))  # drop duplicates
         job = self._new_record(spec)
         reason = self.checks.rejection_reason(job, spec)
         if reason is not None:
@@ -87,7 +87,7 @@
             job = self.ctx.cache.job(job_id)
             if job is None or job.state != m.DONE:
                 unfinished.append(job_id)
-        return m.waiting_on(spec, unfinished)
+        return m.with_dependencies(spec, unfinished)
 
     def _accept(self, request: int, spec: m.JobSpec, job: records.JobRecord) -> None:
         """Write the record with the shard that the load balancer chooses; answer after the write."""
--- a/quinceslip/coordination/controller/user_requests.py
+++ b/quinceslip/coordination/controller/user_requests.py
@@ -73,7 +73,7 @@
         self.submissions.submit(request.request, request.spec)
 
     def _reject_malformed(self, request: UserRequest) -> None:
-        self.polls.poll_or_error(request.request, request.job_id, 400, request.spec.why)
+        self.polls.poll_or_error(request.request, request.job_id, 400, request.spec.reason)
 
     def _poll(self, request: UserRequest) -> None:
         self.polls.poll(request.request, request.job_id)
--- a/quinceslip/coordination/jobs/completion.py
+++ b/quinceslip/coordination/jobs/completion.py
@@ -20,7 +20,13 @@
     def finish_if_complete(self, job_id: str) -> None:
         """Finish a job with several partitions once all of them are done; only its home shard does this."""
         job, partition = self.ctx.cache.job(job_id), self.state.partitions.get(job_id)
-        if job is None or partition is None or not job.parts or job.shard != self.state.index or partition.writing:
+        if (
+            job is None
+            or partition is None
+            or not job.other_shards
+            or job.shard != self.state.index
+            or partition.writing
+        ):
             return
         if len(partition.done) < len(partition.assigned):
             return
@@ -32,7 +38,7 @@
         """Write the final record of a job, provided that its record and those of its partitions are unchanged."""
         cache, job_id = self.ctx.cache, partition.job_id
         job_key = records.job_key(job_id)
-        partition_keys = [records.partition_key(shard, job_id) for shard in job.parts]
+        partition_keys = [records.partition_key(shard, job_id) for shard in job.other_shards]
         mod_revisions = {key: cache.mod_revision(key) for key in [job_key, *partition_keys]}
         existing = [key for key in partition_keys if cache.mod_revision(key)]
         final = records.final_record(job, m.DONE, done_count, self.ctx.wall_us)
--- a/quinceslip/coordination/jobs/partition_mover.py
+++ b/quinceslip/coordination/jobs/partition_mover.py
@@ -144,16 +144,18 @@
                 sorted(target_zones),
             ),
         }
-        other_shards = {*job.parts, *(shard for shard in partitions if shard != job.shard)}
+        other_shards = {*job.other_shards, *(shard for shard in partitions if shard != job.shard)}
         home_partition = partitions.get(job.shard, job.partition)
-        return MovePlan(msgspec.structs.replace(job, parts=sorted(other_shards), partition=home_partition), partitions)
+        return MovePlan(
+            msgspec.structs.replace(job, other_shards=sorted(other_shards), partition=home_partition), partitions
+        )
 
     def _is_recordable(self, plan: MovePlan) -> bool:
         """Whether the store accepts this move and every write that follows from it.
 
         Guard: the records must fit now and with all results; a job's final write has a condition on each partition.
         """
-        conditions = len(plan.job.parts) + FIXED_COMPLETION_CONDITIONS
+        conditions = len(plan.job.other_shards) + FIXED_COMPLETION_CONDITIONS
         if conditions > CONDITIONS_PER_TXN_OP * self.ctx.limits.txn_ops:
             return False
         return all(map(self.ctx.fits_value_limit, plan.record_variants()))
--- a/quinceslip/coordination/jobs/result_writer.py
+++ b/quinceslip/coordination/jobs/result_writer.py
@@ -84,7 +84,7 @@
         done_count = len(partition.done | partition.unrecorded_done)
         partition.next_write_us = self.ctx.now_us + RETRY_US
         partition.next_result_us = self.ctx.now_us + pause_us
-        if not job.parts and done_count == job.tasks:
+        if not job.other_shards and done_count == job.tasks:
             self.completion.finish(partition, job, done_count)
             return
         value = self._largest_fitting_record(partition, job)
--- a/quinceslip/coordination/leadership/claims.py
+++ b/quinceslip/coordination/leadership/claims.py
@@ -90,7 +90,7 @@
         cache = self.ctx.cache
         term = self._next_term(observed_term)
         key = records.shard_key(shard)
-        conditions = {records.TERM: cache.mod_revision(records.TERM), key: cache.mod_revision(key)}
+        conditions = {records.TERM_KEY: cache.mod_revision(records.TERM_KEY), key: cache.mod_revision(key)}
         own_term_before_restart = self._own_term_before_restart(shard)
         self.led_shards.write_pending = True
 
@@ -102,7 +102,7 @@
                 self.next_claim_us = self.ctx.now_us + CLAIM_RETRY_US
 
         puts = {
-            records.TERM: (records.TermRecord(term), None),
+            records.TERM_KEY: (records.TermRecord(term), None),
             key: (records.ShardRecord(self.ctx.settings.label, term), lease_id),
         }
         self.ctx.compare_and_swap(conditions, puts, [], on_claimed, Urgency.USER)
--- a/quinceslip/coordination/load_balancing/workload_levels.py
+++ b/quinceslip/coordination/load_balancing/workload_levels.py
@@ -46,5 +46,5 @@
     def _total_arrival_rate(self) -> float:
         """Return the tasks per second that arrive at all controllers, by the plausible load records."""
         load_records = self.ctx.cache.by_kind["load"].values()
-        rates: list[float] = [r.arrivals for r in load_records if mmm_queue.is_plausible_rate(r.arrivals)]
+        rates: list[float] = [r.arrival_rate for r in load_records if mmm_queue.is_plausible_rate(r.arrival_rate)]
         return sum(rates)
--- a/quinceslip/coordination/reconciliation/address_probes.py
+++ b/quinceslip/coordination/reconciliation/address_probes.py
@@ -72,4 +72,4 @@
             check.probing = False
             check.next_probe_us = self.ctx.now_us  # the next answer clears it or leads to more stops
 
-        self.ctx.call(check.endpoint, "POST", m.PATH_DO, commands, on_reply)
+        self.ctx.call(check.endpoint, "POST", m.PATH_COMMANDS, commands, on_reply)
--- a/quinceslip/coordination/reconciliation/adoption.py
+++ b/quinceslip/coordination/reconciliation/adoption.py
@@ -36,7 +36,7 @@
         if index not in partition.assigned or index in partition.done or index in partition.unrecorded_done:
             return None
         known = partition.attempts.get(index)
-        completed = status.state == m.EXITED and status.why == m.CAUSE_DONE
+        completed = status.state == m.EXITED and status.exit_cause == m.CAUSE_DONE
         if not completed and not self._is_adoptable(worker, task, known, status):
             return None
         if known is not None:
--- a/quinceslip/coordination/reconciliation/attempt_outcomes.py
+++ b/quinceslip/coordination/reconciliation/attempt_outcomes.py
@@ -46,7 +46,7 @@
                 self._clear_suspicion_of_service(attempt)
         attempt.state = status.state
         if status.state == m.EXITED:
-            self._handle_exit(worker, attempt, status.why or m.CAUSE_ERROR)
+            self._handle_exit(worker, attempt, status.exit_cause or m.CAUSE_ERROR)
 
     def _clear_suspicion_of_service(self, attempt: Attempt) -> None:
         """Clear the suspicion of a crash loop once a replica of the service has run long enough."""
@@ -66,7 +66,7 @@
             partition.unreconciled.discard(attempt.index)  # final, whatever the other workers report
             self.on_completed(worker, attempt, partition)
             return
-        if cause in m.CAUSES_GANG:
+        if cause in m.GANG_EXIT_CAUSES:
             self._delay_retry(partition, attempt.index, GANG_RETRY_DELAY_US)
         elif cause != m.CAUSE_HALTED:
             self._handle_failure(worker, attempt, partition)
--- a/quinceslip/coordination/reconciliation/direct_commands.py
+++ b/quinceslip/coordination/reconciliation/direct_commands.py
@@ -60,7 +60,11 @@
                 self._receive_reply(worker, launches, status, body)
 
         self.ctx.call(
-            worker.endpoint, "POST", m.PATH_DO, m.DirectCommands(self.state.term, worker.epoch, commands), on_reply
+            worker.endpoint,
+            "POST",
+            m.PATH_COMMANDS,
+            m.DirectCommands(self.state.term, worker.epoch, commands),
+            on_reply,
         )
 
     @staticmethod
@@ -107,7 +111,7 @@
         log.info("launches revoked worker=%s count=%d", heartbeat.worker, len(launches))
         stops = [m.stop(a.name, a.number, 0.0) for a in launches]
         commands = m.DirectCommands(self.state.term, heartbeat.epoch, stops)
-        self.ctx.call(endpoint, "POST", m.PATH_DO, commands, _ignore_reply)
+        self.ctx.call(endpoint, "POST", m.PATH_COMMANDS, commands, _ignore_reply)
 
 
 def _ignore_reply(status: int, body: bytes) -> None:
--- a/quinceslip/coordination/reconciliation/unknown_tasks.py
+++ b/quinceslip/coordination/reconciliation/unknown_tasks.py
@@ -26,7 +26,7 @@
     def _is_unrecorded_result(self, status: m.TaskStatus) -> bool:
         """Whether the task's result is not recorded yet, so that only the worker has it."""
         task = find_local_task(self.state, status.task)
-        if task is None or status.why != m.CAUSE_DONE:
+        if task is None or status.exit_cause != m.CAUSE_DONE:
             return False
         return task.index in task.partition.assigned and task.index not in task.partition.done
 
--- a/quinceslip/coordination/scheduling/zone_constraints.py
+++ b/quinceslip/coordination/scheduling/zone_constraints.py
@@ -40,7 +40,7 @@
     """Return the partitions of the job in other shards that still have tasks to do."""
     cache = state.ctx.cache
     job = cache.job(partition.job_id)
-    if job is None or (not job.parts and job.shard == state.index):
+    if job is None or (not job.other_shards and job.shard == state.index):
         return []
     return [
         record
--- a/quinceslip/feature_gate/gate.py
+++ b/quinceslip/feature_gate/gate.py
@@ -106,7 +106,7 @@
 
         Guard: each controller's record must be unchanged when the write is applied, however late that is.
         """
-        keys = [records.ROLLOUT, *map(records.supports_key, self.labels)]
+        keys = [records.ACTIVE_LEVEL_KEY, *map(records.supports_key, self.labels)]
         if len(keys) > CONDITIONS_PER_CHANGE * self.ctx.limits.txn_ops:
             log.error(
                 "level %d stays inactive: %d controllers are more than a compare-and-swap of %d changes can check",
@@ -121,7 +121,7 @@
             self._on_write_finished(status)
 
         conditions = {key: self.ctx.cache.mod_revision(key) for key in keys}
-        self._write(conditions, records.ROLLOUT, records.LevelRecord(self.supported_level), None, on_activated)
+        self._write(conditions, records.ACTIVE_LEVEL_KEY, records.LevelRecord(self.supported_level), None, on_activated)
 
     def _write(
         self,
--- a/quinceslip/liveness/stall_records.py
+++ b/quinceslip/liveness/stall_records.py
@@ -28,14 +28,14 @@
 
 def next_exit_us(record: StallRecord | None, lease_us: int) -> int:
     """Return the wall clock time before which this controller does not end itself again; 0 if it never did."""
-    return record.at_us + pause_us(record.times, lease_us) if record is not None else 0
+    return record.at_us + pause_us(record.stalls, lease_us) if record is not None else 0
 
 
 def next_record(record: StallRecord | None, part: str, wall_us: int, lease_us: int) -> StallRecord:
     """Return the record of another exit, stalled in `part`; exits within twice the last pause count as in a row."""
-    if record is None or wall_us >= record.at_us + 2 * pause_us(record.times, lease_us):
+    if record is None or wall_us >= record.at_us + 2 * pause_us(record.stalls, lease_us):
         return StallRecord(part, 1, wall_us)
-    return StallRecord(part, record.times + 1, wall_us)
+    return StallRecord(part, record.stalls + 1, wall_us)
 
 
 def is_suspended(record: StallRecord | None, part: str, wall_us: int, lease_us: int) -> bool:
--- a/quinceslip/models/takeover/state_key.py
+++ b/quinceslip/models/takeover/state_key.py
@@ -59,7 +59,7 @@
         )
 
     def _tasks(self, tasks: Iterable[m.TaskStatus]) -> Key:
-        return tuple((task.task, self.attempt_ranks[task.attempt], task.state, task.why) for task in tasks)
+        return tuple((task.task, self.attempt_ranks[task.attempt], task.state, task.exit_cause) for task in tasks)
 
     def _known_worker(self, machine: ModelWorker) -> Key | None:
         worker = self.world.leader.worker(machine)
--- a/quinceslip/models/takeover/workers.py
+++ b/quinceslip/models/takeover/workers.py
@@ -112,6 +112,6 @@
         if command.op == "halt" and known.state != m.EXITED:
             worker.exit(command.task, m.CAUSE_HALTED)
         elif command.op == "reap" and known.state == m.EXITED:
-            if known.why == m.CAUSE_DONE and task_index(command.task) not in self._store.recorded:
+            if known.exit_cause == m.CAUSE_DONE and task_index(command.task) not in self._store.recorded:
                 raise Breach(f"the result of {command.task} is dropped before it is recorded")
             del worker.tasks[command.task]
--- a/quinceslip/protocol/frames.py
+++ b/quinceslip/protocol/frames.py
@@ -33,7 +33,7 @@
 MAX_MISROUTED_ENTRIES = 64
 MAX_U16 = 2**16 - 1
 #: bytes
-MAX_PAYLOAD = 4096
+MAX_PAYLOAD_BYTES = 4096
 LABEL_BYTES = 16
 NAME_BYTES = 32
 
@@ -107,7 +107,7 @@
     magic, version, kind, length = HEADER.unpack(data)
     if magic != MAGIC or version != VERSION:
         raise FrameError(f"bad magic or version: {data[:3]!r}")
-    if length > MAX_PAYLOAD:
+    if length > MAX_PAYLOAD_BYTES:
         raise FrameError(f"payload of {length} bytes")
     return kind, length
 
@@ -180,7 +180,7 @@
 def pack_observations(sent: PeerObservations) -> bytes:
     """The frame of a controller's own observations; the newest come first, and what does not fit is left out."""
     fitting = [observation for observation in sent.observations if _names_fit(observation)]
-    fitting = fitting[: (MAX_PAYLOAD - OBSERVATIONS.size) // OBSERVATION.size]
+    fitting = fitting[: (MAX_PAYLOAD_BYTES - OBSERVATIONS.size) // OBSERVATION.size]
     started_ms = fitting[0].process_started_ms if fitting else 0
     payload = OBSERVATIONS.pack(sent.label.encode()[:LABEL_BYTES], started_ms, len(fitting))
     payload += b"".join(map(_pack_observation, fitting))
--- a/quinceslip/protocol/messages/__init__.py
+++ b/quinceslip/protocol/messages/__init__.py
@@ -19,7 +19,7 @@
     machines_path,
     scale_out_request,
 )
-from quinceslip.protocol.messages.fields import MAX_BODY, Amount, JobId, Text, UnsignedInteger
+from quinceslip.protocol.messages.fields import MAX_BODY_BYTES, Amount, JobId, Text, UnsignedInteger
 from quinceslip.protocol.messages.store import (
     NO_LEASE,
     PATH_KV,
@@ -38,7 +38,7 @@
     watch_path,
 )
 from quinceslip.protocol.messages.users import (
-    CANCEL_END,
+    CANCEL_SUFFIX,
     CANCELLED,
     DONE,
     PATH_JOBS,
@@ -82,7 +82,7 @@
 
 __all__ = [
     "CANCELLED",
-    "CANCEL_END",
+    "CANCEL_SUFFIX",
     "CAUSES_GANG",
     "CAUSE_DONE",
     "CAUSE_ERROR",
@@ -92,7 +92,7 @@
     "FLUSHING",
     "HOST_BOOTING",
     "HOST_FAILED",
-    "MAX_BODY",
+    "MAX_BODY_BYTES",
     "NO_LEASE",
     "PATH_DO",
     "PATH_HEARTBEAT",
--- a/quinceslip/protocol/messages/fields.py
+++ b/quinceslip/protocol/messages/fields.py
@@ -5,7 +5,7 @@
 from msgspec import Meta
 
 #: the largest request body that is read, in bytes (PROTOCOL)
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 
 UnsignedInteger = Annotated[int, Meta(ge=0)]
 Amount = Annotated[float, Meta(ge=0)]
--- a/quinceslip/protocol/messages/users.py
+++ b/quinceslip/protocol/messages/users.py
@@ -13,7 +13,7 @@
 PATH_JOBS = "/v1/jobs"
 PATH_READY = "/ready"
 #: what a path of `PATH_JOBS` ends with when it cancels a job
-CANCEL_END = "/cancel"
+CANCEL_SUFFIX = "/cancel"
 
 #: classes of priority on the wire, and the number that orders them: lower goes first
 PRIORITY_CLASSES = {"production": 0, "urgent": 1, "normal": 2, "low": 3}
@@ -90,7 +90,7 @@
     return msgspec.structs.replace(spec, priority_class=_PRIORITY_CLASS_NAMES[priority])
 
 
-def waiting_on(spec: JobSpec, job_ids: list[str]) -> JobSpec:
+def with_dependencies(spec: JobSpec, job_ids: list[str]) -> JobSpec:
     """The same job, to be started once these are done."""
     return spec if spec.dependencies == job_ids else msgspec.structs.replace(spec, dependencies=job_ids)
 
@@ -102,7 +102,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Malformed:
+class MalformedSubmission:
     """A submission that can't be read, and why; `job_id` is empty where it names no job that could be accepted."""
 
     job_id: str
--- a/quinceslip/protocol/messages/workers.py
+++ b/quinceslip/protocol/messages/workers.py
@@ -10,7 +10,7 @@
 
 PATH_HEARTBEAT = "/hello"
 PATH_INSPECT = "/inspect"
-PATH_DO = "/do"
+PATH_COMMANDS = "/do"
 
 
 class TaskState(StrEnum):
@@ -41,7 +41,7 @@
 PULLING, FLUSHING, EXITED = TaskState.PULLING, TaskState.FLUSHING, TaskState.EXITED
 CAUSE_DONE, CAUSE_HALTED, CAUSE_ERROR = ExitCause.DONE, ExitCause.HALTED, ExitCause.ERROR
 #: a gang's task that ended because the others did, or never came
-CAUSES_GANG = ("peers", "incomplete")
+GANG_EXIT_CAUSES = ("peers", "incomplete")
 
 
 class TaskStatus(Struct):
@@ -72,7 +72,7 @@
     tasks: list[TaskStatus] = field(name="picks", default_factory=list)
 
 
-def names(body: bytes, worker: str) -> bool:
+def is_heartbeat_of(body: bytes, worker: str) -> bool:
     """Whether a reply to `PATH_INSPECT` is a heartbeat of that worker."""
     try:
         return msgspec.json.decode(body, type=WorkerHeartbeat).worker == worker
--- a/quinceslip/protocol/settings.py
+++ b/quinceslip/protocol/settings.py
@@ -84,7 +84,7 @@
     txn_ops: Annotated[int, Meta(ge=1)]
     next: StateNext = StateNext()
 
-    def lasting(self) -> "StateFacts":
+    def lowest_limits(self) -> "StateFacts":
         """Limits that hold now and after the announced change: the lesser of each. Nothing may rest on others."""
 
         def least(now: float, later: float | None) -> float:
--- a/quinceslip/quota/harness.py
+++ b/quinceslip/quota/harness.py
@@ -57,7 +57,7 @@
         self.state = ShardState(self.ctx, leadership, 0, 1)
         self.placement = Placement(self.state)
         if tree is not None:
-            self.ctx.cache.register_kind(AllocationManager.kinds)
+            self.ctx.cache.register_kinds(AllocationManager.kinds)
             self.state.quota = ShardQuota(tree, Allocations(tree, self.ctx.cache), self.state)
             self._grant_all(tree)
         machine_type = m.MachineType("m", cpus, 0.0, 1e6, 1.0, 10.0, [ZONE])
--- a/quinceslip/quota/plots.py
+++ b/quinceslip/quota/plots.py
@@ -88,7 +88,7 @@
     last_levels = samples[-1].levels
     times_s = [sample.at_s for sample in samples]
     by_name = [{level["level"]: level for level in sample.levels} for sample in samples]
-    figure, axes = plotting.rows(len(last_levels), 9)
+    figure, axes = plotting.stacked_plots(len(last_levels), 9)
     for axis, last in zip(axes, last_levels, strict=True):
         levels = [entries.get(last["level"], {}) for entries in by_name]
         _draw_level(axis, times_s, levels, by_name[-1][last["level"]], resource)
--- a/quinceslip/service.py
+++ b/quinceslip/service.py
@@ -67,7 +67,7 @@
             settings.outside.state,
             self.actor.post_always,
             min(timing.leader_lease_us // 4, SECOND),
-            pause_us=int(SECOND * facts.size * 4 / facts.state.lasting().rps),
+            pause_us=int(SECOND * facts.size * 4 / facts.state.lowest_limits().rps),
         )
 
     def run(self) -> None:
@@ -78,7 +78,7 @@
     def _open_pools(self) -> None:
         """The clients, each with threads of its own: none waits behind calls to another target."""
         facts, post = self.settings.facts, self.actor.post_always
-        limits = facts.state.lasting()
+        limits = facts.state.lowest_limits()
         self.state = ClientPool("state", STATE_THREADS, post, RateLimiter(limits.rps, limits.write_rps, facts.size))
         self.leases = ClientPool("lease", LEASE_THREADS, post)  # renewals never wait behind anything else
         self.cloud = ClientPool("cloud", CLOUD_THREADS, post, RateLimiter(facts.cloud.rps, facts.cloud.rps, facts.size))
--- a/quinceslip/storage/cache.py
+++ b/quinceslip/storage/cache.py
@@ -27,7 +27,7 @@
     """
 
     #: kind and name of a key
-    split = staticmethod(records.split_key)
+    split_key = staticmethod(records.split_key)
 
     def __init__(self) -> None:
         self.kinds: dict[str, Any] = {str(kind): record_type for kind, record_type in KINDS.items()}
@@ -36,7 +36,7 @@
         #: store revision up to which all changes are known
         self.revision = 0
         #: records decoded so far: a long listing is one message, and counts as progress of the actor
-        self.records_taken = 0
+        self.records_decoded = 0
         self.mod_revisions: dict[str, int] = {}
         #: the records of each kind by name
         self.by_kind: dict[str, dict[str, Any]] = {kind: {} for kind in self.kinds}
@@ -47,7 +47,7 @@
         #: the services among them
         self.open_services: dict[str, JobRecord] = {}
 
-    def register_kind(self, kinds: Mapping[str, Any]) -> None:
+    def register_kinds(self, kinds: Mapping[str, Any]) -> None:
         """Keep a subsystem's kinds of records as well; `kinds` gives the type of each."""
         self.kinds.update(kinds)
         for kind in kinds:
@@ -101,7 +101,7 @@
 
         An advisory record that can't be read counts as deleted; any other raises `msgspec.DecodeError`.
         """
-        self.records_taken += 1
+        self.records_decoded += 1
         kind = key.split("/")[1]
         try:
             value = msgspec.json.decode(raw, type=self.kinds.get(kind, msgspec.Raw))
@@ -190,7 +190,7 @@
         job = self.job(job_id)
         if job is None or job.state != QUEUED:
             return {}
-        found = {shard: self.partition(shard, job_id) for shard in {job.shard, *job.parts}}
+        found = {shard: self.partition(shard, job_id) for shard in {job.shard, *job.other_shards}}
         return {shard: partition for shard, partition in found.items() if partition is not None}
 
     def done_count(self, job_id: str) -> int:
--- a/quinceslip/storage/records.py
+++ b/quinceslip/storage/records.py
@@ -26,7 +26,7 @@
 rollout               `LevelRecord`           `feature_gate`; it only rises
 ====================  ======================  ==================================================================
 
-<label> is a controller's name in the settings. Subsystems add kinds of their own (`StoreCache.register_kind`): the
+<label> is a controller's name in the settings. Subsystems add kinds of their own (`StoreCache.register_kinds`): the
 quotas `grant`, `want` and `tree` (`quota.allocations`).
 
 Names and values are stored data, which other versions read and write: field names given by `msgspec.field(name=...)`
@@ -60,13 +60,13 @@
 
 PREFIX = "q/"
 #: the counter that every term comes from
-TERM = PREFIX + RecordKind.TERM
+TERM_KEY = PREFIX + RecordKind.TERM
 #: the machine types that the cloud offers
-TYPES = PREFIX + RecordKind.MACHINE_TYPES
+MACHINE_TYPES_KEY = PREFIX + RecordKind.MACHINE_TYPES
 #: the feature level that all controllers act by
-ROLLOUT = PREFIX + RecordKind.ACTIVE_LEVEL
+ACTIVE_LEVEL_KEY = PREFIX + RecordKind.ACTIVE_LEVEL
 #: a key that is never written: a read of it returns the store revision and nothing else
-NOTHING = "none"
+UNUSED_KEY = "none"
 
 
 def shard_key(shard: int) -> str:
--- a/quinceslip/transport/request_handler.py
+++ b/quinceslip/transport/request_handler.py
@@ -92,7 +92,7 @@
         if not text.isascii() or not text.isdigit():
             self.send_error(400, "bad length")
             return None
-        if len(text) > 9 or int(text) > m.MAX_BODY:
+        if len(text) > 9 or int(text) > m.MAX_BODY_BYTES:
             self.send_error(413, "body over 64 KiB")
             return None
         data = self.rfile.read(int(text))
@@ -154,7 +154,7 @@
             self._defer_to_actor(lambda n: UserRequest(n, "ready"), READY_REPLY_TIMEOUT_S)
 
     def _poll_or_cancel(self, path: str) -> None:
-        job_id = path.removesuffix(m.CANCEL_END)
+        job_id = path.removesuffix(m.CANCEL_SUFFIX)
         verb, method = ("poll", "GET") if job_id == path else ("cancel", "POST")
         if not job_id or "/" in job_id:
             self._send(404, {"error": "no such path"})
@@ -175,12 +175,12 @@
         if not self._check_method("POST"):
             return
         spec = m.read_submission(body)
-        if isinstance(spec, m.Malformed):
+        if isinstance(spec, m.MalformedSubmission):
             if spec.job_id:
                 # Guard: resubmitting an accepted job returns its state, even if malformed now; a 400 would be final.
                 self._defer_to_actor(lambda n: UserRequest(n, "malformed", spec.job_id, spec), USER_REPLY_TIMEOUT_S)
             else:
-                self._send(400, {"error": spec.why})
+                self._send(400, {"error": spec.reason})
             return
         self._defer_to_actor(lambda n: UserRequest(n, "submit", spec.job_id, spec), USER_REPLY_TIMEOUT_S)
 
--- a/tests/inputs.py
+++ b/tests/inputs.py
@@ -78,13 +78,13 @@
         bad.write_text(settings_text().replace(old, new, 1))
         with pytest.raises(SettingsError, match=message):
             load_settings(bad)
-    assert load_settings(good).facts.state.lasting() == load_settings(good).facts.state
+    assert load_settings(good).facts.state.lowest_limits() == load_settings(good).facts.state
     for announced, lasting in (
         ("txn_ops = 5\nvalue_kb = 2\nlater = 1", (150.0, 20.0, 2.0, 5)),
         ("rps = 90.5\nwrite_rps = 30", (90.5, 20.0, 16.0, 16)),
     ):
         good.write_text(settings_text().replace("[facts.cloud]", f"[facts.state.next]\n{announced}\n[facts.cloud]"))
-        assert msgspec.structs.astuple(load_settings(good).facts.state.lasting())[:4] == lasting
+        assert msgspec.structs.astuple(load_settings(good).facts.state.lowest_limits())[:4] == lasting
     ini = tmp / "own.ini"
     ini.write_text("[quinceslip]\nload_record_s = 7\n")
     assert load_tuning(ini).load_record_s == 7.0
@@ -238,7 +238,7 @@
     data_seen = frames.pack_observations(frames.PeerObservations("berth-1", seen))
     kind, length = frames.read_header(data_seen[: frames.HEADER.size])
     decoded = frames.read_frame(kind, data_seen[frames.HEADER.size :])
-    assert length <= frames.MAX_PAYLOAD and isinstance(decoded, frames.PeerObservations)
+    assert length <= frames.MAX_PAYLOAD_BYTES and isinstance(decoded, frames.PeerObservations)
     assert (
         decoded.label == "berth-1"
         and decoded.observations == seen[: len(decoded.observations)]
--- a/tests/scenario/liveness_checks.py
+++ b/tests/scenario/liveness_checks.py
@@ -59,9 +59,9 @@
                 other = StallRecord(part, 1, now_us)
                 assert stall_records.is_suspended(other, part, now_us, lease_us) == (part == "moves")
         assert exits <= named["max_exits"], exits
-        assert record is not None and record.times == exits
+        assert record is not None and record.stalls == exits
         later_us = now_us + 3 * stall_records.pause_us(exits, lease_us)
-        assert stall_records.next_record(record, "levels", later_us, lease_us).times == 1  # the count has expired
+        assert stall_records.next_record(record, "levels", later_us, lease_us).stalls == 1  # the count has expired
 
     def do_loopback_stall(self, plain: list[str], named: dict[str, Any]) -> None:
         """loopback_stall: a real process exits when its actor has stalled"""
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -153,7 +153,7 @@
     def receive_user_request(self, verb: str, job_id: str, answered: AnswerHandler, spec: Any = None) -> None:
         """A user's request arrives: `submit` with a description, `poll` or `cancel`."""
         decoded = None if spec is None else m.read_submission(json.dumps(spec).encode())
-        if isinstance(decoded, m.Malformed):
+        if isinstance(decoded, m.MalformedSubmission):
             verb = "malformed"
         self.write_trace("in", "user", verb, job_id, spec)
         self._request(lambda request: fx.UserRequest(request, verb, job_id, decoded), answered)
--- a/tests/test_golden_samples.py
+++ b/tests/test_golden_samples.py
@@ -89,7 +89,7 @@
     "halt": m.stop,
     "reap": m.acknowledge_result,
     "submission": lambda text: m.read_submission(text.encode()),
-    "report is of worker": lambda text, worker: m.names(text.encode(), worker),
+    "report is of worker": lambda text, worker: m.is_heartbeat_of(text.encode(), worker),
     "job answer": m.job_answer,
     "redirect": m.redirect,
     "hire request": m.scale_out_request,
@@ -101,7 +101,7 @@
     "watch path": m.watch_path,
     "transaction": m.compare_and_swap_request,
     "job with priority": lambda job, priority: m.with_priority(as_job(job), priority),
-    "job waiting on": lambda job, job_ids: m.waiting_on(as_job(job), job_ids),
+    "job waiting on": lambda job, job_ids: m.with_dependencies(as_job(job), job_ids),
     "final record": lambda job, *rest: records.final_record(msgspec.convert(job, RECORD_TYPES["job"]), *rest),
     "following standstill": following_note,
     "task set": lambda numbers: task_sets.encode(set(numbers)),
@@ -117,13 +117,13 @@
     "key of standstill": stall_records.key,
     "key of want": quota_records.want_key,
     "name of grant": quota_records.grant_name,
-    "kind and name of key": StoreCache.split,
+    "kind and name of key": StoreCache.split_key,
     "other keys": lambda: [
         records.PREFIX,
-        records.TERM,
-        records.TYPES,
-        records.ROLLOUT,
-        records.NOTHING,
+        records.TERM_KEY,
+        records.MACHINE_TYPES_KEY,
+        records.ACTIVE_LEVEL_KEY,
+        records.UNUSED_KEY,
         quota_records.TREE_KEY,
     ],
     "paths": lambda: [
@@ -131,14 +131,14 @@
         m.PATH_READY,
         m.PATH_HEARTBEAT,
         m.PATH_INSPECT,
-        m.PATH_DO,
+        m.PATH_COMMANDS,
         m.PATH_MACHINE_TYPES,
         m.PATH_HOSTS,
         m.PATH_HOSTS_DELETE,
         m.PATH_TXN,
         m.PATH_LEASES,
         m.PATH_KV,
-        m.CANCEL_END,
+        m.CANCEL_SUFFIX,
         *AllocationManager.questions,
     ],
     "words": lambda: [
@@ -152,11 +152,11 @@
         m.CAUSE_DONE,
         m.CAUSE_HALTED,
         m.CAUSE_ERROR,
-        *m.CAUSES_GANG,
+        *m.GANG_EXIT_CAUSES,
         m.HOST_FAILED,
         m.HOST_BOOTING,
         m.NO_LEASE.decode(),
-        m.MAX_BODY,
+        m.MAX_BODY_BYTES,
         m.PRIORITY_CLASSES,
     ],
 }
@@ -198,7 +198,7 @@
 def understood_settings(path: Path) -> dict[str, str]:
     """The platform's settings as the program understands them, and the limits that it plans with."""
     settings = load_settings(path)
-    return {"settings": encoded(settings), "lasting limits": encoded(settings.facts.state.lasting())}
+    return {"settings": encoded(settings), "lasting limits": encoded(settings.facts.state.lowest_limits())}
 
 
 def understood_tuning(path: Path) -> str:
@@ -211,7 +211,7 @@
     tree = load_tree(read_operator_file(path), load_settings(SAMPLES / "full.toml").facts.teams, str(path), True)
     assert tree is not None
     cache = StoreCache()
-    cache.register_kind(AllocationManager.kinds)
+    cache.register_kinds(AllocationManager.kinds)
     grant = {"version": 1, "total": [9000, 0, 0, 0], "parts": {"0": [4000, 0, 0, 0], "2": [6000, 0, 0, 0]}}
     cache.store(
         f"{records.PREFIX}{quota_records.GRANT}/{quota_records.grant_name('guild', quota_records.AmountKind.CAP)}",
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("sample", SAMPLES["records"], ids=lambda s: s["k"])
 def test_records_are_read_and_rewritten_without_loss(sample: dict[str, Any]) -> None:
-    kind = StoreCache.split(sample["k"])[0]
+    kind = StoreCache.split_key(sample["k"])[0]
     read = msgspec.convert(sample["v"], {**KINDS, **AllocationManager.kinds}[kind])
     written = json.loads(msgspec.json.encode(read))
     assert full(written) == full(sample["v"])
@@ -73,7 +73,7 @@
 
 
 def test_all_kinds_have_a_sample() -> None:
-    kinds = {StoreCache.split(s["k"])[0] for s in SAMPLES["records"]}
+    kinds = {StoreCache.split_key(s["k"])[0] for s in SAMPLES["records"]}
     assert kinds >= {"term", "shard", "job", "part", "roster", "hire", "load", "types", "stray", "grant"}, kinds
 
 
@@ -97,4 +97,4 @@
         written = msgspec.to_builtins(record)
         assert written.keys() <= KNOWN["job"] and (written.get("spec") or {}).keys() <= SPEC
     # What waits for others has one more field: production would drop it, so it waits for the gate.
-    assert "waitsOn" in msgspec.to_builtins(m.waiting_on(spec, ["req-000002"]))
+    assert "waitsOn" in msgspec.to_builtins(m.with_dependencies(spec, ["req-000002"]))
