--- a/tests/scenario/breaches.py
+++ b/tests/scenario/breaches.py
@@ -5,7 +5,7 @@
 
 from tests.scenario.setup import WorldSetup
 from tests.simulation.checker import Checker
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.inputs import job_spec
 
 
@@ -65,16 +65,16 @@
         self._checker.cancellation_requested(args[0])
 
     def _inject_irregular_submission(self, args: list[str], named: dict[str, Any]) -> None:
-        self.w().odd[args[0]] = {}
+        self.w().invalid_submissions[args[0]] = {}
 
     def _inject_request_age(self, args: list[str], named: dict[str, Any]) -> None:
-        self._checker.answers.request_sent_us = self.w().now_us - int(float(args[0]) * US)
+        self._checker.answers.request_sent_us = self.w().now_us - int(float(args[0]) * SECOND_US)
 
     def _inject_fault(self, args: list[str], named: dict[str, Any]) -> None:
-        self.w().trouble(float(args[0]))
+        self.w().begin_fault(float(args[0]))
 
     def _inject_time_passed(self, args: list[str], named: dict[str, Any]) -> None:
-        self.w().now_us += int(float(args[0]) * US)
+        self.w().now_us += int(float(args[0]) * SECOND_US)
 
     def _inject_answer(self, event: str, args: list[str]) -> None:
         handlers = {
--- a/tests/scenario/components.py
+++ b/tests/scenario/components.py
@@ -21,7 +21,7 @@
 from tests.loopback import loopback
 from tests.scenario.state import RunnerState
 from tests.scenario.tools import undocumented_loops
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.inputs import job_spec
 
 
@@ -43,7 +43,9 @@
         for place, part in enumerate(plain[1].split(",")):
             name, tasks, estimate, due = part.split(":")
             spec = msgspec.convert(job_spec("req-1", picks=int(tasks), expectS=float(estimate)), m.JobSpec)
-            partition = JobPartition(name, spec, submitted_us=place, due_us=[int(float(due) * US)] if due else [])
+            partition = JobPartition(
+                name, spec, submitted_us=place, due_us=[int(float(due) * SECOND_US)] if due else []
+            )
             for index in range(int(tasks)):
                 partition.pending.push(index)
             partitions.append(partition)
--- a/tests/scenario/controllers.py
+++ b/tests/scenario/controllers.py
@@ -9,7 +9,7 @@
 from quinceslip.protocol.frames import HEADER, PeerHeartbeat, ShardLoad, pack_heartbeat, read_heartbeat
 from tests.scenario.state import RunnerState
 from tests.scenario.tools import COMPARE
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.faults import StoreCut, WorkerCut
 
 
@@ -18,12 +18,12 @@
 
     def on_crash(self, args: list[str], named: dict[str, Any]) -> None:
         """crash NAME... [restart_after=S]: terminate the processes, and restart them after that time"""
-        self.w().trouble(named.get("restart_after", 0))
+        self.w().begin_fault(named.get("restart_after", 0))
         for name in args:
             host = self.w().controllers[name]
             host.crash()
             if "restart_after" in named:
-                self.w().after(named["restart_after"] * US, host.start)
+                self.w().after(named["restart_after"] * SECOND_US, host.start)
 
     def on_upgrade(self, args: list[str], named: dict[str, Any], previous_version: bool = False) -> None:
         """upgrade NAME... restart_after=S: terminate the processes, and restart them with this version"""
@@ -41,37 +41,37 @@
 
     def on_hang_watch(self, args: list[str], named: dict[str, Any]) -> None:
         """hang_watch NAME S: the controller's watch delivers nothing, while its other calls are answered"""
-        self.w().controllers[args[0]].store.watch_hung_until_us = self.w().trouble(float(args[1]))
+        self.w().controllers[args[0]].store.watch_hung_until_us = self.w().begin_fault(float(args[1]))
 
     def on_partition_peers(self, args: list[str], named: dict[str, Any]) -> None:
         """partition_peers NAME S [inbound]: drop frames to and from its peers; with `inbound`, only those sent to it"""
-        host, until_us = self.w().controllers[args[0]], self.w().trouble(float(args[1]))
+        host, until_us = self.w().controllers[args[0]], self.w().begin_fault(float(args[1]))
         if "inbound" in args:
-            host.peers_unheard_until_us = until_us
+            host.inbound_peers_blocked_until_us = until_us
         else:
             host.peers_cut_until_us = until_us
 
     def on_isolate(self, args: list[str], named: dict[str, Any]) -> None:
         """isolate NAME S held|refused|reset: cut it off from the key-value store and its peers, but not its workers"""
-        host, until_us = self.w().controllers[args[0]], self.w().trouble(float(args[1]))
+        host, until_us = self.w().controllers[args[0]], self.w().begin_fault(float(args[1]))
         host.peers_cut_until_us = until_us
         if args[2] == "refused":
-            self.w().store.refused[args[0]] = until_us
+            self.w().store.refused_until_us[args[0]] = until_us
         else:
             host.store.cut = StoreCut(until_us, args[2])
 
     def on_partition_store(self, args: list[str], named: dict[str, Any]) -> None:
         """partition_store NAME S held|refused|reset: cut it off from the key-value store only"""
-        until_us = self.w().trouble(float(args[1]))
+        until_us = self.w().begin_fault(float(args[1]))
         if args[2] == "refused":
-            self.w().store.refused[args[0]] = until_us
+            self.w().store.refused_until_us[args[0]] = until_us
         else:
             self.w().controllers[args[0]].store.cut = StoreCut(until_us, args[2])
 
     def on_partition_workers(self, args: list[str], named: dict[str, Any]) -> None:
         """partition_workers NAME S [zone=Z]: block traffic between a controller and all workers, or those of a zone"""
         self.w().controllers[args[0]].workers.cut = WorkerCut(
-            self.w().trouble(float(args[1])), str(named.get("zone", ""))
+            self.w().begin_fault(float(args[1])), str(named.get("zone", ""))
         )
 
     def on_inject_peer_load(self, args: list[str], named: dict[str, Any]) -> None:
@@ -84,7 +84,7 @@
         for host in self.w().controllers.values():
             if host.label != args[0]:
                 host.deliver(PeerFrameReceived(read_heartbeat(body)))
-        self.w().after(US // 2, lambda: self.on_inject_peer_load(args, named))
+        self.w().after(SECOND_US // 2, lambda: self.on_inject_peer_load(args, named))
 
     def check_fair_level(self, args: list[str], named: dict[str, Any]) -> None:
         """fair_level SHARD OP N: the fair workload level of that shard at every running controller"""
--- a/tests/scenario/irregular_requests.py
+++ b/tests/scenario/irregular_requests.py
@@ -83,7 +83,7 @@
         """Send a submission that can never be accepted, under a new id."""
         world, job_id = self.runner.w(), f"req-{next(self.id_numbers)}"
         spec = self._invalidate({**next(iter(world.jobs.values())), "uid": job_id})
-        world.odd[job_id] = spec
+        world.invalid_submissions[job_id] = spec
 
         def answered(status: int, body: Any) -> None:
             world.checker.answers.submission_answered(job_id, status, body)
--- a/tests/scenario/liveness_checks.py
+++ b/tests/scenario/liveness_checks.py
@@ -12,7 +12,7 @@
 from tests.loopback import stalled_actor
 from tests.scenario.state import RunnerState
 from tests.scenario.tools import time_limit
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 
 
 class LivenessChecks(RunnerState):
@@ -26,19 +26,21 @@
         `cpu_share`: processor time that it uses in a second. `sample_delay`: every sample is late by this;
         `pause=S`: one sample is. `turn_every=S`: it completes a turn this often.
         """
-        limit_us, share = int(named.get("limit", 3) * US), float(named.get("cpu_share", plain[0] != "blocked"))
+        limit_us, share = int(named.get("limit", 3) * SECOND_US), float(named.get("cpu_share", plain[0] != "blocked"))
         detector = StallDetector(limit_us, 0)
         now_us, cpu_us, detected_s = 0, 0, None
         for number in range(100_000):
-            elapsed_us = detector.period_us + int(named.get("sample_delay", 0) * US)
+            elapsed_us = detector.period_us + int(named.get("sample_delay", 0) * SECOND_US)
             cpu_us += int(share * elapsed_us)
-            now_us += elapsed_us + (int(named.get("pause", 0) * US) if number == 10 else 0)
-            turns = now_us // int(named["turn_every"] * US) if "turn_every" in named else 0
-            position = (1, 1) if plain[0] == "blocked" and now_us >= named.get("blocked_from", 0) * US else (number, 2)
+            now_us += elapsed_us + (int(named.get("pause", 0) * SECOND_US) if number == 10 else 0)
+            turns = now_us // int(named["turn_every"] * SECOND_US) if "turn_every" in named else 0
+            position = (
+                (1, 1) if plain[0] == "blocked" and now_us >= named.get("blocked_from", 0) * SECOND_US else (number, 2)
+            )
             if detector.add(Sample(now_us, turns, None if plain[0] == "unmeasured" else cpu_us, position)):
-                detected_s = now_us / US
+                detected_s = now_us / SECOND_US
                 break
-            if now_us > named.get("for", 600) * US:
+            if now_us > named.get("for", 600) * SECOND_US:
                 break
         if named["after"] == "never":
             assert detected_s is None, detected_s
@@ -47,11 +49,13 @@
 
     def do_repeated_stalls(self, plain: list[str], named: dict[str, Any]) -> None:
         """repeated_stalls HOURS lease=S restart_after=S max_exits=N: a process that stalls right after every start"""
-        lease_us, now_us, exits = int(named["lease"] * US), 0, 0
+        lease_us, now_us, exits = int(named["lease"] * SECOND_US), 0, 0
         record: StallRecord | None = None
         while (
-            now_us := max(now_us + int(named["restart_after"] * US), stall_records.next_exit_us(record, lease_us))
-        ) < float(plain[0]) * 3600 * US:
+            now_us := max(
+                now_us + int(named["restart_after"] * SECOND_US), stall_records.next_exit_us(record, lease_us)
+            )
+        ) < float(plain[0]) * 3600 * SECOND_US:
             record, exits = stall_records.next_record(record, "levels", now_us, lease_us), exits + 1
             assert stall_records.is_suspended(record, "levels", now_us + lease_us, lease_us)
             assert not stall_records.is_suspended(record, "moves", now_us, lease_us)
--- a/tests/scenario/setup.py
+++ b/tests/scenario/setup.py
@@ -4,9 +4,9 @@
 from typing import Any
 
 from tests.scenario.state import Action, InitialMachines, RunnerState
-from tests.simulation.checks.answers import SILENT_S
-from tests.simulation.checks.starvation import WAIT_S
-from tests.simulation.clock import US
+from tests.simulation.checks.answers import MAX_SILENCE_S
+from tests.simulation.checks.starvation import MAX_STARVATION_S
+from tests.simulation.clock import SECOND_US
 from tests.simulation.world import World
 
 
@@ -122,16 +122,18 @@
             self.world = self._make_world()
         world = self.world
         for at_s, verb, args, given in self.actions:
-            world.after(max(1, at_s * US - world.now_us), partial(self.execute, "on_" + verb, args, given))
-        last_us = max((int(action.at_s * US) for action in self.actions), default=0)
+            world.after(max(1, at_s * SECOND_US - world.now_us), partial(self.execute, "on_" + verb, args, given))
+        last_us = max((int(action.at_s * SECOND_US) for action in self.actions), default=0)
         self.actions = []
         if plain[0] == "quiescent":
             # Runs until all faults are over, then until all work must be served and a missing answer is detected.
             world.run(max(last_us, world.now_us) + 1)
-            wait_us = max(world.bound_us(), SILENT_S * US, WAIT_S * US) + US
-            world.run(max(world.calm_us, world.now_us) + wait_us)
+            wait_us = (
+                max(world.completion_bound_us(), MAX_SILENCE_S * SECOND_US, MAX_STARVATION_S * SECOND_US) + SECOND_US
+            )
+            world.run(max(world.last_fault_end_us, world.now_us) + wait_us)
         else:
-            world.run(int(float(plain[0]) * US))
+            world.run(int(float(plain[0]) * SECOND_US))
 
     def _make_world(self) -> World:
         """Create the world that the lines so far describe."""
--- a/tests/scenario/state.py
+++ b/tests/scenario/state.py
@@ -31,7 +31,7 @@
     """A poll without an answer yet: the controller that received it, and which start of its process that was."""
 
     controller: SimulatedController
-    life: int
+    incarnation: int
 
 
 class RunnerState:
@@ -84,7 +84,7 @@
             return
         controller, sent_us = self.w().random.choice(running), self.w().now_us
         if verb == "poll":
-            self.open_polls[sent_us, job_id] = OpenPoll(controller, controller.life)
+            self.open_polls[sent_us, job_id] = OpenPoll(controller, controller.incarnation)
 
         def answered(status: int, body: Any) -> None:
             if self.open_polls.pop((sent_us, job_id), None):
--- a/tests/scenario/store.py
+++ b/tests/scenario/store.py
@@ -17,7 +17,7 @@
 from quinceslip.storage.records import JobRecord
 from tests.scenario.state import RunnerState
 from tests.scenario.tools import COMPARE
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.faults import LateTransactions, LostAnswers, SlowAnswers
 from tests.simulation.inputs import settings_of
 from tests.simulation.world import World
@@ -28,15 +28,15 @@
 
     def on_outage(self, args: list[str], named: dict[str, Any]) -> None:
         """outage store|cloud S: the key-value store or the cloud is unavailable"""
-        until_us = self.w().trouble(float(args[1]))
+        until_us = self.w().begin_fault(float(args[1]))
         if args[0] == "store":
-            self.w().store.outage(int(float(args[1]) * US))
+            self.w().store.outage(int(float(args[1]) * SECOND_US))
         else:
             self.w().cloud.down_until_us = until_us
 
     def on_refuse_store_calls(self, args: list[str], named: dict[str, Any]) -> None:
         """refuse_store_calls NAME S: the key-value store answers 503 to this controller only"""
-        self.w().store.refused[args[0]] = self.w().trouble(float(args[1]))
+        self.w().store.refused_until_us[args[0]] = self.w().begin_fault(float(args[1]))
 
     def on_lose_transaction_answers(self, args: list[str], named: dict[str, Any]) -> None:
         """lose_transaction_answers NAME S MIN [MAX] [share=P]: execute that share of its transactions late, unanswered
@@ -45,27 +45,29 @@
         """
         if args[2] == "at_once":
             for label in self.w().controllers if args[0] == "all" else args[:1]:
-                self.w().store.unanswered[label] = LostAnswers(
-                    self.w().trouble(float(args[1])), float(named.get("share", 1.0))
+                self.w().store.lost_transaction_answers[label] = LostAnswers(
+                    self.w().begin_fault(float(args[1])), float(named.get("share", 1.0))
                 )
             return
         min_s, max_s = float(args[2]), float(args[-1])
-        self.w().store.late[args[0]] = LateTransactions(
-            self.w().trouble(float(args[1])),
-            int(min_s * US),
-            int(max_s * US),
+        self.w().store.late_transactions[args[0]] = LateTransactions(
+            self.w().begin_fault(float(args[1])),
+            int(min_s * SECOND_US),
+            int(max_s * SECOND_US),
             float(named.get("share", 1.0)),
         )
-        self.w().trouble(float(args[1]) + max_s)
+        self.w().begin_fault(float(args[1]) + max_s)
 
     def on_slow_store(self, args: list[str], named: dict[str, Any]) -> None:
         """slow_store NAME|all S MAX: the key-value store takes up to MAX seconds to answer"""
         for label in self.w().controllers if args[0] == "all" else args[:1]:
-            self.w().store.slow[label] = SlowAnswers(self.w().trouble(float(args[1])), int(float(args[2]) * US))
+            self.w().store.slow_answers[label] = SlowAnswers(
+                self.w().begin_fault(float(args[1])), int(float(args[2]) * SECOND_US)
+            )
 
     def on_page_delay(self, args: list[str], named: dict[str, Any]) -> None:
         """page_delay S: records are listed in pages, with this time between two pages"""
-        self.w().store.page_gap_us = int(float(args[0]) * US)
+        self.w().store.page_gap_us = int(float(args[0]) * SECOND_US)
 
     def on_store_limits(self, args: list[str], named: dict[str, Any]) -> None:
         """store_limits value_kb=N txn_ops=N: reject larger values and transactions with 400 from now on"""
@@ -97,7 +99,7 @@
     def check_job_writes_per_s(self, args: list[str], named: dict[str, Any]) -> None:
         """job_writes_per_s OP N: maximum rate of writes of job records, averaged over any ten consecutive seconds"""
         seconds = self.w().store.job_writes_in_second
-        first, last = self.baseline["second"], self.w().now_us // US
+        first, last = self.baseline["second"], self.w().now_us // SECOND_US
         peak = max(sum(seconds.get(t + i, 0) for i in range(10)) / 10 for t in range(first, last - 9))
         assert COMPARE[args[0]](peak, float(args[1])), f"{peak} writes a second"
 
@@ -113,7 +115,7 @@
     def check_quota_writes_per_s(self, args: list[str], named: dict[str, Any]) -> None:
         """quota_writes_per_s OP N: maximum rate of quota record writes, averaged over any ten consecutive seconds"""
         seconds = self.w().store.quota_writes_in_second
-        peak = max(sum(seconds.get(t + i, 0) for i in range(10)) / 10 for t in range(self.w().now_us // US))
+        peak = max(sum(seconds.get(t + i, 0) for i in range(10)) / 10 for t in range(self.w().now_us // SECOND_US))
         assert COMPARE[args[0]](peak, float(args[1])), f"{peak} quota writes a second"
 
     def check_records(self, args: list[str], named: dict[str, Any]) -> None:
--- a/tests/scenario/submission.py
+++ b/tests/scenario/submission.py
@@ -5,7 +5,7 @@
 
 from tests.scenario.state import RunnerState
 from tests.simulation.checks.answers import ACCEPTED_STATUSES, REFUSED_STATUSES
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.inputs import job_spec
 
 #: field of a job's description, by the option of a scenario line
@@ -22,11 +22,11 @@
 }
 FLOAT_FIELDS = ("vcpus", "memGb", "gpus", "dueS", "expectS", "markEveryS", "markCostS")
 
-RETRY_US = 2 * US
+RETRY_US = 2 * SECOND_US
 #: users stop retrying after this time
-MAX_RETRIES_US = 60 * US
+MAX_RETRIES_US = 60 * SECOND_US
 #: interval at which a user checks whether the dependencies of a job are accepted
-DEPENDENCY_RETRY_US = US // 5
+DEPENDENCY_RETRY_US = SECOND_US // 5
 
 
 def read_spec(job_id: str, words: list[str], named: dict[str, Any]) -> dict[str, Any]:
@@ -91,4 +91,4 @@
         world = self.runner.w()
         answers = world.checker.answers
         self.runner.ask("poll", self.job_id, lambda status, body: answers.poll_answered(self.job_id, status, body))
-        world.after(self.poll_period_s * US, self._poll)
+        world.after(self.poll_period_s * SECOND_US, self._poll)
--- a/tests/scenario/users.py
+++ b/tests/scenario/users.py
@@ -8,7 +8,7 @@
 from tests.scenario.state import RunnerState
 from tests.scenario.submission import MAX_RETRIES_US, Submission, read_spec
 from tests.scenario.tools import COMPARE
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 
 
 class UserVerbs(RunnerState):
@@ -23,11 +23,11 @@
 
         def write() -> None:
             with open(args[0], "a", encoding="utf-8") as out:
-                out.write(json.dumps({"at_s": world.now_us / US, "levels": merge_pages(pages)}) + "\n")
+                out.write(json.dumps({"at_s": world.now_us / SECOND_US, "levels": merge_pages(pages)}) + "\n")
 
         world.after(20_000, write)
-        if world.now_us < named["until"] * US:
-            world.after(named["every"] * US, lambda: self.on_sample(args, named))
+        if world.now_us < named["until"] * SECOND_US:
+            world.after(named["every"] * SECOND_US, lambda: self.on_sample(args, named))
 
     def on_submit(self, args: list[str], named: dict[str, Any]) -> None:
         """submit UID [gang|service] [run=S] [run_increment=S] [fails=N] [via=NAME] [poll_every=S] [omit=FIELD] ...
@@ -45,10 +45,10 @@
         if job_id in world.jobs:
             spec = spec if omitted else world.jobs[job_id] | {key: spec[key] for key in ("picks", "vcpus")}
         elif omitted:
-            world.odd[job_id] = spec
+            world.invalid_submissions[job_id] = spec
         else:
             world.jobs[job_id], world.run_s[job_id] = spec, run_s
-            world.failing[job_id], world.apart_s[job_id] = failing, run_increment_s
+            world.remaining_failures[job_id], world.run_increment_s[job_id] = failing, run_increment_s
         world.checker.submission_attempted(job_id)
         Submission(self, job_id, spec, waits_on, via, poll_period_s, world.now_us + MAX_RETRIES_US).attempt()
 
@@ -59,13 +59,17 @@
         fourth job after that time; with `dependency_offset`, each depends on the job N numbers before it.
         """
         offset = int(named.pop("dependency_offset", 0))
-        every_us, cancel_after_s, named = int(named.pop("every", 0) * US), named.pop("cancel_after", None), {**named}
+        every_us, cancel_after_s, named = (
+            int(named.pop("every", 0) * SECOND_US),
+            named.pop("cancel_after", None),
+            {**named},
+        )
         for place in range(int(args[1])):
             words = [f"req-{int(args[0]) + place:06d}", *args[2:]]
             after = {"after": f"req-{int(args[0]) + place - offset:06d}"} if offset else {}
             self.w().after(place * every_us + 1, partial(self.on_submit, words, {**named, **after}))
             if cancel_after_s is not None and place % 4 == 3:
-                self.w().after(place * every_us + cancel_after_s * US, partial(self.on_cancel, words[:1], {}))
+                self.w().after(place * every_us + cancel_after_s * SECOND_US, partial(self.on_cancel, words[:1], {}))
 
     def on_submit_teams(self, args: list[str], named: dict[str, Any]) -> None:
         """submit_teams FIRST COUNT ...: submit one job for each of the teams t-1, t-2, ..."""
@@ -88,7 +92,7 @@
             "starts": starts,
             "reads": self._reads(),
             "rental_requests": world.cloud.rental_requests,
-            "second": world.now_us // US,
+            "second": world.now_us // SECOND_US,
             "quota_writes": world.store.quota_writes,
         }
 
@@ -106,7 +110,7 @@
     def on_poll_many(self, args: list[str], named: dict[str, Any]) -> None:
         """poll_many UID COUNT over=S: poll the job COUNT times, spread evenly over that time"""
         for number in range(int(args[1])):
-            self.w().after(number * named["over"] * US // int(args[1]), lambda: self.on_poll(args, {}))
+            self.w().after(number * named["over"] * SECOND_US // int(args[1]), lambda: self.on_poll(args, {}))
 
     def _reads(self) -> int:
         return sum(h.actor.user_requests.read_barriers for h in self.w().controllers.values() if h.actor is not None)
@@ -118,11 +122,11 @@
 
     def check_polls_within(self, args: list[str], named: dict[str, Any]) -> None:
         """polls_within S: no controller that kept running took longer to answer a poll"""
-        limit_us = int(float(args[0]) * US)
+        limit_us = int(float(args[0]) * SECOND_US)
         late = [
             job_id
-            for (sent_us, job_id), (host, life) in self.open_polls.items()
-            if host.life == life and sent_us + limit_us < self.w().now_us
+            for (sent_us, job_id), (host, incarnation) in self.open_polls.items()
+            if host.incarnation == incarnation and sent_us + limit_us < self.w().now_us
         ]
         assert not late and self.slowest_poll_us <= limit_us, (late[:3], self.slowest_poll_us)
 
@@ -144,7 +148,7 @@
         def attempt() -> None:
             if not concluded[0]:
                 self.ask("cancel", job_id, answered, via=named.get("via", ""))
-                world.after(2 * US, attempt)
+                world.after(2 * SECOND_US, attempt)
 
         attempt()
 
--- a/tests/scenario/workers.py
+++ b/tests/scenario/workers.py
@@ -5,7 +5,7 @@
 
 from tests.scenario.state import RunnerState
 from tests.scenario.tools import COMPARE
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.faults import HeartbeatCopies, SlowCommands
 
 
@@ -17,7 +17,7 @@
         if args[0] == "all":
             return list(world.workers.values())
         if args[0] == "busiest":
-            return sorted(world.workers.values(), key=lambda w: -w.runner.running_count())[:1]
+            return sorted(world.workers.values(), key=lambda w: -w.runner.running_task_count())[:1]
         if args[0].startswith("zone:"):
             return [w for w in world.workers.values() if w.host["yard"] == args[0][5:]]
         if args[0] == "third":
@@ -27,7 +27,7 @@
     def on_partition(self, args: list[str], named: dict[str, Any]) -> None:
         """partition WORKER|... S [lost]: hold all its traffic back until the end, or drop it"""
         for worker in self._workers(args):
-            worker.cut_until_us, worker.drops = self.w().trouble(float(args[1])), "lost" in args
+            worker.cut_until_us, worker.loses_undelivered = self.w().begin_fault(float(args[1])), "lost" in args
 
     def on_partition_zone(self, args: list[str], named: dict[str, Any]) -> None:
         """partition_zone ZONE S: as `partition`, for the workers of a zone"""
@@ -36,7 +36,10 @@
     def on_block_inbound(self, args: list[str], named: dict[str, Any]) -> None:
         """block_inbound WORKER|busiest|third|zone:Z|all S [lost]: nothing reaches it, while its heartbeats arrive"""
         for worker in self._workers(args):
-            worker.unheard_until_us, worker.drops = self.w().trouble(float(args[1])), "lost" in args
+            worker.inbound_blocked_until_us, worker.loses_undelivered = (
+                self.w().begin_fault(float(args[1])),
+                "lost" in args,
+            )
 
     def on_duplicate_heartbeats(self, args: list[str], named: dict[str, Any]) -> None:
         """duplicate_heartbeats WORKER|... S times=N max_delay=S: deliver each N more times, up to that long after
@@ -46,16 +49,16 @@
         """
         if "for_next_leader" in args:
             for worker in self._workers(args):
-                worker.for_next_until_us = self.w().trouble(float(args[1]))
+                worker.keep_copy_until_us = self.w().begin_fault(float(args[1]))
             return
         max_delay_s, times = float(named.get("max_delay", 3 * self.facts["workers"]["lease_s"])), named.get("times", 1)
         for worker in self._workers(args):
-            worker.copies = HeartbeatCopies(self.w().trouble(float(args[1])), times, int(max_delay_s * US))
-            self.w().trouble(float(args[1]) + max_delay_s)
+            worker.copies = HeartbeatCopies(self.w().begin_fault(float(args[1])), times, int(max_delay_s * SECOND_US))
+            self.w().begin_fault(float(args[1]) + max_delay_s)
 
     def on_reboot(self, args: list[str], named: dict[str, Any]) -> None:
         """reboot WORKER|... [replaced]: restart without any tasks; `replaced`: as another machine at its address"""
-        self.w().trouble(0)
+        self.w().begin_fault(0)
         for worker in self._workers(args):
             if "replaced" in args:
                 cloud, host = self.w().cloud, worker.host
@@ -68,21 +71,24 @@
     def on_block_outbound(self, args: list[str], named: dict[str, Any]) -> None:
         """block_outbound WORKER|... S [refused]: it reaches no controller, while direct commands reach it"""
         for worker in self._workers(args):
-            worker.mute_until_us, worker.mute_refused = self.w().trouble(float(args[1])), "refused" in args
+            worker.outbound_blocked_until_us, worker.refuses_outbound = (
+                self.w().begin_fault(float(args[1])),
+                "refused" in args,
+            )
 
     def on_hang(self, args: list[str], named: dict[str, Any]) -> None:
         """hang WORKER|... S: suspend the whole machine"""
         for worker in self._workers(args):
-            worker.hung_until_us = self.w().trouble(float(args[1]))
+            worker.hung_until_us = self.w().begin_fault(float(args[1]))
 
     def on_reclaim(self, args: list[str], named: dict[str, Any]) -> None:
         """reclaim WORKER|... [notice=S]: the cloud reclaims the machine, after that notice"""
         notice_s = named.get("notice", 0)
         for worker in self._workers(args):
-            self.w().trouble(notice_s)
-            worker.notice_us = self.w().now_us + int(notice_s * US)
+            self.w().begin_fault(notice_s)
+            worker.notice_us = self.w().now_us + int(notice_s * SECOND_US)
             worker.has_changed = True
-            self.w().after(notice_s * US + 1, partial(self.w().cloud.remove, worker.name))
+            self.w().after(notice_s * SECOND_US + 1, partial(self.w().cloud.remove, worker.name))
 
     def on_fencing_token(self, args: list[str], named: dict[str, Any]) -> None:
         """fencing_token WORKER N: set the highest fencing token that the worker has seen"""
@@ -91,7 +97,7 @@
 
     def on_cloud(self, args: list[str], named: dict[str, Any]) -> None:
         """cloud ATTRIBUTE N: set an attribute of the simulated cloud, such as capacity, never_boot or lost_answers"""
-        self.w().trouble(0)
+        self.w().begin_fault(0)
         setattr(self.w().cloud, args[0], int(args[1]))
 
     def on_slow_commands(self, args: list[str], named: dict[str, Any]) -> None:
@@ -99,9 +105,9 @@
         request_s, answer_s = float(named.get("request_delay", 0)), float(named.get("answer_delay", 0))
         for worker in self._workers(args):
             worker.slow_commands = SlowCommands(
-                self.w().trouble(float(args[1])), int(request_s * US), int(answer_s * US)
+                self.w().begin_fault(float(args[1])), int(request_s * SECOND_US), int(answer_s * SECOND_US)
             )
-            self.w().trouble(float(args[1]) + request_s)
+            self.w().begin_fault(float(args[1]) + request_s)
 
     def check_not_running(self, args: list[str], named: dict[str, Any]) -> None:
         """not_running UID: none of its tasks runs"""
@@ -127,22 +133,24 @@
 
     def check_services_restarted_by(self, args: list[str], named: dict[str, Any]) -> None:
         """services_restarted_by T: some task was started again, and the last such start was by that second"""
-        restarts = [s[-1] / US for s in self.w().checker.observed.starts.values() if len(s) > 1]
+        restarts = [s[-1] / SECOND_US for s in self.w().checker.observed.starts.values() if len(s) > 1]
         assert restarts and max(restarts) <= float(args[0]), restarts
 
     def check_started_by(self, args: list[str], named: dict[str, Any]) -> None:
         """started_by UID T: the last start of any of its tasks was by that second"""
-        times = [s[-1] / US for t, s in self.w().checker.observed.starts.items() if t.startswith(args[0] + "/")]
+        times = [s[-1] / SECOND_US for t, s in self.w().checker.observed.starts.items() if t.startswith(args[0] + "/")]
         assert times and max(times) <= float(args[1]), times
 
     def check_started_together(self, args: list[str], named: dict[str, Any]) -> None:
         """started_together UID: the last starts of its tasks are less than three seconds apart"""
         times = [s[-1] for t, s in self.w().checker.observed.starts.items() if t.startswith(args[0] + "/")]
-        assert max(times) - min(times) < 3 * US, times
+        assert max(times) - min(times) < 3 * SECOND_US, times
 
     def check_killed_by_lease(self, args: list[str], named: dict[str, Any]) -> None:
         """killed_by_lease OP N: tasks that were killed when the lease of their worker expired"""
-        assert COMPARE[args[0]](self.w().killed, int(args[1])), f"{self.w().killed} tasks killed by their lease"
+        assert COMPARE[args[0]](self.w().tasks_ended_by_lease, int(args[1])), (
+            f"{self.w().tasks_ended_by_lease} tasks killed by their lease"
+        )
 
     def check_machines(self, args: list[str], named: dict[str, Any]) -> None:
         """machines OP N: machines that are rented now"""
@@ -166,7 +174,7 @@
 
     def check_kept_heartbeats_delivered(self, args: list[str], named: dict[str, Any]) -> None:
         """kept_heartbeats_delivered N: minimum number of old heartbeats delivered when a shard was claimed"""
-        assert self.w().kept_delivered >= int(args[0]), self.w().kept_delivered
+        assert self.w().kept_heartbeats_delivered >= int(args[0]), self.w().kept_heartbeats_delivered
 
     def check_examined_per_heartbeat(self, args: list[str], named: dict[str, Any]) -> None:
         """examined_per_heartbeat OP N min_heartbeats=N: workers examined by placement since `reset_counters`"""
@@ -190,5 +198,7 @@
 
     def check_usage_since_at_most(self, args: list[str], named: dict[str, Any]) -> None:
         """usage_since_at_most LEVEL T N: CPUs in use beneath the level at every start after T"""
-        later = [used for at_us, used in self.w().checker.quota.cpu_history[args[0]] if at_us >= float(args[1]) * US]
+        later = [
+            used for at_us, used in self.w().checker.quota.cpu_history[args[0]] if at_us >= float(args[1]) * SECOND_US
+        ]
         assert later and max(later) <= float(args[2]), max(later)
--- a/tests/simulation/checks/answers.py
+++ b/tests/simulation/checks/answers.py
@@ -3,10 +3,10 @@
 from typing import Any
 
 from tests.simulation.checks.observations import FINAL_STATUSES, Observations
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 
 #: a job about which nothing is answered for so long after the last trouble is forgotten
-SILENT_S = 75
+MAX_SILENCE_S = 75
 
 ACCEPTED_STATUSES = (200, 201)
 REFUSED_STATUSES = (400, 422)
@@ -23,7 +23,7 @@
         """A user's attempt to submit a job was answered."""
         observed = self.observed
         if status in ACCEPTED_STATUSES:
-            if job_id in observed.world.odd and job_id not in observed.accepted:
+            if job_id in observed.world.invalid_submissions and job_id not in observed.accepted:
                 observed.breach("accepted_wrong", f"{job_id} can't run or lacks a field")
                 return
             if job_id not in observed.accepted:
@@ -50,9 +50,9 @@
         """Judge the time since the last answer about a job, counted from the end of all troubles."""
         observed = self.observed
         last_answer_us = observed.last_answer_us.get(job_id, observed.now_us)
-        silent_us = observed.now_us - max(last_answer_us, observed.world.calm_us)
-        if silent_us > SILENT_S * US and job_id in observed.accepted and not observed.is_cancelled(job_id):
-            observed.breach("forgotten", f"{job_id}: nothing was answered for {silent_us / US:.0f} s")
+        silent_us = observed.now_us - max(last_answer_us, observed.world.last_fault_end_us)
+        if silent_us > MAX_SILENCE_S * SECOND_US and job_id in observed.accepted and not observed.is_cancelled(job_id):
+            observed.breach("forgotten", f"{job_id}: nothing was answered for {silent_us / SECOND_US:.0f} s")
 
     def _sent_us(self) -> int:
         return self.observed.now_us if self.request_sent_us is None else self.request_sent_us
@@ -104,7 +104,9 @@
         for other in observed.dependencies(job_id):
             late_us = sent_us - observed.cancel_answered_us.get(other, sent_us)
             if late_us > observed.cancel_limit_us:
-                observed.breach("orphaned", f"{job_id} is {status}, {late_us / US:.0f} s after {other} was withdrawn")
+                observed.breach(
+                    "orphaned", f"{job_id} is {status}, {late_us / SECOND_US:.0f} s after {other} was withdrawn"
+                )
 
     def _cancelled_received(self, job_id: str) -> None:
         if not self.observed.is_cancelled(job_id):
@@ -117,5 +119,5 @@
             self.observed.breach("not_done", f"{job_id}: {missing[:3]}")
 
     def _publish_news(self, job_id: str, status: str) -> None:
-        for listener in self.observed.world.on_news:
+        for listener in self.observed.world.status_listeners:
             listener(job_id, status)
--- a/tests/simulation/checks/end_of_run.py
+++ b/tests/simulation/checks/end_of_run.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 
 from tests.simulation.checks.observations import Observations
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 
 #: the largest jobs of a class begin within this long of the first attempt to submit them
 BEGIN_S = 240
@@ -30,17 +30,17 @@
             self.observed.breach("nothing_ran", "no task was started")
 
     def _check_group(self, name: str, job_ids: list[str]) -> None:
-        observed, bound_us = self.observed, self.observed.world.bound_us()
+        observed, bound_us = self.observed, self.observed.world.completion_bound_us()
         old = [job_id for job_id in job_ids if observed.ready_us(job_id) + bound_us < observed.now_us]
         left = [job_id for job_id in old if not self._is_served(job_id)]
         if 2 * len(left) > len(old):
             observed.breach("starved", f"{name}: {len(left)} of {len(old)} not served, as {left[:3]}")
-        if left and observed.now_us > observed.world.calm_us + bound_us:
-            observed.breach("lost_work", f"{left[:3]} of {name}, {bound_us / US:.0f} s after all troubles")
+        if left and observed.now_us > observed.world.last_fault_end_us + bound_us:
+            observed.breach("lost_work", f"{left[:3]} of {name}, {bound_us / SECOND_US:.0f} s after all troubles")
 
     def _check_begun(self, name: str, job_ids: list[str]) -> None:
         for job_id in job_ids:
-            if self._begun_us(job_id) - self.observed.ready_us(job_id) > BEGIN_S * US:
+            if self._begun_us(job_id) - self.observed.ready_us(job_id) > BEGIN_S * SECOND_US:
                 self.observed.breach("starved", f"{job_id}, of the {name}, had not begun after {BEGIN_S} s")
 
     def _is_served(self, job_id: str) -> bool:
@@ -62,7 +62,7 @@
         observed = self.observed
         groups: dict[str, list[str]] = defaultdict(list)
         for job_id in observed.accepted:
-            if not observed.is_cancelled(job_id) and not observed.world.failing.get(job_id):
+            if not observed.is_cancelled(job_id) and not observed.world.remaining_failures.get(job_id):
                 groups[f"class {observed.spec(job_id)['lane']}"].append(job_id)
                 groups[f"team {observed.spec(job_id)['crew']}"].append(job_id)
         return groups
--- a/tests/simulation/checks/observations.py
+++ b/tests/simulation/checks/observations.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 from typing import TYPE_CHECKING, Any
 
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.tasks import tasks_of
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
     @property
     def cancel_limit_us(self) -> int:
         """The time after which nothing of a job may run whose cancellation was answered (`cancel_s` of the site)."""
-        return int(self.world.facts["workers"]["cancel_s"] * US)
+        return int(self.world.facts["workers"]["cancel_s"] * SECOND_US)
 
     def spec(self, job_id: str) -> dict[str, Any]:
         """The description of a job as its user submits it."""
@@ -50,7 +50,7 @@
 
     def breach(self, rule: str, text: str) -> None:
         """Record that a rule was broken now."""
-        self.breaches.append(f"{self.now_us / US:.3f} {rule}: {text}")
+        self.breaches.append(f"{self.now_us / SECOND_US:.3f} {rule}: {text}")
 
     def tasks(self, job_id: str) -> list[str]:
         """The names of all tasks of a job."""
--- a/tests/simulation/checks/starvation.py
+++ b/tests/simulation/checks/starvation.py
@@ -6,13 +6,13 @@
 
 from tests.simulation.checks.observations import FINAL_STATUSES, Observations
 from tests.simulation.checks.quota import RESOURCE_FIELDS, ROUNDING, QuotaChecks, level_of_section, need_of
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.task_runner import TaskStatus
 from tests.simulation.tasks import job_of
 from tests.simulation.worker import SimulatedWorker
 
 #: no job waits for so long while a machine that fits has room and its team is under its limit
-WAIT_S = 90
+MAX_STARVATION_S = 90
 
 
 @dataclass
@@ -55,7 +55,7 @@
     def sample(self) -> None:
         """Judge the jobs that wait at this moment; asked for every second or two, and passed over in troubles."""
         observed = self.observed
-        if observed.now_us < observed.world.calm_us:
+        if observed.now_us < observed.world.last_fault_end_us:
             self.waiting_since_us.clear()
             return
         machines = [
@@ -76,9 +76,9 @@
         """Since when a job has waited, in µs: anew after a breach."""
         now_us = self.observed.now_us
         since_us = self.waiting_since_us.get(job_id, now_us)
-        if now_us - since_us <= WAIT_S * US:
+        if now_us - since_us <= MAX_STARVATION_S * SECOND_US:
             return since_us
-        self.observed.breach("left_waiting", f"{job_id}: {left} tasks, beside room for {WAIT_S} s")
+        self.observed.breach("left_waiting", f"{job_id}: {left} tasks, beside room for {MAX_STARVATION_S} s")
         return now_us
 
     def _is_startable(self, job_id: str) -> bool:
@@ -86,7 +86,7 @@
         observed = self.observed
         if observed.last_status.get(job_id) in FINAL_STATUSES or observed.is_cancelled(job_id):
             return False
-        if observed.world.failing.get(job_id):
+        if observed.world.remaining_failures.get(job_id):
             return False
         return all(map(observed.is_complete, observed.spec(job_id)["waitsOn"]))
 
--- a/tests/simulation/clock.py
+++ b/tests/simulation/clock.py
@@ -2,4 +2,4 @@
 
 from quinceslip.coordination.actor.timing import SECOND
 
-US = SECOND
+SECOND_US = SECOND
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.worker import SimulatedWorker
 
 if TYPE_CHECKING:
@@ -84,7 +84,7 @@
             count = min(body["howMany"], self.capacity - len(self.machines))
             if count <= 0:
                 return 503, {"error": "no capacity"}
-            boot_us = self.boot_us or int(self.world.types[body["build"]]["startupS"] * US)
+            boot_us = self.boot_us or int(self.world.types[body["build"]]["startupS"] * SECOND_US)
             self.requests[request] = [
                 self.start(body["build"], body["yard"], body["loaners"], boot_us) for _ in range(count)
             ]
@@ -95,8 +95,8 @@
 
     def _listing(self) -> list[dict[str, Any]]:
         """Machines as they were some seconds ago, by name, with their age at that time."""
-        lag_us = int(self.world.facts["cloud"]["list_lag_s"] * US)
+        lag_us = int(self.world.facts["cloud"]["list_lag_s"] * SECOND_US)
         at_us = self.world.now_us - lag_us - self.extra_lag_us
         hosts = [*self.machines.values(), *(host for host, gone_us in self.past.values() if gone_us > at_us)]
         hosts.sort(key=lambda host: str(host["uid"]))
-        return [{**host, "ageS": (at_us - host["born"]) / US} for host in hosts if host["born"] <= at_us]
+        return [{**host, "ageS": (at_us - host["born"]) / SECOND_US} for host in hosts if host["born"] <= at_us]
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -36,11 +36,11 @@
         self.world, self.label = world, label
         self.actor: Controller | None = None
         self.runs_previous_version = False  # one that says nothing of the level that it supports
-        self.life = 0  # counts starts and crashes
+        self.incarnation = 0  # counts starts and crashes
         self.answer_handlers: dict[int, AnswerHandler] = {}  # of requests that wait for a reply
         self.last_request = 0
         self.peers_cut_until_us = 0  # no frames to or from its peers
-        self.peers_unheard_until_us = 0  # its peers' frames do not reach it, its own reach them
+        self.inbound_peers_blocked_until_us = 0  # its peers' frames do not reach it, its own reach them
         self.store = StoreConnection(self)
         self.workers = WorkerConnection(self)
         self.operators = configparser.ConfigParser(interpolation=None)  # its own copy of the operators' file
@@ -52,18 +52,18 @@
         if self.actor is not None:
             return
         settings = settings_of(self.world.facts, self.label)
-        self.life += 1
+        self.incarnation += 1
         self.answer_handlers.clear()
         now_us = self.world.now_us
         self.actor = Controller(settings, Tuning(), now_us, now_us, subsystem_factories(settings, self.operators))
         self.actor.feature_gate.supported_level *= not self.runs_previous_version
-        self._tick(self.life)
-        self.store.list_all(self.life)
+        self._tick(self.incarnation)
+        self.store.list_all(self.incarnation)
 
     def crash(self) -> None:
         """End the process at once; what was on its way to it is lost."""
         self.actor = None
-        self.life += 1
+        self.incarnation += 1
 
     def write_trace(self, direction: str, other: str, *said: Any) -> None:
         """Write down what came (`in`) or went (`out`), and its other end."""
@@ -72,14 +72,14 @@
 
     def deliver(self, message: Any, life: int | None = None) -> None:
         """Hand a message to the actor; one that belongs to an earlier life of the process is lost."""
-        if self.actor is None or (life is not None and life != self.life):
+        if self.actor is None or (life is not None and life != self.incarnation):
             return
         for step in (message, fx.BatchEnd()):
             for effect in self.actor.handle(step, self.world.now_us):
                 self._carry_out(effect)
 
     def _tick(self, life: int) -> None:
-        if life == self.life and self.actor is not None:
+        if life == self.incarnation and self.actor is not None:
             self.deliver(fx.Tick())
             self.world.checker.controllers.check(self, self.actor)
             self.world.after(TICK_US, lambda: self._tick(life))
@@ -106,7 +106,7 @@
         world = self.world
         for other in world.controllers.values():
             if other is self or world.now_us < max(
-                other.peers_cut_until_us, other.peers_unheard_until_us, self.peers_cut_until_us
+                other.peers_cut_until_us, other.inbound_peers_blocked_until_us, self.peers_cut_until_us
             ):
                 continue
             for frame in read_frames(effect.frames):
@@ -118,7 +118,7 @@
         self.write_trace(
             "out", call.target, call.method, call.path, body, call.timeout_us, call.writes, int(call.urgency)
         )
-        respond = partial(self._respond, call, self.life)
+        respond = partial(self._respond, call, self.incarnation)
         if call.target in STORE_TARGETS:
             self.store.call(call, body, respond)
         elif call.target == "cloud":
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.faults import LateTransactions, LostAnswers, LostHandOver, SlowAnswers
 
 if TYPE_CHECKING:
@@ -48,11 +48,11 @@
         self.page_gap_us = 0  # a listing comes in pages, with so long between two of them
         self.limits: dict[str, float] = {}  # lower ones than the settings', since some moment
         # Faults by the controller that they meet.
-        self.refused: dict[str, int] = {}  # until when it is answered 503
-        self.late: dict[str, LateTransactions] = {}
-        self.unanswered: dict[str, LostAnswers] = {}
-        self.hand_over_lost: dict[str, LostHandOver] = {}
-        self.slow: dict[str, SlowAnswers] = {}
+        self.refused_until_us: dict[str, int] = {}  # until when it is answered 503
+        self.late_transactions: dict[str, LateTransactions] = {}
+        self.lost_transaction_answers: dict[str, LostAnswers] = {}
+        self.lost_hand_overs: dict[str, LostHandOver] = {}
+        self.slow_answers: dict[str, SlowAnswers] = {}
         # What scenarios ask for.
         self.answers_lost = 0
         self.refused_changes: list[str] = []  # changes of transactions that were over the limits
@@ -70,7 +70,7 @@
 
     def reachable(self, controller: str) -> bool:
         """Whether the store answers this controller now."""
-        return self.world.now_us >= max(self.down_until_us, self.refused.get(controller, 0))
+        return self.world.now_us >= max(self.down_until_us, self.refused_until_us.get(controller, 0))
 
     def answer(self, controller: str, method: str, path: str, body: Any) -> tuple[int, Any]:
         """Carry a call out; its status and body. `controller` is empty for one that no refusal stops."""
@@ -161,7 +161,7 @@
         )
 
     def _count(self, changes: list[dict[str, Any]]) -> None:
-        second = self.world.now_us // US
+        second = self.world.now_us // SECOND_US
         kinds = [_kind(change) for change in changes]
         job_writes = sum(kind in JOB_KINDS for kind in kinds)
         quota_writes = sum(kind in QUOTA_KINDS for kind in kinds)
--- a/tests/simulation/store_connection.py
+++ b/tests/simulation/store_connection.py
@@ -7,7 +7,7 @@
 
 from quinceslip.coordination.actor import effects as fx
 from quinceslip.protocol import messages as m
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.faults import LateTransactions, LostAnswers, SlowAnswers, StoreCut
 
 if TYPE_CHECKING:
@@ -15,11 +15,11 @@
 
 Respond = Callable[[int, Any], None]
 
-RETRY_US = 300 * US // 1000
+RETRY_US = 300 * SECOND_US // 1000
 #: from a listing to the first answer of the watch, and from one of its answers with changes to the next
-WATCH_GAP_US = 80 * US // 1000
+WATCH_GAP_US = 80 * SECOND_US // 1000
 #: from an answer of the watch without changes to the next
-QUIET_WATCH_GAP_US = 150 * US // 1000
+QUIET_WATCH_GAP_US = 150 * SECOND_US // 1000
 
 
 class StoreConnection:
@@ -35,7 +35,7 @@
 
     def list_all(self, life: int) -> None:
         """Read all records and watch them from there on; again after a while where the store can't be reached."""
-        if life != self.controller.life:
+        if life != self.controller.incarnation:
             return
         store, now_us = self.world.store, self.world.now_us
         if not store.reachable(self.controller.label) or now_us < self.cut.until_us:
@@ -51,7 +51,7 @@
 
         Bound: each page is of the first of the kinds, which the next is without.
         """
-        if life != self.controller.life:
+        if life != self.controller.incarnation:
             return
         store = self.world.store
         if not store.reachable(self.controller.label):
@@ -84,7 +84,7 @@
 
     def _watch(self, life: int, since: int) -> None:
         controller, world, store = self.controller, self.world, self.world.store
-        if life != controller.life:
+        if life != controller.incarnation:
             return
         now_us = world.now_us
         if not store.reachable(controller.label) or now_us < max(self.watch_hung_until_us, self.cut.until_us):
@@ -138,7 +138,7 @@
 
     def _meets_late(self, call: fx.Call, body: Any, respond: Respond) -> bool:
         world = self.world
-        late = world.store.late.get(self.controller.label, LateTransactions())
+        late = world.store.late_transactions.get(self.controller.label, LateTransactions())
         if not self._is_drawn(call, late.until_us, late.share):
             return False
         delay_us = world.random.randint(late.min_delay_us, late.max_delay_us)
@@ -148,11 +148,11 @@
 
     def _meets_lost_answer(self, call: fx.Call, body: Any, respond: Respond) -> bool:
         world, store, label = self.world, self.world.store, self.controller.label
-        lost = store.unanswered.get(label, LostAnswers())
-        if label in store.hand_over_lost and _is_hand_over(call, body):
-            hand_over = store.hand_over_lost.pop(label)
+        lost = store.lost_transaction_answers.get(label, LostAnswers())
+        if label in store.lost_hand_overs and _is_hand_over(call, body):
+            hand_over = store.lost_hand_overs.pop(label)
             self.watch_hung_until_us = world.now_us + hand_over.watch_hung_us
-            world.handed_over_us = world.now_us
+            world.hand_over_lost_us = world.now_us
             if hand_over.is_dropped:
                 self._time_out(call, respond)
                 return True
@@ -167,7 +167,7 @@
     def _meets_slow(self, call: fx.Call, body: Any, respond: Respond) -> bool:
         """It waits before it is carried out and after; its sender gives up in between."""
         world = self.world
-        slow = world.store.slow.get(self.controller.label, SlowAnswers())
+        slow = world.store.slow_answers.get(self.controller.label, SlowAnswers())
         if world.now_us >= slow.until_us:
             return False
         there_us, back_us = (world.random.randint(0, slow.max_us // 2) for _ in range(2))
--- a/tests/simulation/task_runner.py
+++ b/tests/simulation/task_runner.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.tasks import index_of, job_of
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
         for name in list(self.tasks):
             self._ended(self.tasks[name])
 
-    def running_count(self) -> int:
+    def running_task_count(self) -> int:
         """Tasks that run or save their state."""
         return sum(task.is_running for task in self.tasks.values())
 
@@ -108,7 +108,7 @@
         can_save = task.spec["markEveryS"] > 0 and command.get("windDownS", 0) >= save_s
         if can_save and task.status == TaskStatus.RUNNING:
             task.status = TaskStatus.FLUSHING
-            self.world.after(save_s * US, partial(self._exit, name, attempt, "halted"))
+            self.world.after(save_s * SECOND_US, partial(self._exit, name, attempt, "halted"))
         else:
             self._exit(name, attempt, "halted")
 
@@ -127,12 +127,12 @@
         self.worker.has_changed = True
         world, job_id = self.world, job_of(name)
         world.checker.machines.task_started(name, self.worker)
-        if world.failing.get(job_id, 0) > 0:
-            world.failing[job_id] -= 1
-            world.after(US, partial(self._exit, name, attempt, "error"))
+        if world.remaining_failures.get(job_id, 0) > 0:
+            world.remaining_failures[job_id] -= 1
+            world.after(SECOND_US, partial(self._exit, name, attempt, "error"))
         elif task.spec["shape"] != "standing":
-            run_s = world.run_s[job_id] + index_of(name) * world.apart_s.get(job_id, 0)
-            world.after(run_s * US, partial(self._complete, name, attempt))
+            run_s = world.run_s[job_id] + index_of(name) * world.run_increment_s.get(job_id, 0)
+            world.after(run_s * SECOND_US, partial(self._complete, name, attempt))
 
     def _complete(self, name: str, attempt: int) -> None:
         task = self._attempt(name, attempt)
@@ -144,7 +144,7 @@
         checker.task_completed(name)
         self._exit(name, attempt, "done")
         if checker.observed.is_complete(job_id):
-            for listener in self.world.on_end:
+            for listener in self.world.completion_listeners:
                 listener(job_id)
 
     def _postponed_by_hang(self, action: Callable[[], None]) -> bool:
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -4,7 +4,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.faults import HeartbeatCopies, SlowCommands
 from tests.simulation.task_runner import TaskRunner
 
@@ -14,11 +14,11 @@
 #: a worker looks so often whether its lease has expired and a heartbeat is due
 TICK_US = 50_000
 #: a worker gives up on the answer to a heartbeat after so long
-HEARTBEAT_TIMEOUT_US = 4 * US
+HEARTBEAT_TIMEOUT_US = 4 * SECOND_US
 #: what has changed is reported before the period is over, but not sooner than so long after the last heartbeat
-MIN_HEARTBEAT_GAP_US = US // 2
+MIN_HEARTBEAT_GAP_US = SECOND_US // 2
 #: a worker waits so long before it turns to another controller
-NEXT_CONTROLLER_DELAY_US = US
+NEXT_CONTROLLER_DELAY_US = SECOND_US
 
 
 @dataclass
@@ -27,7 +27,7 @@
 
     sent_us: int
     epoch: int
-    life: int
+    incarnation: int
     is_settled: bool = False  # answered or given up
 
 
@@ -45,16 +45,16 @@
         self.lease_renewed_us = world.now_us
         self.controller = world.random.choice(sorted(world.controllers))  # label of the one that gets its heartbeats
         self.is_dead = False
-        self.life = 0  # counts reboots
+        self.incarnation = 0  # counts reboots
         self.cut_until_us = 0
         self.hung_until_us = 0
-        self.mute_until_us = 0  # it reaches no controller, while direct commands reach it
-        self.mute_refused = False  # its connections are refused, so it goes on to the next at once; else they hang
+        self.outbound_blocked_until_us = 0  # it reaches no controller, while direct commands reach it
+        self.refuses_outbound = False  # its connections are refused, so it goes on to the next at once; else they hang
         self.slow_commands = SlowCommands()
-        self.drops = False  # what does not reach it is lost, not delivered later
-        self.unheard_until_us = 0  # its heartbeats arrive; no answer, command or question reaches it
+        self.loses_undelivered = False  # what does not reach it is lost, not delivered later
+        self.inbound_blocked_until_us = 0  # its heartbeats arrive; no answer, command or question reaches it
         self.copies = HeartbeatCopies()
-        self.for_next_until_us = 0  # a copy of its latest heartbeat is kept until a shard has a new leader
+        self.keep_copy_until_us = 0  # a copy of its latest heartbeat is kept until a shard has a new leader
         self.is_awaiting_answer = False
         self.has_changed = True  # something is to be reported before the period is over
         self.last_heartbeat_us = 0
@@ -77,23 +77,23 @@
         self.epoch += 1
         self.fencing_token = 0
         self.is_awaiting_answer, self.has_changed = False, True
-        self.life += 1
+        self.incarnation += 1
         self.lease_renewed_us = self.world.now_us
         self.undelivered.clear()
 
     def is_unreachable(self) -> bool:
         """Whether no command, question or answer reaches it now."""
-        return self.world.now_us < max(self.cut_until_us, self.hung_until_us, self.unheard_until_us)
+        return self.world.now_us < max(self.cut_until_us, self.hung_until_us, self.inbound_blocked_until_us)
 
     def _tick(self) -> None:
         if self.is_dead:
             return
         now_us = self.world.now_us
         self.world.after(TICK_US, self._tick)
-        lease_expired = now_us - self.lease_renewed_us > self.world.facts["workers"]["lease_s"] * US
+        lease_expired = now_us - self.lease_renewed_us > self.world.facts["workers"]["lease_s"] * SECOND_US
         if lease_expired:
             # Also on a machine that hangs: it may resume within its lease, not after it.
-            self.world.killed += self.runner.running_count()
+            self.world.tasks_ended_by_lease += self.runner.running_task_count()
             self.runner.end_all()
         if now_us < self.hung_until_us:
             return
@@ -110,7 +110,7 @@
         self.has_changed = True
 
     def _take_undelivered(self) -> None:
-        if self.undelivered and self.world.now_us >= max(self.cut_until_us, self.unheard_until_us):
+        if self.undelivered and self.world.now_us >= max(self.cut_until_us, self.inbound_blocked_until_us):
             undelivered, self.undelivered = self.undelivered, []
             for body in undelivered:
                 self.receive_commands(body)
@@ -121,13 +121,13 @@
         if self.is_awaiting_answer or self.world.now_us < self.not_before_us:
             return False
         gap_us = self.world.now_us - self.last_heartbeat_us
-        period_us = self.world.facts["workers"]["report_s"] * US
+        period_us = self.world.facts["workers"]["report_s"] * SECOND_US
         return bool(gap_us >= period_us or (self.has_changed and gap_us >= MIN_HEARTBEAT_GAP_US))
 
     def heartbeat(self) -> dict[str, Any]:
         """The next heartbeat, as on the wire."""
         self.seq += 1
-        notice_s = None if self.notice_us is None else max(0.0, (self.notice_us - self.world.now_us) / US)
+        notice_s = None if self.notice_us is None else max(0.0, (self.notice_us - self.world.now_us) / SECOND_US)
         return {
             "berth": self.name,
             "endpoint": self.host["endpoint"],
@@ -144,16 +144,16 @@
     def _send_heartbeat(self) -> None:
         world, now_us = self.world, self.world.now_us
         self.is_awaiting_answer, self.has_changed, self.last_heartbeat_us = True, False, now_us
-        exchange = HeartbeatExchange(now_us, self.epoch, self.life)
+        exchange = HeartbeatExchange(now_us, self.epoch, self.incarnation)
         heartbeat = self.heartbeat()
-        if now_us < self.mute_until_us and self.mute_refused:
+        if now_us < self.outbound_blocked_until_us and self.refuses_outbound:
             world.after(world.latency(), partial(self._give_up, exchange))
             return
         world.after(HEARTBEAT_TIMEOUT_US, partial(self._give_up, exchange))
-        if now_us < self.for_next_until_us:
-            others = [kept for kept in world.for_next if kept["berth"] != self.name]
-            world.for_next = [*others, heartbeat]
-        if now_us >= max(self.cut_until_us, self.mute_until_us):
+        if now_us < self.keep_copy_until_us:
+            others = [kept for kept in world.kept_heartbeats if kept["berth"] != self.name]
+            world.kept_heartbeats = [*others, heartbeat]
+        if now_us >= max(self.cut_until_us, self.outbound_blocked_until_us):
             controller = world.controllers[self.controller]
             answered = partial(self._answer_received, exchange)
             world.after(world.latency(), partial(controller.receive_heartbeat, heartbeat, answered))
@@ -167,12 +167,12 @@
         for _ in range(self.copies.times):
             controller = world.controllers[world.random.choice(sorted(world.controllers))]
             world.after(
-                world.random.randint(US, self.copies.max_delay_us),
+                world.random.randint(SECOND_US, self.copies.max_delay_us),
                 partial(controller.receive_heartbeat, heartbeat, lambda status, body: None, is_copy=True),
             )
 
     def _is_open(self, exchange: HeartbeatExchange) -> bool:
-        return not exchange.is_settled and not self.is_dead and exchange.life == self.life
+        return not exchange.is_settled and not self.is_dead and exchange.incarnation == self.incarnation
 
     def _answer_received(self, exchange: HeartbeatExchange, status: int, body: Any) -> None:
         if not self._is_open(exchange) or self.is_unreachable():
--- a/tests/simulation/worker_connection.py
+++ b/tests/simulation/worker_connection.py
@@ -33,7 +33,7 @@
             world.after(call.timeout_us, lambda: respond(fx.NOT_SENT, {}))
         elif self.is_cut_from(worker) or worker.is_unreachable():
             # Held back by the network, delivered when the interruption ends.
-            if call.path == m.PATH_COMMANDS and not worker.drops:
+            if call.path == m.PATH_COMMANDS and not worker.loses_undelivered:
                 worker.undelivered.append(body)
             world.after(call.timeout_us, lambda: respond(fx.UNKNOWN, {}))
         elif call.path == m.PATH_COMMANDS and world.now_us < worker.slow_commands.until_us:
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from tests.simulation.checker import Checker
-from tests.simulation.clock import US
+from tests.simulation.clock import SECOND_US
 from tests.simulation.cloud import SimulatedCloud
 from tests.simulation.controller import SimulatedController
 from tests.simulation.store import SimulatedStore
@@ -21,7 +21,7 @@
 #: what a message takes at the most, unless links are slow
 MAX_LATENCY_US = 4000
 #: how often the checker looks who waits
-SAMPLE_PERIOD_US = 2 * US
+SAMPLE_PERIOD_US = 2 * SECOND_US
 #: CPUs that are assumed where no machine is there
 DEFAULT_CPUS = 16.0
 #: from the end of a job to the start of one that waits for it, at the most
@@ -39,7 +39,7 @@
         operators: dict[str, dict[str, str]] | None = None,
     ) -> None:
         self.now_us = 0
-        self.calm_us = 0  # when the last trouble is over
+        self.last_fault_end_us = 0  # when the last trouble is over
         self.operators = operators or {}  # sections of the operators' INI file
         self.events: list[tuple[int, int, Callable[[], object]]] = []  # (when, number, what): a heap
         self.last_event = 0
@@ -49,18 +49,20 @@
         # Jobs by their id.
         self.jobs: dict[str, dict[str, Any]] = {}
         self.run_s: dict[str, float] = {}
-        self.apart_s: dict[str, float] = {}  # each task of a job runs so much longer than the one before
-        self.failing: dict[str, int] = {}  # so many more starts of its tasks fail
-        self.odd: dict[str, dict[str, Any]] = {}  # submissions that can never run or lack a field
+        self.run_increment_s: dict[str, float] = {}  # each task of a job runs so much longer than the one before
+        self.remaining_failures: dict[str, int] = {}  # so many more starts of its tasks fail
+        self.invalid_submissions: dict[str, dict[str, Any]] = {}  # submissions that can never run or lack a field
         # Listeners.
-        self.on_news: list[Callable[[str, str], None]] = []  # an answer brings the first news of its kind about a job
-        self.on_end: list[Callable[[str], None]] = []  # a job's last task has completed
+        self.status_listeners: list[
+            Callable[[str, str], None]
+        ] = []  # an answer brings the first news of its kind about a job
+        self.completion_listeners: list[Callable[[str], None]] = []  # a job's last task has completed
         # Interruptions, and what they met.
         self.link_delay_us, self.links_slow_until_us = 0, 0  # what a message takes at the most until then
-        self.for_next: list[dict[str, Any]] = []  # copies of heartbeats that wait for the next claim of a shard
-        self.kept_delivered = 0  # copies that arrived as a shard got a leader
-        self.handed_over_us = 0  # a hand-over was carried out, and its answer lost
-        self.killed = 0  # tasks that a worker's own lease ended
+        self.kept_heartbeats: list[dict[str, Any]] = []  # copies of heartbeats that wait for the next claim of a shard
+        self.kept_heartbeats_delivered = 0  # copies that arrived as a shard got a leader
+        self.hand_over_lost_us = 0  # a hand-over was carried out, and its answer lost
+        self.tasks_ended_by_lease = 0  # tasks that a worker's own lease ended
         self.heartbeats = 0
         self.store = SimulatedStore(self)
         self.cloud = SimulatedCloud(self)
@@ -94,20 +96,20 @@
 
     def shard_claimed(self) -> None:
         """A shard has a new leader: old heartbeats that were kept for this arrive at every controller now."""
-        heartbeats, self.for_next = self.for_next, []
-        self.kept_delivered += len(heartbeats) * len(self.controllers)
+        heartbeats, self.kept_heartbeats = self.kept_heartbeats, []
+        self.kept_heartbeats_delivered += len(heartbeats) * len(self.controllers)
         for heartbeat in heartbeats:
             for controller in self.controllers.values():
                 arrives = partial(controller.receive_heartbeat, heartbeat, lambda status, body: None, is_copy=True)
                 self.after(self.latency(), arrives)
 
-    def trouble(self, seconds: float) -> int:
+    def begin_fault(self, seconds: float) -> int:
         """A trouble begins now and lasts so long; returns its end, in µs."""
-        end_us = self.now_us + int(seconds * US)
-        self.calm_us = max(self.calm_us, end_us)
+        end_us = self.now_us + int(seconds * SECOND_US)
+        self.last_fault_end_us = max(self.last_fault_end_us, end_us)
         return end_us
 
-    def bound_us(self) -> int:
+    def completion_bound_us(self) -> int:
         """How long what was accepted may take without trouble: leases and boots first, then twice its work."""
         machines = [worker for worker in self.workers.values() if isinstance(worker, SimulatedWorker)]
         cpus = sum(worker.type["vcpus"] for worker in machines) or DEFAULT_CPUS
@@ -117,13 +119,13 @@
         )
         boot_s = max(kind["startupS"] for kind in self.types.values())
         lease_s = self.facts["workers"]["lease_s"]
-        return int((4 * lease_s + 3 * boot_s + 2 * (work_s + self._longest_chain_s(ending)) + 20) * US)
+        return int((4 * lease_s + 3 * boot_s + 2 * (work_s + self._longest_chain_s(ending)) + 20) * SECOND_US)
 
     def _longest_chain_s(self, jobs: dict[str, dict[str, Any]]) -> float:
         """How long the longest chain of jobs runs that wait for each other."""
         chain_s: dict[str, float] = {}  # of the longest that ends with a job; what it names was submitted before
         for job_id, spec in jobs.items():
-            own_s = self.run_s.get(job_id, 0) + spec["picks"] * self.apart_s.get(job_id, 0)
+            own_s = self.run_s.get(job_id, 0) + spec["picks"] * self.run_increment_s.get(job_id, 0)
             before_s = max((chain_s.get(other, 0) + CHAIN_GAP_S for other in spec["waitsOn"]), default=0)
             chain_s[job_id] = own_s + before_s
         return max(chain_s.values(), default=0)
