--- a/quinceslip/protocol/messages/__init__.py
+++ b/quinceslip/protocol/messages/__init__.py
@@ -1,7 +1,7 @@
 """JSON messages, by counterpart: users, workers, the cloud and the key-value store.
 
-Field names inside the program are the terms of the field (docs/glossary.md); the names given to `field(name=...)` are
-the ones on the wire, and are mapped here and nowhere else.
+Attributes have the names of docs/glossary.md; `field(name=...)` gives the name on the wire. Nothing outside this
+package uses the names on the wire.
 """
 
 from quinceslip.protocol.messages.cloud import (
@@ -48,20 +48,20 @@
     RUNNING,
     JobSpec,
     JobState,
-    Malformed,
+    MalformedSubmission,
     job_answer,
     read_submission,
-    waiting_on,
+    with_dependencies,
     with_priority,
 )
 from quinceslip.protocol.messages.workers import (
     CAUSE_DONE,
     CAUSE_ERROR,
     CAUSE_HALTED,
-    CAUSES_GANG,
     EXITED,
     FLUSHING,
-    PATH_DO,
+    GANG_EXIT_CAUSES,
+    PATH_COMMANDS,
     PATH_HEARTBEAT,
     PATH_INSPECT,
     PULLING,
@@ -74,8 +74,8 @@
     TaskStatus,
     WorkerHeartbeat,
     acknowledge_result,
+    is_heartbeat_of,
     launch,
-    names,
     redirect,
     stop,
 )
@@ -83,18 +83,18 @@
 __all__ = [
     "CANCELLED",
     "CANCEL_SUFFIX",
-    "CAUSES_GANG",
     "CAUSE_DONE",
     "CAUSE_ERROR",
     "CAUSE_HALTED",
     "DONE",
     "EXITED",
     "FLUSHING",
+    "GANG_EXIT_CAUSES",
     "HOST_BOOTING",
     "HOST_FAILED",
     "MAX_BODY_BYTES",
     "NO_LEASE",
-    "PATH_DO",
+    "PATH_COMMANDS",
     "PATH_HEARTBEAT",
     "PATH_HOSTS",
     "PATH_HOSTS_DELETE",
@@ -128,7 +128,7 @@
     "MachineListing",
     "MachineType",
     "MachineTypes",
-    "Malformed",
+    "MalformedSubmission",
     "ScaleOutAnswer",
     "TaskState",
     "TaskStatus",
@@ -138,18 +138,18 @@
     "acknowledge_result",
     "compare_and_swap_request",
     "delete_request",
+    "is_heartbeat_of",
     "job_answer",
     "launch",
     "lease_request",
     "list_path",
     "machines_path",
-    "names",
     "read_submission",
     "redirect",
     "renew_path",
     "scale_out_request",
     "stop",
-    "waiting_on",
     "watch_path",
+    "with_dependencies",
     "with_priority",
 ]
