--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -64,7 +64,7 @@
     """
     runner = Runner()
     for line in ("site size=1", "machines 1 m a", "at 2 submit req-000001 tasks=2 run=30", "run 6"):
-        runner.line(line)
+        runner.execute_line(line)
     node = runner.w().controllers["berth-0"].actor
     assert node is not None
     shard = node.shards[0]
