--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -93,7 +93,8 @@
     return [
         f"at {at_s:.2f} duplicate_heartbeats {who} {draw(st.sampled_from([6, 14]))} times={draw(st.integers(1, 3))} "
         f"max_delay={draw(st.sampled_from([4, 14, 30]))}",
-        f"at {at_s + draw(tenths(0, 6)):.2f} {draw(st.sampled_from(['partition', 'block_inbound', 'block_outbound']))} {who} 14",
+        f"at {at_s + draw(tenths(0, 6)):.2f} "
+        f"{draw(st.sampled_from(['partition', 'block_inbound', 'block_outbound']))} {who} 14",
         f"at {at_s + draw(tenths(0, 20)):.2f} reboot {draw(st.sampled_from(['third', 'busiest']))} "
         f"{draw(st.sampled_from(['', 'replaced']))}",
         f"at {at_s + draw(tenths(0, 20)):.2f} crash berth-0 restart_after={draw(RESTART_S)}",
@@ -186,7 +187,8 @@
         f"at {at_s - 1:.2f} submit NEW tasks=20 run=3 team=capped rank={draw(st.sampled_from(['low', 'normal']))}",
         f"at {at_s + draw(tenths(0, 3)):.2f} {fault}",
         f"at {at_s + draw(tenths(0, 3)):.2f} cancel_running {draw(st.integers(1, 4))} hang={hang_s}",
-        f"at {at_s + draw(tenths(0, 4)):.2f} crash {draw(OTHER_CONTROLLERS)} berth-0 restart_after={draw(RESTART_S) * 4}",
+        f"at {at_s + draw(tenths(0, 4)):.2f} crash {draw(OTHER_CONTROLLERS)} berth-0 "
+        f"restart_after={draw(RESTART_S) * 4}",
     ]
     return [*lines, f"at {at_s + draw(tenths(4, 14)):.2f} cancel_running 2 via={draw(OTHER_CONTROLLERS)}"]
 
@@ -209,7 +211,8 @@
     """Machines cannot reach any controller but still get direct commands; jobs on them are cancelled."""
     who = draw(st.sampled_from(["third", "busiest", "zone:a", "all"]))
     lines = [
-        f"at {at_s:.2f} block_outbound {who} {draw(st.sampled_from([5, 12, 30]))} {draw(st.sampled_from(['', 'refused']))}",
+        f"at {at_s:.2f} block_outbound {who} {draw(st.sampled_from([5, 12, 30]))} "
+        f"{draw(st.sampled_from(['', 'refused']))}",
         f"at {at_s + draw(tenths(0, 4)):.2f} cancel_running 2 hang={draw(st.sampled_from([0, 6]))}",
     ]
     return [*lines, f"at {at_s + draw(tenths(0, 12)):.2f} crash berth-0 restart_after={draw(RESTART_S)}"]
@@ -222,7 +225,8 @@
         f"{draw(st.sampled_from([5, 15, 30]))} at_once share={draw(st.sampled_from([0.2, 0.5, 1.0]))}",
         *cancellations(draw, at_s + 2),
         f"at {at_s + draw(tenths(0, 9)):.2f} submit NEW tasks=4 run=3",
-        f"at {at_s + draw(tenths(0, 9)):.2f} crash {draw(st.sampled_from(CONTROLLERS[:2]))} restart_after={draw(RESTART_S)}",
+        f"at {at_s + draw(tenths(0, 9)):.2f} crash {draw(st.sampled_from(CONTROLLERS[:2]))} "
+        f"restart_after={draw(RESTART_S)}",
     ]
 
 
@@ -434,7 +438,8 @@
     lines += cancellations(draw, at_s + 2)
     return [
         *lines,
-        f"at {at_s + draw(tenths(1, 6)):.2f} crash {draw(st.sampled_from(CONTROLLERS))} restart_after={draw(RESTART_S)}",
+        f"at {at_s + draw(tenths(1, 6)):.2f} crash {draw(st.sampled_from(CONTROLLERS))} "
+        f"restart_after={draw(RESTART_S)}",
     ]
 
 
--- a/tests/test_random_simulations.py
+++ b/tests/test_random_simulations.py
@@ -110,10 +110,12 @@
                 f"spread={draw(st.sampled_from(['true', 'false']))} rank=production spot=false",
                 "work": f"submit req-{number} tasks={draw(st.sampled_from([6, 20]))} run=2 rank=production",
                 "gang": f"submit req-{number} gang tasks={draw(st.sampled_from([3, 6]))} run=5 rank=normal",
-                "crash": f"crash {draw(st.sampled_from(CONTROLLERS))} restart_after={draw(st.sampled_from([0.05, 0.3, 1, 5]))}",
+                "crash": f"crash {draw(st.sampled_from(CONTROLLERS))} "
+                f"restart_after={draw(st.sampled_from([0.05, 0.3, 1, 5]))}",
                 "block_inbound": f"block_inbound {draw(AFFECTED_WORKERS)} {draw(st.sampled_from([3, 9, 25]))} "
                 f"{draw(st.sampled_from(['', 'lost']))}",
-                "duplicate_heartbeats": f"duplicate_heartbeats {draw(AFFECTED_WORKERS)} {draw(seconds)} times={draw(st.integers(1, 3))} "
+                "duplicate_heartbeats": f"duplicate_heartbeats {draw(AFFECTED_WORKERS)} {draw(seconds)} "
+                f"times={draw(st.integers(1, 3))} "
                 f"max_delay={draw(seconds) + 16}",
                 "isolate": f"isolate {one} {draw(st.sampled_from([5, 14, 40]))} "
                 f"{draw(st.sampled_from(['held', 'refused', 'reset']))}",
