--- a/tests/scenario/model_checks.py
+++ b/tests/scenario/model_checks.py
@@ -69,7 +69,7 @@
         with tempfile.TemporaryDirectory() as folder:
             target = Path(folder) / "page.html"
             assert capacity.write_page(runs + unshared, target) == f"{target}: {len(runs + unshared)} runs"
-            assert "seconds until room" in target.read_text(encoding="utf-8")
+            assert "seconds until recovered capacity" in target.read_text(encoding="utf-8")
 
     def do_fleet_work(self, plain: list[str], named: dict[str, Any]) -> None:
         """fleet_work SMALL LARGE seconds=S KIND=RATIO ...: bounds the growth of calls per message with fleet size"""
